--- /dev/null
+++ b/tests/golden_wire/layout.rs
@@ -0,0 +1,239 @@
+//! Entries of the layout's log, each step of a change among them, and a snapshot of what they make.
+use marlgap::fleet::FleetTime;
+use marlgap::interface::ReplicaId;
+use marlgap::layout::{Change, District, Edit, Entry, History, Keep, Layouts, Limits, Piece, Tile, Weight};
+
+use crate::fixtures::{assert_same_bytes, records};
+
+fn time(ms: u64, logical: u32) -> FleetTime {
+    FleetTime::new(ms, logical)
+}
+
+fn servers(numbers: &[u64]) -> Vec<ReplicaId> {
+    numbers.iter().map(|number| ReplicaId(*number)).collect()
+}
+
+fn add(tile: u32, weight: Weight, district: u32, on: &[u64]) -> Edit {
+    Edit::Add { tile, weight, district: District(district), servers: servers(on) }
+}
+
+fn split(history: History) -> Edit {
+    let smaller = Piece { tile: 31, weight: Weight::new(1, 4), servers: servers(&[901]) };
+    let greater = Piece { tile: 32, weight: Weight::new(1, 2), servers: servers(&[902, 903]) };
+    Edit::Split { tile: 11, into: vec![smaller, greater], history }
+}
+
+fn merge(history: History) -> Edit {
+    let servers = servers(&[904, 905]);
+    Edit::Merge { tiles: vec![12, 13], into: 33, district: District(77), servers, history }
+}
+
+/// The ground as it begins: five tiles in two districts, one of which is named.
+fn first_change() -> Change {
+    let name = Edit::Name { district: District(77), name: "harbour".into() };
+    Change {
+        base: 0,
+        lease: 1,
+        valid: time(1_000, 3),
+        ground: Some(Weight::new(41, 12)),
+        edits: vec![
+            add(11, Weight::new(3, 4), 77, &[801, 802]),
+            add(12, Weight::new(1, 3), 77, &[803]),
+            add(13, Weight::new(1, 3), 77, &[804]),
+            add(14, Weight::new(1, 1), 78, &[805]),
+            add(15, Weight::new(1, 1), 78, &[806]),
+            name,
+        ],
+    }
+}
+
+/// A step of each of the other kinds.
+fn second_change() -> Change {
+    let moved = Edit::Move { tile: 14, servers: servers(&[906]), history: History::Both };
+    let from = time(1_200, 5);
+    let kept = Edit::Keep { tile: 11, server: ReplicaId(807), from, until: Some(time(1_300, 6)) };
+    let kept_on = Edit::Keep { tile: 14, server: ReplicaId(808), from, until: None };
+    Change {
+        base: 1,
+        lease: 1,
+        valid: time(2_000, 4),
+        ground: Some(Weight::new(29, 12)),
+        edits: vec![
+            split(History::Both),
+            merge(History::Moves),
+            moved,
+            Edit::Retire { tile: 15, keeps: true },
+            Edit::Assign { tile: 14, district: District(79) },
+            kept,
+            kept_on,
+        ],
+    }
+}
+
+fn third_change() -> Change {
+    let edits = vec![Edit::Move { tile: 14, servers: servers(&[907]), history: History::Stays }];
+    Change { base: 2, lease: 1, valid: time(3_000, 2), ground: None, edits }
+}
+
+fn lease() -> Entry {
+    Entry::Lease { number: 1, life: 0xfeed_0000_0000_0001, until: time(2_500, 8), closed: time(0, 0) }
+}
+
+fn renewal() -> Entry {
+    Entry::Lease { number: 1, life: 0xfeed_0000_0000_0001, until: time(4_500, 9), closed: time(2_400, 7) }
+}
+
+/// A change of one step, as an entry.
+fn single(edit: Edit) -> Entry {
+    let change = Change { base: 61, lease: 62, valid: time(63_000, 64), ground: None, edits: vec![edit] };
+    Entry::Change(change)
+}
+
+/// Every entry, by the name of its record.
+fn entries() -> Vec<(&'static str, Entry)> {
+    let moved = |history| Edit::Move { tile: 14, servers: servers(&[906, 908]), history };
+    vec![
+        ("lease", lease()),
+        ("renewal", renewal()),
+        ("horizon", Entry::Horizon { at: time(2_300, 11) }),
+        ("first_change", Entry::Change(first_change())),
+        ("second_change", Entry::Change(second_change())),
+        ("third_change", Entry::Change(third_change())),
+        ("split_moves", single(split(History::Moves))),
+        ("split_stays", single(split(History::Stays))),
+        ("merge_stays", single(merge(History::Stays))),
+        ("merge_both", single(merge(History::Both))),
+        ("move_moves", single(moved(History::Moves))),
+        ("retire_without_history", single(Edit::Retire { tile: 15, keeps: false })),
+    ]
+}
+
+#[test]
+fn entries_of_the_layout_are_read_and_written_as_stored() {
+    let entries = entries();
+    let written: Vec<_> =
+        entries.iter().map(|(name, entry)| (*name, entry.encode().expect("an entry"))).collect();
+    let stored = records("layout_entries.txt", &written);
+    for (name, entry) in entries {
+        let bytes = &stored[name];
+        let read = Entry::decode(bytes).unwrap_or_else(|e| panic!("{name}: {e}"));
+        assert_eq!(read, entry, "{name}: read (left) and meant (right)");
+        assert_same_bytes(name, &read.encode().expect("an entry"), bytes);
+    }
+}
+
+/// The log applied: with a horizon, its snapshot holds a full version and a change behind it.
+fn layouts() -> Layouts {
+    let mut layouts = Layouts::new(Limits::default());
+    let log = [
+        lease(),
+        Entry::Change(first_change()),
+        Entry::Change(second_change()),
+        renewal(),
+        Entry::Change(third_change()),
+        Entry::Horizon { at: time(1_250, 12) },
+    ];
+    for (place, entry) in log.iter().enumerate() {
+        let index = 501 + place as u64;
+        layouts.apply(index, entry).unwrap_or_else(|e| panic!("entry {index}: {e}"));
+    }
+    layouts
+}
+
+/// The log applied with a later horizon: the version that its snapshot holds in full has tiles with all their fields.
+fn layouts_of_late_horizon() -> Layouts {
+    let mut layouts = layouts();
+    let closing = Entry::Lease {
+        number: 2,
+        life: 0xfeed_0000_0000_0002,
+        until: time(9_000, 13),
+        closed: time(2_450, 14),
+    };
+    layouts.apply(601, &closing).expect("a lease");
+    layouts
+}
+
+fn keep(server: u64, from: FleetTime, until: Option<FleetTime>) -> Keep {
+    Keep { server: ReplicaId(server), from, until }
+}
+
+/// A tile that has been cut, as the second version knows it.
+fn cut_tile() -> Tile {
+    let born = time(1_000, 3);
+    let died = time(2_000, 4);
+    Tile {
+        born,
+        died: Some(died),
+        made: 1,
+        weight: Weight::new(3, 4),
+        district: District(77),
+        parents: vec![],
+        children: vec![31, 32],
+        passed: Some(born),
+        keeps: vec![
+            keep(801, born, Some(died)),
+            keep(802, born, Some(died)),
+            keep(807, time(1_200, 5), Some(time(1_300, 6))),
+        ],
+    }
+}
+
+/// A tile that was made of two, as the second version knows it.
+fn merged_tile() -> Tile {
+    let from = time(1_000, 3);
+    Tile {
+        born: time(2_000, 4),
+        died: None,
+        made: 2,
+        weight: Weight::new(2, 3),
+        district: District(77),
+        parents: vec![12, 13],
+        children: vec![],
+        passed: None,
+        keeps: vec![keep(904, from, None), keep(905, from, None)],
+    }
+}
+
+#[test]
+fn a_snapshot_of_changes_behind_a_full_version_is_read_and_written_as_stored() {
+    let stored = records("layout_snapshot.txt", &[("snapshot", layouts().snapshot())]);
+    let bytes = &stored["snapshot"];
+    let read = Layouts::restore(bytes, Limits::default()).expect("a snapshot");
+    assert_eq!(read.applied(), 506);
+    assert_eq!(read.closed(), time(2_400, 7));
+    assert_eq!(read.horizon(), time(1_250, 12));
+    assert_eq!(read.lease().number, 1);
+    assert_eq!(read.lease().life, 0xfeed_0000_0000_0001);
+    assert_eq!(read.lease().until, time(4_500, 9));
+    let places: Vec<_> = read.versions().iter().map(|v| (v.number, v.valid, v.index, v.ground)).collect();
+    let expected = [
+        (1, time(1_000, 3), 502, Weight::new(41, 12)),
+        (2, time(2_000, 4), 503, Weight::new(29, 12)),
+        (3, time(3_000, 2), 505, Weight::new(29, 12)),
+    ];
+    assert_eq!(places, expected);
+    let second = &read.versions()[1];
+    assert_eq!(second.tile(11), Some(&cut_tile()));
+    assert_eq!(second.tile(33), Some(&merged_tile()));
+    assert_eq!(second.named("harbour"), Some(District(77)));
+    assert_eq!(second.tiles_of(District(79)).collect::<Vec<_>>(), [14]);
+    assert_same_bytes("snapshot", &read.snapshot(), bytes);
+}
+
+#[test]
+fn a_snapshot_of_a_version_with_a_history_is_read_and_written_as_stored() {
+    let mut layouts = layouts_of_late_horizon();
+    layouts.apply(602, &Entry::Horizon { at: time(2_000, 4) }).expect("a horizon");
+    let stored = records("layout_snapshot_late.txt", &[("snapshot", layouts.snapshot())]);
+    let bytes = &stored["snapshot"];
+    let read = Layouts::restore(bytes, Limits::default()).expect("a snapshot");
+    assert_eq!(read.applied(), 602);
+    assert_eq!(read.horizon(), time(2_000, 4));
+    assert_eq!(read.lease().number, 2);
+    assert_eq!(read.lease().life, 0xfeed_0000_0000_0002);
+    assert_eq!(read.lease().until, time(9_000, 13));
+    assert_eq!(read.versions()[0].number, 2);
+    assert_eq!(read.versions()[0].tile(33), Some(&merged_tile()));
+    assert_eq!(read.versions()[0].named("harbour"), Some(District(77)));
+    assert_same_bytes("snapshot", &read.snapshot(), bytes);
+}
--- /dev/null
+++ b/tests/golden_wire/links.rs
@@ -0,0 +1,59 @@
+//! The frames on a connection between two members: hello, work and founding.
+use marlgap::fleet::found_first::{Kind, Life, Note, Round};
+use marlgap::fleet::work::message::{Body, Renew};
+use marlgap::fleet::work::Message;
+use marlgap::net::fleet::frames::{parse, Frame, Hello, VERSION};
+
+use crate::fixtures::{assert_same_bytes, records};
+
+/// More than any of these frames.
+const MOST: usize = 4096;
+
+/// What founding members tell each other, with two lives.
+fn note(kind: Kind) -> Frame {
+    let first = Life { name: "alpha".to_owned(), incarnation: 1_700_000_001, zone: "room-a".to_owned() };
+    let second = Life { name: "beta".to_owned(), incarnation: 1_700_000_002, zone: "room-b".to_owned() };
+    Frame::Founding(Note {
+        kind: kind.into(),
+        round: Round { leader: 1_700_000_003, number: 17 },
+        over: Round { leader: 1_700_000_004, number: 16 },
+        lives: vec![first, second],
+    })
+}
+
+/// Every frame, by the name of its record.
+fn frames() -> Vec<(&'static str, Frame)> {
+    let hello = Hello {
+        cluster: "cluster-name".to_owned(),
+        version: VERSION,
+        name: "member-name".to_owned(),
+        incarnation: 1_700_000_005,
+        zone: "room-name".to_owned(),
+    };
+    let work = Message::from(Body::Renew(Renew { sent: 5_000_021 }));
+    vec![
+        ("hello", Frame::Hello(hello)),
+        ("work", Frame::Work(work)),
+        ("founding_asked", note(Kind::Asked)),
+        ("founding_propose", note(Kind::Propose)),
+        ("founding_took", note(Kind::Took)),
+        ("founding_holds", note(Kind::Holds)),
+        ("founding_formed", note(Kind::Formed)),
+    ]
+}
+
+/// Guards the links between members of two builds; the version that a hello tells is part of what is stored.
+#[test]
+fn frames_between_members_are_read_and_written_as_stored() {
+    let frames = frames();
+    let written: Vec<_> = frames.iter().map(|(name, frame)| (*name, frame.bytes())).collect();
+    let stored = records("links.txt", &written);
+    for (name, frame) in frames {
+        let bytes = &stored[name];
+        let read = parse(bytes, MOST).unwrap_or_else(|e| panic!("{name}: {e}"));
+        let (read, length) = read.unwrap_or_else(|| panic!("{name}: no whole frame"));
+        assert_eq!(length, bytes.len(), "{name}: the frame's length");
+        assert_eq!(read, frame, "{name}: read (left) and meant (right)");
+        assert_same_bytes(name, &read.bytes(), bytes);
+    }
+}
--- /dev/null
+++ b/tests/golden_wire/work.rs
@@ -0,0 +1,159 @@
+//! What members say to each other about work in hand: a message of each kind, each field with a value of its own.
+use bytes::Bytes;
+use marlgap::fleet::work::message::{
+    Accept, Accepted, Asked, Body, Decided, Prepare, Promised, Rejected, Renew, Seal, Sealed, Told, What,
+};
+use marlgap::fleet::work::{Message, Part, Record};
+
+use crate::fixtures::{assert_same_bytes, records};
+
+/// A record with a part that is done and one that is not, and an outcome.
+fn record() -> Record {
+    let done = Part {
+        step: 1,
+        shard: 70_001,
+        granted: 5,
+        cleared: 2,
+        value: Some(Bytes::from_static(b"value of a part")),
+        score: 2.75,
+    };
+    let open = Part { step: 2, shard: 7, granted: 3, cleared: 1, value: None, score: -0.5 };
+    Record {
+        id: "record-id".to_owned(),
+        class: 11,
+        ends: 1_800_000_000_123,
+        text: Bytes::from_static(b"text of the query"),
+        parts: vec![done, open],
+        outcome: Some(Bytes::from_static(b"outcome of the work")),
+        failed: true,
+        opened: 0x0102_0304_0506_0708,
+    }
+}
+
+fn asked() -> Asked {
+    Asked {
+        epoch: 101,
+        id: "asked-id".to_owned(),
+        class: 12,
+        ends: 1_800_000_000_456,
+        left_us: 2_500_001,
+        text: Bytes::from_static(b"asked text"),
+        parts: vec![3, 400, 50_000],
+    }
+}
+
+fn told(what: What) -> Told {
+    Told {
+        epoch: 102,
+        id: "told-id".to_owned(),
+        what: what.into(),
+        outcome: Bytes::from_static(b"told outcome"),
+        retry_after: 1.25,
+        at_epoch: 99,
+        of: 0xdead_beef_0123_4567,
+    }
+}
+
+fn accept() -> Accept {
+    Accept {
+        epoch: 103,
+        id: "accept-id".to_owned(),
+        ballot: 2001,
+        seq: 31,
+        sent: 5_000_003,
+        left_us: 2_500_003,
+        record: Some(record()),
+    }
+}
+
+/// Every message, by the name of its record.
+pub fn messages() -> Vec<(&'static str, Body)> {
+    let accepted =
+        Accepted { epoch: 104, id: "accepted-id".to_owned(), ballot: 2002, seq: 32, sent: 5_000_004 };
+    let prepare =
+        Prepare { epoch: 105, id: "prepare-id".to_owned(), ballot: 2003, class: 13, left_us: 2_500_005 };
+    let promised = Promised {
+        epoch: 106,
+        id: "promised-id".to_owned(),
+        ballot: 2004,
+        accepted: 1999,
+        seq: 33,
+        record: Some(record()),
+    };
+    let rejected = Rejected {
+        epoch: 107,
+        id: "rejected-id".to_owned(),
+        ballot: 2005,
+        promised: 2010,
+        wait_us: 750_007,
+        full: true,
+    };
+    let decided = Decided {
+        epoch: 108,
+        id: "decided-id".to_owned(),
+        outcome: Bytes::from_static(b"decided outcome"),
+        failed: true,
+        opened: 0x1112_1314_1516_1718,
+    };
+    let seal = Seal { epoch: 109, id: "seal-id".to_owned(), class: 14, left_us: 2_500_009 };
+    let sealed = Sealed { epoch: 110, id: "sealed-id".to_owned(), exists: true, full: true };
+    let sealed_exists = Sealed { epoch: 111, id: "sealed-id".to_owned(), exists: true, full: false };
+    let sealed_full = Sealed { epoch: 112, id: "sealed-id".to_owned(), exists: false, full: true };
+    vec![
+        ("ask", Body::Ask(asked())),
+        ("told_in_hand", Body::Told(told(What::InHand))),
+        ("told_outcome", Body::Told(told(What::Outcome))),
+        ("told_other_text", Body::Told(told(What::OtherText))),
+        ("told_refused", Body::Told(told(What::Refused))),
+        ("told_unprotected", Body::Told(told(What::Unprotected))),
+        ("told_failed", Body::Told(told(What::Failed))),
+        ("told_elsewhere", Body::Told(told(What::Elsewhere))),
+        ("accept", Body::Accept(accept())),
+        ("accepted", Body::Accepted(accepted)),
+        ("prepare", Body::Prepare(prepare)),
+        ("promised", Body::Promised(promised)),
+        ("rejected", Body::Rejected(rejected)),
+        ("decided", Body::Decided(decided)),
+        ("renew", Body::Renew(Renew { sent: 5_000_013 })),
+        ("renewed", Body::Renewed(Renew { sent: 5_000_014 })),
+        ("seal", Body::Seal(seal)),
+        ("sealed", Body::Sealed(sealed)),
+        ("sealed_exists", Body::Sealed(sealed_exists)),
+        ("sealed_full", Body::Sealed(sealed_full)),
+    ]
+}
+
+/// The number of a kind; a kind that is new must be given one here, and a record above.
+fn kind(body: &Body) -> usize {
+    match body {
+        Body::Ask(_) => 0,
+        Body::Told(_) => 1,
+        Body::Accept(_) => 2,
+        Body::Accepted(_) => 3,
+        Body::Prepare(_) => 4,
+        Body::Promised(_) => 5,
+        Body::Rejected(_) => 6,
+        Body::Decided(_) => 7,
+        Body::Renew(_) => 8,
+        Body::Renewed(_) => 9,
+        Body::Seal(_) => 10,
+        Body::Sealed(_) => 11,
+    }
+}
+
+/// Guards members of two builds: what one says, the other must read as meant.
+#[test]
+fn messages_about_work_are_read_and_written_as_stored() {
+    let messages = messages();
+    let covered: std::collections::BTreeSet<usize> = messages.iter().map(|(_, body)| kind(body)).collect();
+    assert_eq!(covered.len(), 12, "a message of each kind");
+    let written: Vec<_> =
+        messages.iter().map(|(name, body)| (*name, Message::from(body.clone()).to_bytes())).collect();
+    let stored = records("work.txt", &written);
+    for (name, body) in messages {
+        let bytes = &stored[name];
+        let read = Message::from_bytes(bytes).unwrap_or_else(|e| panic!("{name}: {e}"));
+        assert_eq!(read.body, Some(body), "{name}: read (left) and meant (right)");
+        assert_same_bytes(name, &read.to_bytes(), bytes);
+    }
+}
