--- /dev/null
+++ b/tests/golden_wire/data_nodes.rs
@@ -0,0 +1,64 @@
+//! The frames of data nodes: each kind that comes from them as stored bytes, and the envelope of those to them.
+use marlgap::net::frames::{named, open, parse, reported, seal, End, Frame};
+
+use crate::fixtures::{assert_same_bytes, records};
+
+const REPORT: &str = "inflight=7,queue=8,util=0.61,latency_ms=9.5,qps=10,eps=0.25,own=3";
+
+/// A frame with a letter and what follows it.
+fn sealed(letter: u8, rest: &str) -> Vec<u8> {
+    let mut bytes = Vec::new();
+    let at = open(&mut bytes, letter);
+    bytes.extend_from_slice(rest.as_bytes());
+    seal(&mut bytes, at);
+    bytes
+}
+
+/// What is sent, and what is read of it.
+fn frames() -> Vec<(&'static str, Vec<u8>, Frame<'static>)> {
+    let served = Frame::Answer {
+        id: "q7.31",
+        end: End::Served,
+        score: 2.75,
+        report: REPORT,
+        value: b"value\nof a part",
+    };
+    let broke = Frame::Answer { id: "q7.32", end: End::Broke, score: 0.0, report: "-", value: b"" };
+    let skipped = Frame::Answer { id: "q7.33x", end: End::Skipped, score: 0.0, report: "-", value: b"" };
+    vec![
+        ("answer_served", sealed(b'a', &format!("q7.31 served 2.75 {REPORT}\nvalue\nof a part")), served),
+        ("answer_broke", sealed(b'a', "q7.32 broke - -\n"), broke),
+        ("answer_skipped", sealed(b'a', "q7.33x skipped 0 -\n"), skipped),
+        ("probe_served", sealed(b'p', "served"), Frame::Probe { served: true }),
+        ("probe_broke", sealed(b'p', "broke"), Frame::Probe { served: false }),
+        ("load", sealed(b'l', REPORT), Frame::Load { report: Some(REPORT) }),
+        ("load_broke", sealed(b'l', "broke"), Frame::Load { report: None }),
+        ("error", sealed(b'e', "what was wrong"), Frame::Error { words: "what was wrong" }),
+    ]
+}
+
+#[test]
+fn frames_of_data_nodes_are_read_as_stored() {
+    let frames = frames();
+    let written: Vec<_> = frames.iter().map(|(name, bytes, _)| (*name, bytes.clone())).collect();
+    let stored = records("data_nodes.txt", &written);
+    for (name, sealed, frame) in frames {
+        let bytes = &stored[name];
+        let read = parse(bytes).unwrap_or_else(|e| panic!("{name}: {e}"));
+        assert_eq!(read, Some((frame, bytes.len())), "{name}: read (left) and meant (right)");
+        assert_same_bytes(name, &sealed, bytes);
+    }
+    assert_eq!(named(&stored["answer_served"]), Some("q7.31"));
+}
+
+/// Guards the names under which data nodes send what the settings call otherwise.
+#[test]
+fn values_of_a_report_are_found_under_the_names_that_data_nodes_send() {
+    assert_eq!(reported(REPORT, "concurrent"), 7.0);
+    assert_eq!(reported(REPORT, "depth"), 8.0);
+    assert_eq!(reported(REPORT, "load_share"), 0.61);
+    assert_eq!(reported(REPORT, "mean_ms"), 9.5);
+    assert_eq!(reported(REPORT, "tps"), 10.0);
+    assert_eq!(reported(REPORT, "err_ps"), 0.25);
+    assert_eq!(reported(REPORT, "own"), 3.0);
+}
--- a/tests/golden_wire/main.rs
+++ b/tests/golden_wire/main.rs
@@ -4,7 +4,9 @@
 //! The fixtures in `data/` are written anew only where `WRITE_GOLDEN` is set: that is for a change of a form that is
 //! meant, and for nothing else.
 mod closed;
+mod data_nodes;
 mod fixtures;
+mod forecast;
 mod layout;
 mod links;
 mod report;
