--- /dev/null
+++ b/tests/golden_wire/data_nodes_lines.rs
@@ -0,0 +1,79 @@
+//! The frames that a coordinator sends to a data node: a part of each step and its cancelling, as they come out of a
+//! socket. Of a request the time that it tells changes from run to run; its digits are stored as nines.
+use std::io::Read;
+use std::net::{TcpListener, TcpStream};
+use std::rc::Rc;
+use std::time::{Duration, Instant};
+
+use async_executor::LocalExecutor;
+use marlgap::core::{Call, Step, Stop, Transport};
+use marlgap::interface::{Phase, ShardId};
+use marlgap::net::descriptors::Descriptors;
+use marlgap::net::nodes::{Carried, Entry, Nodes};
+
+use crate::common::{configure, PATIENCE};
+use crate::fixtures::{assert_same_bytes, records};
+
+/// Far enough that the time that is told keeps its five digits however slow the machine is.
+const DEADLINE: Duration = Duration::from_secs(90);
+
+/// One whole frame with its length.
+fn read_bytes(stream: &mut TcpStream) -> Vec<u8> {
+    let mut bytes = vec![0; 4];
+    stream.read_exact(&mut bytes).expect("a length");
+    let length = u32::from_be_bytes([bytes[0], bytes[1], bytes[2], bytes[3]]) as usize;
+    bytes.resize(4 + length, 0);
+    stream.read_exact(&mut bytes[4..]).expect("a frame");
+    bytes
+}
+
+/// The frame with nines in place of the digits of its time, of which there must be five.
+fn with_time_masked(mut bytes: Vec<u8>) -> Vec<u8> {
+    let at = bytes.windows(3).position(|w| w == b" d=").expect("a time") + 3;
+    let digits = &mut bytes[at..at + 5];
+    assert!(digits.iter().all(u8::is_ascii_digit), "five digits");
+    digits.fill(b'9');
+    assert!(!bytes[at + 5].is_ascii_digit(), "no sixth digit");
+    bytes
+}
+
+/// What a data node reads of one part that is called off once it is there.
+fn sent(step: Step, shard: u32) -> [Vec<u8>; 2] {
+    let listener = TcpListener::bind("127.0.0.1:0").expect("bound");
+    let address = listener.local_addr().expect("bound");
+    let folder = configure(&format!("golden_lines_{shard}"), &[address], address, 1, 75);
+    let config = std::fs::read_to_string(folder.join("config.json")).expect("read");
+    let config: serde_json::Value = serde_json::from_str(&config).expect("JSON");
+    let told = marlgap::settings::parse(config["settings"].to_string().as_bytes()).expect("settings");
+    let executor = Rc::new(LocalExecutor::new());
+    let log = slog::Logger::root(slog::Discard, slog::o!());
+    let nodes = Nodes::new(told, Rc::new(Descriptors::new(64)), executor.clone(), log);
+    let replica = nodes.list(&Entry { name: "n0".to_owned(), address, phase: Phase::Ready, born: 0 });
+    let carried = Rc::new(Carried::new("query-id".to_owned(), b"the statement".to_vec()));
+    let call = Call::alone(replica, carried, ShardId(shard), step, Instant::now() + DEADLINE);
+    let (hold, stop) = Stop::new();
+    let attempt = executor.spawn(nodes.clone().call(call, stop));
+    let (send, frames) = async_channel::bounded(2);
+    std::thread::spawn(move || {
+        let mut stream = listener.accept().expect("accepted").0;
+        stream.set_read_timeout(Some(PATIENCE)).expect("set");
+        (0..2).for_each(|_| send.send_blocking(read_bytes(&mut stream)).expect("awaited"));
+    });
+    let request = async_io::block_on(executor.run(frames.recv())).expect("a request");
+    drop(hold);
+    let cancel = async_io::block_on(executor.run(frames.recv())).expect("a cancelling");
+    drop(attempt);
+    [with_time_masked(request), cancel]
+}
+
+#[test]
+fn frames_to_data_nodes_are_written_as_stored() {
+    let [first, cancel] = sent(Step::First, 31);
+    let second_step = Step::Second { from: Rc::from([ShardId(7), ShardId(12)]), whole: true };
+    let [second, _] = sent(second_step, 32);
+    let now = [("request_first_step", first), ("request_second_step", second), ("cancel", cancel)];
+    let stored = records("data_nodes_lines.txt", &now);
+    for (name, bytes) in &now {
+        assert_same_bytes(name, bytes, &stored[*name]);
+    }
+}
--- a/tests/golden_wire/main.rs
+++ b/tests/golden_wire/main.rs
@@ -4,7 +4,10 @@
 //! The fixtures in `data/` are written anew only where `WRITE_GOLDEN` is set: that is for a change of a form that is
 //! meant, and for nothing else.
 mod closed;
+#[path = "../common/mod.rs"]
+mod common;
 mod data_nodes;
+mod data_nodes_lines;
 mod fixtures;
 mod forecast;
 mod layout;
