--- a/benches/foresight.rs
+++ b/benches/foresight.rs
@@ -6,12 +6,12 @@
 use std::rc::Rc;
 use std::time::Instant;
 
-use marlgap::fleet::MemberId;
-use marlgap::foresight::forecast::Given;
-use marlgap::foresight::{
+use marlgap::balancer::interface::{Class, Effect, ReplicaId, ZoneId};
+use marlgap::cluster::MemberId;
+use marlgap::topology_forecast::forecast::Given;
+use marlgap::topology_forecast::{
     forecast, Asked, Asks, Gathered, Keeper, Limits, Report, Sent, Server, Tile, Topology,
 };
-use marlgap::interface::{Class, Effect, ReplicaId, ZoneId};
 use num_rational::Ratio;
 use rand_core::{RngCore, SeedableRng};
 use rand_pcg::Pcg64Mcg;
--- a/benches/layout.rs
+++ b/benches/layout.rs
@@ -9,9 +9,11 @@
 use std::hint::black_box;
 use std::time::Instant;
 
-use marlgap::fleet::FleetTime;
-use marlgap::interface::ReplicaId;
-use marlgap::layout::{At, Change, District, Edit, Entry, History, Layouts, Limits, Piece, Weight, Which};
+use marlgap::balancer::interface::ReplicaId;
+use marlgap::cluster::FleetTime;
+use marlgap::shard_layout::{
+    At, Change, District, Edit, Entry, History, Layouts, Limits, Piece, Weight, Which,
+};
 
 const SERVERS: u64 = 180;
 /// Tiles of one district.
--- a/benches/round.rs
+++ b/benches/round.rs
@@ -9,7 +9,7 @@
 use std::collections::{BTreeMap, VecDeque};
 use std::time::Instant;
 
-use marlgap::interface::*;
+use marlgap::balancer::interface::*;
 use marlgap::Balancer;
 
 /// Replicas that hold a shard.
--- a/benches/scale/client.rs
+++ b/benches/scale/client.rs
@@ -5,12 +5,12 @@
 
 use async_executor::LocalExecutor;
 use futures_lite::FutureExt;
-use marlgap::core::Core;
-use marlgap::interface::News;
+use marlgap::balancer::interface::News;
+use marlgap::config::settings::{self, Deployment, Unreadable};
+use marlgap::coordinator::Core;
+use marlgap::net::data_nodes::Nodes;
 use marlgap::net::descriptors::Descriptors;
 use marlgap::net::discovery::{Discovery, List};
-use marlgap::net::nodes::Nodes;
-use marlgap::settings::{self, Deployment, Unreadable};
 use serde_json::json;
 
 use crate::standin::{Exchange, Reply, Standin};
--- a/benches/scale/control/plane/days/region.rs
+++ b/benches/scale/control/plane/days/region.rs
@@ -1,6 +1,6 @@
 //! A region that the others lose for minutes: what is in force there, what it may do, and how it learns afterwards.
-use marlgap::fleet::log::{Command, MOST_VOTERS};
-use marlgap::fleet::Configuration;
+use marlgap::cluster::consensus_log::{Command, MOST_VOTERS};
+use marlgap::cluster::Configuration;
 
 use super::super::links::{Place, REGIONS};
 use super::super::members::seat;
--- a/benches/scale/control/plane/founding.rs
+++ b/benches/scale/control/plane/founding.rs
@@ -3,9 +3,9 @@
 use std::rc::Rc;
 use std::time::Instant;
 
-use marlgap::fleet::found_first::{Act, Founding};
-use marlgap::fleet::{Member, MemberId};
-use marlgap::net::fleet::frames::{self, Frame, Hello, VERSION};
+use marlgap::cluster::bootstrap::first_configuration::{Act, Founding};
+use marlgap::cluster::{Member, MemberId};
+use marlgap::net::cluster::frames::{self, Frame, Hello, VERSION};
 
 use super::links::{Links, Micros, Place, MS, SECOND};
 use super::members::seat;
--- a/benches/scale/control/plane/members.rs
+++ b/benches/scale/control/plane/members.rs
@@ -1,6 +1,6 @@
 //! Hollow members of the replicated log: each is the program's own [`Log`] with its frames and its form on disk, kept in
 //! memory. What the program has no driver for yet (who ticks the log, who asks to be admitted, who closes epochs) is done
-//! here as its simulation in `src/fleet/log/sim.rs` does it.
+//! here as its simulation in `src/cluster/consensus_log/sim.rs` does it.
 mod acts;
 mod asks;
 mod build;
@@ -11,7 +11,7 @@
 use std::rc::Rc;
 use std::time::Instant;
 
-use marlgap::fleet::log::{Limits, Log, Seat, Stored};
+use marlgap::cluster::consensus_log::{Limits, Log, Seat, Stored};
 
 use super::links::{Links, Micros, Place, MS};
 use super::queue::{Played, Queue};
--- a/benches/scale/control/plane/members/acts.rs
+++ b/benches/scale/control/plane/members/acts.rs
@@ -2,7 +2,7 @@
 use std::hash::Hasher;
 
 use fnv::FnvHasher;
-use marlgap::fleet::log::{encode_command, Command, CompactError, LogAct};
+use marlgap::cluster::consensus_log::{encode_command, Command, CompactError, LogAct};
 
 use super::*;
 
--- a/benches/scale/control/plane/members/asks.rs
+++ b/benches/scale/control/plane/members/asks.rs
@@ -2,8 +2,8 @@
 //! until it sees what it asked for applied, as [`Log::propose`] wants it.
 use std::collections::HashSet;
 
-use marlgap::fleet::log::{Command, Outcome, ProposeError};
-use marlgap::fleet::{Configuration, MemberId};
+use marlgap::cluster::consensus_log::{Command, Outcome, ProposeError};
+use marlgap::cluster::{Configuration, MemberId};
 
 use super::*;
 
--- a/benches/scale/control/plane/members/build.rs
+++ b/benches/scale/control/plane/members/build.rs
@@ -1,8 +1,8 @@
 //! A founded cluster, with its ticks spread over a tick's time.
 use super::super::links::SECOND;
 use super::*;
-use marlgap::fleet::log::Identity;
-use marlgap::fleet::{Member, MemberId};
+use marlgap::cluster::consensus_log::Identity;
+use marlgap::cluster::{Member, MemberId};
 
 /// Each disk is another one.
 pub(super) fn disk(i: usize, life: u64) -> u64 {
--- a/benches/scale/control/plane/workers.rs
+++ b/benches/scale/control/plane/workers.rs
@@ -4,9 +4,9 @@
 use std::rc::Rc;
 use std::time::Instant;
 
-use marlgap::fleet::work::{Act, Ask, ClassRule, Key, Limits, WhenFull, Works};
-use marlgap::fleet::{Configuration, MemberId};
-use marlgap::net::fleet::frames::{self, Frame};
+use marlgap::cluster::takeover::{Act, Ask, ClassRule, Key, Limits, WhenFull, Works};
+use marlgap::cluster::{Configuration, MemberId};
+use marlgap::net::cluster::frames::{self, Frame};
 
 use super::links::{Links, Micros, Place, MS, SECOND};
 use super::members::seat;
--- a/benches/scale/hollow.rs
+++ b/benches/scale/hollow.rs
@@ -3,7 +3,7 @@
 use std::collections::{BTreeMap, VecDeque};
 use std::time::{Duration, Instant};
 
-use marlgap::interface::*;
+use marlgap::balancer::interface::*;
 use marlgap::Balancer;
 use rand_core::{RngCore, SeedableRng};
 use rand_pcg::Pcg64Mcg;
--- a/benches/scale/listing.rs
+++ b/benches/scale/listing.rs
@@ -3,7 +3,7 @@
 use std::hint::black_box;
 use std::time::Instant;
 
-use marlgap::interface::News;
+use marlgap::balancer::interface::News;
 use marlgap::net::discovery::List;
 
 use crate::client::{follow, list, nowhere, Client};
--- a/src/state/look.rs
+++ b/src/balancer/bookkeeping.rs
@@ -1,8 +1,8 @@
-//! What keeps the sums and indexes of a [`Balancer`] up to date as things happen, and the order in which a round
-//! comes to the open queries. Decides nothing: how a query is settled and what it sends is `src/balance/`'s.
-use super::{Flight, Part, Query, Verdict};
-use crate::balance::{GAIN, HEDGE_TAIL, RECENT};
-use crate::interface::*;
+//! Keeps the sums and indexes of a [`Balancer`] up to date as things happen, and orders the work of a round.
+//! Decides nothing: what a query sends and how it ends is decided in the files beside this one.
+use super::state::{Flight, Part, Query, Verdict};
+use super::{GAIN, HEDGE_TAIL, RECENT};
+use crate::balancer::interface::*;
 use crate::Balancer;
 
 impl Balancer {
@@ -70,8 +70,9 @@
         }
     }
 
-    /// An attempt has its outcome. A value that leaves its query far from an answer moves nothing: the part was on
-    /// its way, or was given up, and now counts no less; nothing more is sent for it. Any other outcome does.
+    /// An attempt has its outcome. A value that leaves its query far from an answer moves nothing: the part
+    /// was on its way, or was given up, and now counts no less; nothing more is sent for it. Any other
+    /// outcome does.
     pub(crate) fn ended(&mut self, id: PartId, event: &Event) {
         let (had, over) = self.parts.get(&id).map_or((true, true), |p| (p.served, p.over));
         self.outcome(event);
@@ -95,8 +96,8 @@
         self.note(id);
     }
 
-    /// An attempt was sent. At a suspect replica it is late as soon as time goes on; one that tries a lost room
-    /// makes that suspect again.
+    /// An attempt was sent. At a suspect replica it is late as soon as time goes on; one that tries a lost
+    /// room makes that suspect again.
     pub(crate) fn sent(&mut self, replica: ReplicaId, attempt: (PartId, u8), flight: Flight) {
         let Some(r) = self.replicas.get_mut(&replica) else { return };
         self.flights.add(flight.sent, replica, attempt, r.out.insert(attempt, flight));
@@ -143,8 +144,9 @@
         }
     }
 
-    /// Look at a query. One that nothing happened to, and that waits, is looked at for its waiting parts alone;
-    /// whole, where time itself may end their chances, or what the other parts cover says how many are sent.
+    /// Look at a query. One that nothing happened to, and that waits, is looked at for its waiting parts
+    /// alone; whole, where time itself may end their chances, or what the other parts cover says how many are
+    /// sent.
     fn work(&mut self, number: QueryNumber, touched: bool) {
         let Some(mut query) = self.queries.remove(&number) else { return };
         let keyed = matches!(query.class.effect, Effect::Keyed { .. });
--- a/src/interface.rs
+++ b/src/balancer/interface.rs
@@ -5,7 +5,7 @@
 //! any clock that only goes forward. Nothing here is told of the transport.
 //!
 //! ```
-//! use marlgap::interface::*;
+//! use marlgap::balancer::interface::*;
 //! use marlgap::Balancer;
 //!
 //! let class = Class {
@@ -154,7 +154,8 @@
         matches!(self, Outcome::TurnedAway | Outcome::NoConnection | Outcome::NotSent)
     }
 
-    /// Whether the attempt was told to have failed: neither served, nor turned away, nor left without an answer.
+    /// Whether the attempt was told to have failed: neither served, nor turned away, nor left without an
+    /// answer.
     pub fn failed(self) -> bool {
         !matches!(self, Outcome::Served | Outcome::TurnedAway | Outcome::TimedOut | Outcome::Cancelled)
     }
@@ -182,8 +183,8 @@
         shard: ShardId,
         /// Its share of its step.
         weight: f64,
-        /// Attempts that an earlier owner of its query may have made: each may have run and counts among the part's.
-        /// Ours are numbered from here on.
+        /// Attempts that an earlier owner of its query may have made: each may have run and counts among the
+        /// part's. Ours are numbered from here on.
         spent: u8,
         /// An earlier owner had its value in: nothing is sent for it.
         served: bool,
--- a/src/balance/mod.rs
+++ b/src/balancer/mod.rs
@@ -1,24 +1,27 @@
-//! All decisions of a co-ordinator. Types, events and actions: `src/interface.rs`; what is kept between
-//! rounds: `src/state/`.
-//! The ordinary path is NetClone's (`docs/design.md`): draw two replicas of a shard; both idle: to both, the
-//! first answer wins; else to the shorter queue. The rest acts through who may be drawn and how ties fall.
+//! All decisions of a co-ordinator. Types, events and actions: `src/balancer/interface.rs`; what is kept
+//! between rounds: `src/balancer/state/`. The ordinary path is NetClone's (`docs/design.md`): draw two
+//! replicas of a shard; both idle: to both, the first answer wins; else to the shorter queue. The rest acts
+//! through who may be drawn and how ties fall.
 mod admission;
 mod attempts;
-mod blame;
-mod draw;
-mod members;
-mod pace;
-mod settle;
+mod bookkeeping;
+mod endpoints;
+pub mod interface;
+mod latency;
+mod outlier_detection;
+mod query_progress;
+mod replica_selection;
+pub mod state;
 
 use std::collections::{BTreeMap, BTreeSet};
 
 use rand_core::{RngCore, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 
-pub use self::pace::stretch;
-use self::{blame::EJECT, members::RENEW, pace::wide};
-use crate::interface::*;
-use crate::state::*;
+pub use self::latency::stretch;
+use self::{endpoints::RENEW, latency::wide, outlier_detection::EJECT};
+use crate::balancer::interface::*;
+use crate::balancer::state::*;
 
 /// Seconds that 'recent' means for copies, retries, rates and tenants: long enough to average a burst.
 pub(crate) const RECENT: f64 = 5.0;
--- a/src/state/audit.rs
+++ b/src/balancer/state/audit.rs
@@ -1,6 +1,6 @@
-//! Views of a [`Balancer`] for tests and measurements: what its rounds go through, and whether its running sums
-//! and indexes are what a count of everything gives.
-use crate::balance::STALE;
+//! Views of a [`Balancer`] for tests and measurements: what its rounds go through, and whether its running
+//! sums and indexes are what a count of everything gives.
+use crate::balancer::STALE;
 use crate::Balancer;
 
 impl Balancer {
--- a/src/state/estimate.rs
+++ b/src/balancer/state/estimate.rs
@@ -1,7 +1,8 @@
-//! Estimates that are kept as samples come in: a value that fades without news, and the mean and 90th percentile
-//! of a stream. Neither holds a tuned figure: weights and half-lives are told by who uses them.
+//! Estimates that are kept as samples come in: a value that fades without news, and the mean and 90th
+//! percentile of a stream. Neither holds a tuned figure: weights and half-lives are told by who uses them.
 
-/// A value as last known. Without news it fades: half of what sets it off from its base is gone each half-life.
+/// A value as last known. Without news it fades: half of what sets it off from its base is gone each
+/// half-life.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Fading {
     pub value: f64,
@@ -36,7 +37,8 @@
 }
 
 impl Spread {
-    /// Take in a sample at this weight; the percentile moves by that share of itself at most. The first one is both.
+    /// Take in a sample at this weight; the percentile moves by that share of itself at most. The first one
+    /// is both.
     pub fn take(&mut self, sample: f64, weight: f64) {
         if self.mean <= 0.0 {
             *self = Spread { mean: sample, upper: sample };
--- a/src/state/flights.rs
+++ b/src/balancer/state/in_flight.rs
@@ -2,9 +2,9 @@
 //! without going through the others, nor through the replicas. What streams is not in: it is answered.
 use std::collections::{BTreeMap, BTreeSet};
 
-use super::due::At;
+use super::timer_queue::At;
 use super::{Flight, Replica};
-use crate::interface::*;
+use crate::balancer::interface::*;
 
 type Owed = (At, ReplicaId, (PartId, u8));
 
@@ -72,8 +72,8 @@
         found
     }
 
-    /// Those sent before a time that were not so at any earlier call, and those of replicas that changed their
-    /// zone since they were sent: their replica, and when they were sent.
+    /// Those sent before a time that were not so at any earlier call, and those of replicas that changed
+    /// their zone since they were sent: their replica, and when they were sent.
     pub fn unheard(&mut self, before: f64) -> Vec<(ReplicaId, f64)> {
         let mut found: Vec<_> = between(&self.all, self.unheard, At(before)).map(|o| (o.1, o.0 .0)).collect();
         self.through += found.len();
--- a/src/state/mod.rs
+++ b/src/balancer/state/mod.rs
@@ -1,25 +1,25 @@
 //! What a co-ordinator keeps between rounds, and the check of its settings. Nothing here decides or holds a
-//! tuned value; decisions are in `src/balance/`.
+//! tuned value; decisions are in `src/balancer/`.
 //!
-//! Sums and indexes over what is kept, which decide nothing: `census.rs` of the replicas, `flights.rs` of what
-//! they owe, `agenda.rs` of open queries, `tally.rs` of recent events, `look.rs` keeps them up to date; `due.rs` orders by time.
-mod agenda;
+//! Sums and indexes over what is kept, which decide nothing: `replica_index.rs` of the replicas,
+//! `in_flight.rs` of what they owe, `open_queries.rs` of open queries, `sliding_window.rs` of recent events,
+//! `../bookkeeping.rs` keeps them up to date; `timer_queue.rs` orders by time.
 mod audit;
-mod census;
-mod due;
 mod estimate;
-mod flights;
-mod look;
-mod tally;
+mod in_flight;
+mod open_queries;
+mod replica_index;
+mod sliding_window;
+mod timer_queue;
 
 use std::collections::{BTreeMap, BTreeSet};
 
-pub use self::agenda::Agenda;
-pub use self::census::Census;
 pub use self::estimate::{Fading, Spread};
-pub use self::flights::Flights;
-pub use self::tally::{Recent, Tally};
-use crate::interface::*;
+pub use self::in_flight::Flights;
+pub use self::open_queries::Agenda;
+pub use self::replica_index::Census;
+pub use self::sliding_window::{Recent, Tally};
+use crate::balancer::interface::*;
 
 /// Response times of parts, typical, at the 90th percentile and just now, and how many parts may be open.
 #[derive(Default)]
@@ -80,7 +80,8 @@
     pub served: bool,
     /// Counted as one that is out, by the agenda.
     pub counted: bool,
-    /// Its end was told though we did not end it, or its value is on its way: nothing more may be sent for it.
+    /// Its end was told though we did not end it, or its value is on its way: nothing more may be sent for
+    /// it.
     pub over: bool,
 }
 
@@ -133,8 +134,8 @@
         self.weighs += if (0.0..=1.0).contains(&weight) { weight } else { f64::INFINITY };
     }
 
-    /// Whether what is in is surely too little to answer it. That is summed in another order than an answer goes
-    /// by: for shares whose sum is below 1, that makes no difference near the ten-thousandth left here.
+    /// Whether what is in is surely too little to answer it. That is summed in another order than an answer
+    /// goes by: for shares whose sum is below 1, that makes no difference near the ten-thousandth left here.
     pub fn far_from_answer(&self) -> bool {
         let need = if self.first.is_none() { self.class.need } else { 1.0 };
         self.brought < self.parts.len() && self.weighs < need.min(self.class.floor) - 1e-4
@@ -206,8 +207,8 @@
         self.heard = self.heard.max(now);
     }
 
-    /// A replica is silent, or could not be reached, about what it was sent at a time: that is held against its
-    /// room, unless that was heard since. So many of them may be a room that is lost.
+    /// A replica is silent, or could not be reached, about what it was sent at a time: that is held against
+    /// its room, unless that was heard since. So many of them may be a room that is lost.
     pub fn hush(&mut self, zone: ZoneId, id: ReplicaId, sent: f64, least: usize) {
         let room = self.rooms.entry(zone).or_default();
         if sent > room.heard && room.silent.insert(id) && room.silent.len() >= least {
@@ -215,7 +216,8 @@
         }
     }
 
-    /// Rooms with so many silent replicas, not heard since another room was, are lost until then. Whether any is.
+    /// Rooms with so many silent replicas, not heard since another room was, are lost until then. Whether any
+    /// is.
     pub fn lose(&mut self, until: f64, least: usize) -> bool {
         let (heard, rooms, mut lost) = (self.heard, &mut self.rooms, false);
         self.hushed.retain(|zone| {
@@ -277,7 +279,8 @@
         self.over || !self.attempts.is_empty()
     }
 
-    /// A part as it enters. What an earlier owner spent on it stands there as attempts that failed and may have run.
+    /// A part as it enters. What an earlier owner spent on it stands there as attempts that failed and may
+    /// have run.
     pub fn new(query: (QueryNumber, ClassId), shard: ShardId, weight: f64, spent: u8, served: bool) -> Part {
         let (number, class) = query;
         let attempts = (0..spent).map(|_| Attempt::spent()).collect();
--- a/src/state/agenda.rs
+++ b/src/balancer/state/open_queries.rs
@@ -1,11 +1,12 @@
-//! Which open queries a round has to look at: those that something happened to, those that a time has come for,
-//! and those that were left waiting for what may change at any time. And what is summed over all of them.
+//! Which open queries a round has to look at: those that something happened to, those that a time has come
+//! for, and those that were left waiting for what may change at any time. And what is summed over all of
+//! them.
 use std::collections::{BTreeMap, BTreeSet};
 use std::ops::Bound;
 
-use super::due::Due;
+use super::timer_queue::Due;
 use super::{Part, Query};
-use crate::interface::*;
+use crate::balancer::interface::*;
 
 /// Times at which a query is looked at.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
@@ -170,8 +171,8 @@
         }
     }
 
-    /// Touch the queries whose time has come; `hedge` and `step` tell whether a part last sent at that time is
-    /// late, and a first step with that aim due.
+    /// Touch the queries whose time has come; `hedge` and `step` tell whether a part last sent at that time
+    /// is late, and a first step with that aim due.
     pub fn wake(
         &mut self,
         now: f64,
--- a/src/state/census.rs
+++ b/src/balancer/state/replica_index.rs
@@ -2,9 +2,9 @@
 //! has one place that updates it; [`Census::check`] says what each equals.
 use std::collections::{BTreeMap, BTreeSet};
 
-use super::due::Due;
+use super::timer_queue::Due;
 use super::Replica;
-use crate::interface::*;
+use crate::balancer::interface::*;
 
 /// Reported loads are summed in units of 2^-32: whole numbers exactly, and all of them in any order.
 const UNIT: f64 = (1u64 << 32) as f64;
--- a/src/state/tally.rs
+++ b/src/balancer/state/sliding_window.rs
@@ -1,7 +1,7 @@
 //! Counts of recent events.
 use std::collections::{BTreeMap, VecDeque};
 
-use crate::interface::*;
+use crate::balancer::interface::*;
 
 /// Times of recent events of one sort.
 #[derive(Default)]
--- a/src/cli/show.rs
+++ b/src/cli/show.rs
@@ -2,17 +2,17 @@
 use std::fmt::Write;
 use std::path::Path;
 
-use crate::interface::{Effect, Phase, ShardId};
-use crate::net::records::Server;
-use crate::net::source;
-use crate::operator::{Grpc, Operator, OperatorError, Source};
-use crate::routes::{As, Route, ShardFrom};
-use crate::settings::Deployment;
+use crate::balancer::interface::{Effect, Phase, ShardId};
+use crate::config::operator::{Grpc, Operator, OperatorError, Source};
+use crate::config::settings::Deployment;
+use crate::grpc_routing::{As, Route, ShardFrom};
+use crate::net::dns_sd::watcher;
+use crate::net::dns_sd::zone_file::Server;
 
 /// The servers of a source; what is wrong with its records stands in the file's line.
 fn servers(path: &Path, at: &str, source: &Source) -> Result<Vec<Server>, OperatorError> {
     let error = |what: String| OperatorError { file: path.into(), path: at.to_owned(), place: None, what };
-    source::read(source).map_err(|e| error(e.to_string()))
+    watcher::read(source).map_err(|e| error(e.to_string()))
 }
 
 /// Check a file and all that it names; what it would serve, a line each.
--- a/src/fleet/found_first.rs
+++ b/src/cluster/bootstrap/first_configuration.rs
@@ -10,7 +10,7 @@
 use std::collections::BTreeMap;
 use std::rc::Rc;
 
-use super::{Configuration, Member, MemberId, Micros};
+use crate::cluster::{Configuration, Member, MemberId, Micros};
 
 /// Time between repeats, in microseconds: a founding waits for the slowest start anyhow.
 const REPEAT: Micros = 100_000;
--- a/src/fleet/found.rs
+++ b/src/cluster/bootstrap/mod.rs
@@ -11,13 +11,15 @@
 //! earlier one from then on. It goes back only when a member of the later set says itself that it is founded
 //! elsewhere: then the later set never stands. Where most disks of a pinned set are gone nothing is decided here: the
 //! operator has to say so.
+pub mod first_configuration;
+
 use std::collections::BTreeMap;
 use std::fmt;
 use std::rc::Rc;
 
 use prost::Message as _;
 
-use super::log::{fnv, form, mix, seat_in, seat_out, FormError, Seat, MOST_MEMBERS};
+use super::consensus_log::{fnv, form, mix, seat_in, seat_out, FormError, Seat, MOST_MEMBERS};
 
 /// How far a member is.
 #[derive(Clone, Debug, PartialEq, Eq)]
--- a/src/fleet/log/command.rs
+++ b/src/cluster/consensus_log/command.rs
@@ -5,7 +5,7 @@
 
 use prost::Message as _;
 
-use crate::fleet::{Member, MemberId};
+use crate::cluster::{Member, MemberId};
 
 /// Version of the form of commands and of the roster.
 const VERSION: u32 = 1;
@@ -30,14 +30,14 @@
 }
 
 /// The finisher of SplitMix64: spreads what FNV leaves close together.
-pub(in crate::fleet) fn mix(x: u64) -> u64 {
+pub(in crate::cluster) fn mix(x: u64) -> u64 {
     let z = x.wrapping_add(0x9e37_79b9_7f4a_7c15);
     let z = (z ^ (z >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
     let z = (z ^ (z >> 27)).wrapping_mul(0x94d0_49bb_1331_11eb);
     z ^ (z >> 31)
 }
 
-pub(in crate::fleet) fn fnv(bytes: &[u8]) -> u64 {
+pub(in crate::cluster) fn fnv(bytes: &[u8]) -> u64 {
     use std::hash::Hasher;
     let mut hasher = fnv::FnvHasher::default();
     hasher.write(bytes);
@@ -101,7 +101,7 @@
 }
 
 /// The form of these on the wire and on disk.
-pub(in crate::fleet) mod form {
+pub(in crate::cluster) mod form {
     #[derive(Clone, PartialEq, prost::Message)]
     pub struct Seat {
         #[prost(string, tag = "1")]
@@ -169,7 +169,7 @@
     }
 }
 
-pub(in crate::fleet) fn seat_out(seat: &Seat) -> form::Seat {
+pub(in crate::cluster) fn seat_out(seat: &Seat) -> form::Seat {
     form::Seat {
         name: seat.member.id.name.to_string(),
         incarnation: seat.member.id.incarnation,
@@ -179,7 +179,7 @@
     }
 }
 
-pub(in crate::fleet) fn seat_in(seat: form::Seat) -> Result<Seat, FormError> {
+pub(in crate::cluster) fn seat_in(seat: form::Seat) -> Result<Seat, FormError> {
     let address: SocketAddr = seat.address.parse().map_err(|_| FormError::Address(seat.address.clone()))?;
     let id = MemberId::new(&seat.name, seat.incarnation);
     Ok(Seat { member: Member { id, zone: seat.zone.as_str().into(), address }, disk: seat.disk })
--- a/src/fleet/log/roster.rs
+++ b/src/cluster/consensus_log/membership.rs
@@ -10,7 +10,7 @@
 use prost::Message as _;
 
 use super::command::{form, seat_in, seat_out, Command, FormError, Seat};
-use crate::fleet::{Configuration, Member};
+use crate::cluster::{Configuration, Member};
 
 /// Voters at most. Further members learn what is agreed and do not vote: each voter more is a message more for every
 /// entry, and five outlive any two.
--- a/src/fleet/log/mod.rs
+++ b/src/cluster/consensus_log/mod.rs
@@ -14,9 +14,9 @@
 //! seed, the term and the role give, so that the same events have the same effect.
 mod command;
 mod frame;
+mod membership;
 mod memory;
 mod node;
-mod roster;
 mod stored;
 
 use std::fmt;
@@ -26,8 +26,8 @@
 pub(super) use command::{fnv, form, mix, seat_in, seat_out};
 pub use command::{voter, Command, FormError, ProposalId, Seat};
 pub use frame::ReceiveError;
+pub use membership::{Outcome, Refusal, Roster, MOST_EPOCHS, MOST_MEMBERS, MOST_VOTERS};
 pub use node::Log;
-pub use roster::{Outcome, Refusal, Roster, MOST_EPOCHS, MOST_MEMBERS, MOST_VOTERS};
 pub use stored::{Batch, Hard, Stored};
 
 /// A name on a disk: who this voter is.
--- a/src/fleet/log/node.rs
+++ b/src/cluster/consensus_log/node.rs
@@ -11,8 +11,8 @@
 use self::apply::changes;
 use super::command::{self, mix, Command, ProposalId};
 use super::frame::{self, Held, ReceiveError, HEAD};
+use super::membership::{Outcome, Roster, MOST_MEMBERS};
 use super::memory::Memory;
-use super::roster::{Outcome, Roster, MOST_MEMBERS};
 use super::stored::{self, Batch, Hard, Stored};
 use super::{voter, CompactError, Identity, Limits, LogAct, ProposeError, StoredError};
 
--- a/src/fleet/log/node/apply.rs
+++ b/src/cluster/consensus_log/node/apply.rs
@@ -5,7 +5,7 @@
 use raft::eraftpb::{ConfChangeSingle, ConfChangeType, ConfChangeV2, Entry, EntryType};
 
 use super::super::command;
-use super::super::roster::{Outcome, Refusal, Roster};
+use super::super::membership::{Outcome, Refusal, Roster};
 use super::{Log, LogAct};
 
 impl Log {
--- a/src/fleet/log/stored.rs
+++ b/src/cluster/consensus_log/stored.rs
@@ -4,7 +4,7 @@
 use raft::eraftpb::{ConfState, Entry, HardState, Snapshot};
 
 use super::command::{FormError, Seat};
-use super::roster::{Kept, Refusal, Roster};
+use super::membership::{Kept, Refusal, Roster};
 
 /// The promises of a voter: the term it has reached, whom it voted for in it (0: nobody), and up to where it knows the
 /// log to be agreed. Of these `term` and `vote` are promises, `commit` is a help.
--- a/src/fleet/mod.rs
+++ b/src/cluster/mod.rs
@@ -3,19 +3,18 @@
 //!
 //! Rumours make things fast, majorities make them safe: what is told of who is alive may choose whom to ask first, and
 //! nothing more.
-pub mod config;
-pub mod found;
-pub mod found_first;
-pub mod log;
-pub mod time;
-pub mod work;
+pub mod bootstrap;
+pub mod configuration;
+pub mod consensus_log;
+pub mod hybrid_clock;
+pub mod takeover;
 
 use std::fmt;
 use std::net::SocketAddr;
 use std::rc::Rc;
 
-pub use config::{ConfigError, Configuration};
-pub use time::FleetTime;
+pub use configuration::{ConfigError, Configuration};
+pub use hybrid_clock::FleetTime;
 
 /// Microseconds on a member's own monotonic clock: only differences count, and only on the member that read it.
 pub type Micros = u64;
--- a/src/fleet/work/api.rs
+++ b/src/cluster/takeover/api.rs
@@ -3,7 +3,7 @@
 
 use super::message::Message;
 use super::record::Record;
-use crate::fleet::{MemberId, Micros};
+use crate::cluster::{MemberId, Micros};
 
 /// A waiting client of this process.
 pub type Token = u64;
--- a/src/fleet/work/guard.rs
+++ b/src/cluster/takeover/guard.rs
@@ -6,7 +6,7 @@
 use super::message::{Accept, Accepted, Body, Decided, Prepare, Promised, Rejected, Seal, Sealed, What};
 use super::slot::{Slot, NEVER};
 use super::{WorkId, Works};
-use crate::fleet::{MemberId, Micros};
+use crate::cluster::{MemberId, Micros};
 
 impl Works {
     /// The slot of a work, new if there is room for it; None if there is not.
--- a/src/fleet/work/lease.rs
+++ b/src/cluster/takeover/lease.rs
@@ -4,7 +4,7 @@
 //! bound on drift: so the guard's lease covers the owner's in true time, whatever the delay.
 use std::collections::BTreeMap;
 
-use crate::fleet::{MemberId, Micros};
+use crate::cluster::{MemberId, Micros};
 
 #[derive(Clone, Copy, Debug)]
 struct Held {
--- a/src/fleet/work/led.rs
+++ b/src/cluster/takeover/led.rs
@@ -5,7 +5,7 @@
 use super::record::Record;
 use super::slot::Accepted;
 use super::Key;
-use crate::fleet::{MemberId, Micros};
+use crate::cluster::{MemberId, Micros};
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Phase {
--- a/src/fleet/work/slot.rs
+++ b/src/cluster/takeover/slot.rs
@@ -3,7 +3,7 @@
 use std::rc::Rc;
 
 use super::record::Record;
-use crate::fleet::{MemberId, Micros};
+use crate::cluster::{MemberId, Micros};
 
 /// A promise that nothing fulfils: the slot is sealed.
 pub const NEVER: u64 = u64::MAX;
--- a/src/operator/fleet.rs
+++ b/src/config/operator/cluster.rs
@@ -7,12 +7,12 @@
 use serde::Deserialize;
 
 use super::Seg;
-use crate::fleet::config::MOST_GUARDS;
-use crate::fleet::work::message::MOST_BYTES;
-use crate::fleet::work::{self, ClassRule, WhenFull};
-use crate::fleet::{Configuration, Member, MemberId};
-use crate::interface::Effect;
-use crate::settings::Deployment;
+use crate::balancer::interface::Effect;
+use crate::cluster::configuration::MOST_GUARDS;
+use crate::cluster::takeover::message::MOST_BYTES;
+use crate::cluster::takeover::{self, ClassRule, WhenFull};
+use crate::cluster::{Configuration, Member, MemberId};
+use crate::config::settings::Deployment;
 
 /// The most members: far more than any fleet that was measured, few enough that each keeps a link to each other one.
 const MOST_MEMBERS: usize = 4096;
@@ -112,7 +112,7 @@
     pub store: Option<PathBuf>,
     /// By class; `None` where it is not protected.
     pub rules: Vec<Option<ClassRule>>,
-    pub limits: work::Limits,
+    pub limits: takeover::Limits,
     /// The largest message between two members, in bytes.
     pub frame: usize,
     /// How many messages may wait for one member.
@@ -193,7 +193,7 @@
                 worth: class.worth,
             });
         }
-        let limits = work::Limits {
+        let limits = takeover::Limits {
             works: l.works,
             bytes: l.bytes,
             record: l.record,
--- a/src/operator/mod.rs
+++ b/src/config/operator/mod.rs
@@ -1,6 +1,6 @@
 //! The operator's own file (`deploy/marlgap.json5`): one JSON5 document for every subsystem, read and checked whole
 //! before anything is opened. What is wrong is said in one line with its path and place.
-mod fleet;
+mod cluster;
 mod locate;
 
 use std::collections::BTreeMap;
@@ -11,11 +11,11 @@
 
 use serde::Deserialize;
 
-pub use self::fleet::OperatorFleet;
+pub use self::cluster::OperatorFleet;
 pub use self::locate::{locate, shown, Seg};
-use crate::pool;
-use crate::routes::{self, Routes};
-use crate::settings::{self, Deployment};
+use crate::config::settings::{self, Deployment};
+use crate::connection_pool;
+use crate::grpc_routing::{self, Routes};
 
 /// What is wrong with the file, and where: lines and columns count from 1.
 #[derive(Debug, Clone, PartialEq, Eq)]
@@ -50,7 +50,7 @@
     settings: serde_json::Value,
     query_api: Option<QueryApiFile>,
     grpc: Option<GrpcFile>,
-    fleet: Option<fleet::FleetFile>,
+    fleet: Option<cluster::FleetFile>,
 }
 
 #[derive(Deserialize)]
@@ -69,11 +69,11 @@
     listen: SocketAddr,
     records: PathBuf,
     service: String,
-    routes: Vec<routes::Row>,
+    routes: Vec<grpc_routing::Row>,
     #[serde(default)]
     front: FrontLimits,
     #[serde(default)]
-    pool: pool::Limits,
+    pool: connection_pool::Limits,
 }
 
 /// Bounds of the gRPC front. Sizes are bytes, times seconds, rates a second for each connection.
@@ -154,9 +154,9 @@
     pub source: Source,
     pub routes: Routes,
     /// The rows that those were compiled from.
-    pub rows: Vec<routes::Row>,
+    pub rows: Vec<grpc_routing::Row>,
     pub front: FrontLimits,
-    pub pool: pool::Limits,
+    pub pool: connection_pool::Limits,
     /// The settings with a class more for each effect that a route gives one of them.
     pub told: Rc<Deployment>,
 }
@@ -205,7 +205,7 @@
             at(&segments, words)
         })?;
         let settings_at = |what: String| at(&[Seg::Key("settings".into())], what);
-        crate::state::check(&told.settings).map_err(|e| settings_at(e.to_string()))?;
+        crate::balancer::state::check(&told.settings).map_err(|e| settings_at(e.to_string()))?;
         let shards = told.shards.filter(|n| *n > 0);
         let shards = shards.ok_or_else(|| settings_at("FamilyInfo.Shards is missing or 0".into()))?;
         let folder = path.parent().unwrap_or(Path::new(""));
--- a/src/config.rs
+++ b/src/config/platform.rs
@@ -5,17 +5,21 @@
 use std::path::Path;
 use std::time::{Duration, Instant};
 
+use crate::balancer::interface::SettingsError;
+use crate::config::operator::{Operator, OperatorError};
+use crate::config::settings::{self, Deployment, Unreadable};
+use crate::net::discovery::List;
+use crate::net::{socket, StartError};
 use async_io::Timer;
-use marlgap::interface::SettingsError;
-use marlgap::net::discovery::List;
-use marlgap::net::{socket, StartError};
-use marlgap::operator::{Operator, OperatorError};
-use marlgap::settings::{self, Deployment, Unreadable};
 use serde::Deserialize;
 use serde_json::value::RawValue;
 
+/// Descriptors kept for the listeners, discovery, the log, files and the like.
+pub const RESERVED: usize = 32;
+/// The fewest for connections to clients and to what is behind.
+pub const LEAST_SHARED: usize = 16;
 /// Those that are kept for ourselves, and as many for clients and data nodes as work at all.
-const LEAST_SOCKETS: usize = crate::RESERVED + crate::LEAST_SHARED;
+const LEAST_SOCKETS: usize = RESERVED + LEAST_SHARED;
 
 /// Between two tries to read a file, and for how long a new configuration is tried.
 const RETRY: Duration = Duration::from_millis(20);
@@ -117,7 +121,7 @@
     let mut config = Config { platform: None, operator: None, seed: 0, sockets: 1024 };
     if let Some(path) = operator {
         // With all that it names: bad records at the start end it there; later on they only change nothing.
-        marlgap::cli::check(path).map_err(ConfigError::Operator)?;
+        crate::cli::check(path).map_err(ConfigError::Operator)?;
         config.operator = Some(Operator::read(path).map_err(ConfigError::Operator)?);
     }
     let var = |name: &'static str| std::env::var(name).ok();
--- a/src/settings.rs
+++ b/src/config/settings.rs
@@ -6,7 +6,7 @@
 
 use serde_json::Value;
 
-use crate::interface::*;
+use crate::balancer::interface::*;
 use read::*;
 
 /// Settings that cannot be read, and where.
--- a/src/pool/mod.rs
+++ b/src/connection_pool/mod.rs
@@ -11,7 +11,7 @@
 
 use serde::Deserialize;
 
-use crate::interface::{Phase, ReplicaId};
+use crate::balancer::interface::{Phase, ReplicaId};
 
 /// Bounds of the connections to one server. Times are seconds.
 #[derive(Clone, Debug, Deserialize)]
--- a/src/core/attempt.rs
+++ b/src/coordinator/attempt.rs
@@ -9,7 +9,7 @@
 use futures_lite::FutureExt;
 
 use super::{after, Core, Gate, Part, Repeats, State, Step, Value};
-use crate::interface::*;
+use crate::balancer::interface::*;
 
 /// One attempt of one part.
 pub struct Call<T: Transport> {
--- a/src/core/gate.rs
+++ b/src/coordinator/gate.rs
@@ -6,7 +6,7 @@
 use std::rc::Rc;
 
 use super::Value;
-use crate::interface::ShardId;
+use crate::balancer::interface::ShardId;
 
 /// Resolves once a gate has decided.
 pub type Granting = Pin<Box<dyn Future<Output = bool>>>;
--- a/src/core/mod.rs
+++ b/src/coordinator/mod.rs
@@ -5,7 +5,7 @@
 mod clock;
 mod gate;
 mod query;
-mod repeats;
+mod retry_window;
 
 use std::cell::{Cell, RefCell};
 use std::cmp::Reverse;
@@ -19,13 +19,13 @@
 use async_io::Timer;
 use futures_lite::FutureExt;
 
-use crate::interface::*;
+use crate::balancer::interface::*;
 use crate::Balancer;
 pub use attempt::{Call, Ended, Stop, Transport};
 pub use clock::{after, Clock};
 pub use gate::{Earlier, Gate, Granting, Protection};
 pub use query::{Final, Query, Step, Taken, Value};
-use repeats::Repeats;
+use retry_window::Repeats;
 
 struct Part {
     query: QueryId,
--- a/src/core/query.rs
+++ b/src/coordinator/query.rs
@@ -7,7 +7,7 @@
 use futures_lite::FutureExt;
 
 use super::{Core, Open, Protection, State, Transport};
-use crate::interface::*;
+use crate::balancer::interface::*;
 
 /// A query as a front hands it in; `carried` is what the transport needs of it.
 pub struct Query<C> {
--- a/src/core/repeats.rs
+++ b/src/coordinator/retry_window.rs
@@ -3,7 +3,7 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-use crate::interface::Outcome;
+use crate::balancer::interface::Outcome;
 
 /// What the look before a write stays under a window, as the module does: for the write itself.
 const MARGIN: Duration = Duration::from_millis(10);
--- a/src/routes/mod.rs
+++ b/src/grpc_routing/mod.rs
@@ -10,7 +10,7 @@
 
 pub use self::shard::{field, first_message, stable_hash, Field, Malformed};
 pub use self::table::{Routes, RowError};
-use crate::interface::{ClassId, ShardId};
+use crate::balancer::interface::{ClassId, ShardId};
 
 /// What kind of call a method is, by which sides stream.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize)]
--- a/src/routes/table.rs
+++ b/src/grpc_routing/table.rs
@@ -3,8 +3,8 @@
 use std::sync::Arc;
 
 use super::{EffectName, Kind, Merge, Route, Row, ShardFrom};
-use crate::interface::{Class, ClassId, Effect};
-use crate::settings::Deployment;
+use crate::balancer::interface::{Class, ClassId, Effect};
+use crate::config::settings::Deployment;
 
 /// What is wrong with a row.
 #[derive(Clone, Debug, PartialEq, Eq)]
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,24 +1,21 @@
 //! Decisions of a co-ordinator of queries over replicated shards.
 //!
-//! [`Balancer`] decides; [`interface`] holds the plain types that go in and come out.
-pub mod balance;
+//! [`Balancer`] decides; [`balancer::interface`] holds the plain types that go in and come out.
+pub mod balancer;
 pub mod cli;
-pub mod core;
-pub mod fleet;
-pub mod foresight;
-pub mod interface;
-pub mod layout;
+pub mod cluster;
+pub mod config;
+pub mod connection_pool;
+pub mod coordinator;
+pub mod grpc_routing;
 pub mod net;
-pub mod operator;
-pub mod permits;
-pub mod pool;
-pub mod routes;
-pub mod settings;
-mod state;
-pub mod subset;
+pub mod send_policy;
+pub mod shard_layout;
+pub mod subsetting;
+pub mod topology_forecast;
 pub mod wire;
 
-pub use balance::Balancer;
+pub use balancer::Balancer;
 
 /// The README's example, compiled and run under test.
 #[doc = include_str!("../README.md")]
--- a/src/main.rs
+++ b/src/main.rs
@@ -1,5 +1,4 @@
 //! One co-ordinator: configuration, signals and wiring.
-mod config;
 mod signals;
 
 use std::net::{SocketAddr, TcpListener};
@@ -15,26 +14,22 @@
 use futures_lite::FutureExt;
 use slog::{info, warn, Logger};
 
-use config::{Config, ConfigError};
+use marlgap::balancer::interface::Settings;
 use marlgap::cli::{self, Cli, Command};
-use marlgap::core::{Core, Transport};
-use marlgap::interface::Settings;
-use marlgap::net::clients::{Acceptor, Closing, STILL_COMING};
+use marlgap::config::operator::{Operator, OperatorError};
+use marlgap::config::platform::{self, Config, ConfigError, LEAST_SHARED, RESERVED};
+use marlgap::coordinator::{Core, Transport};
+use marlgap::net::cluster::Fleet;
+use marlgap::net::data_nodes::Nodes;
 use marlgap::net::descriptors::Descriptors;
 use marlgap::net::discovery::Discovery;
-use marlgap::net::fleet::Fleet;
-use marlgap::net::front::Front;
-use marlgap::net::nodes::Nodes;
-use marlgap::net::{audit, by, grpc, opensearch, socket};
-use marlgap::operator::{Operator, OperatorError};
+use marlgap::net::http_server::{Acceptor, Closing, STILL_COMING};
+use marlgap::net::platform_api::Front;
+use marlgap::net::{by, grpc, invariants, opensearch, socket};
 use signals::{Request, SignalHandlers};
 
 /// Time between lines of counts.
 const COUNTS_EVERY: Duration = Duration::from_secs(10);
-/// Descriptors kept for the listeners, discovery, the log, files and the like.
-const RESERVED: usize = 32;
-/// The fewest for connections to clients and to what is behind.
-const LEAST_SHARED: usize = 16;
 
 fn main() -> ExitCode {
     let cli = Cli::parse();
@@ -62,9 +57,9 @@
 fn run(operator: Option<&Path>, cli: &Cli) -> Result<(), ConfigError> {
     // First of all: a SIGHUP that comes while the program starts must not end it.
     let signals = SignalHandlers::register().map_err(ConfigError::Signals)?;
-    let config = config::read(operator)?;
+    let config = platform::read(operator)?;
     let log = cli::log::open(cli.log_format, cli.log_level);
-    audit::log_to(log.clone());
+    invariants::log_to(log.clone());
     let executor = Rc::new(LocalExecutor::new());
     let path = operator.map(Path::to_owned);
     async_io::block_on(executor.run(serve(config, path, signals, executor.clone(), log)))
@@ -225,7 +220,7 @@
 /// Take over what the files say now.
 async fn reread(file: Option<&Path>, routed: Option<&grpc::Front>, moved: &Sender<SocketAddr>, log: &Logger) {
     if file.is_none() || std::env::var_os("RELAY_CONFIG").is_some() {
-        match config::discovery().await {
+        match platform::discovery().await {
             Ok(address) => {
                 info!(log, "configuration reread"; "discovery" => %address);
                 let _ = moved.force_send(address);
@@ -257,7 +252,7 @@
     loop {
         Timer::at(Instant::now() + COUNTS_EVERY).await;
         info!(log, "counts"; "front" => front, "so far" => ?core.counts(), "open" => core.open(), "replicas" => core.known(),
-            "permits" => ?audit::counts());
+            "permits" => ?invariants::counts());
     }
 }
 
--- a/src/net/fleet/clock.rs
+++ b/src/net/cluster/clock.rs
@@ -1,7 +1,7 @@
 //! The machine's clocks, as the decisions of the fleet count time.
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
-use crate::fleet::Micros;
+use crate::cluster::Micros;
 
 /// Reads the machine's clocks; the started_unix_us clock only once, at the start.
 pub struct Clock {
--- a/src/net/fleet/driver.rs
+++ b/src/net/cluster/driver.rs
@@ -14,15 +14,15 @@
 use slog::{debug, info, warn, Logger};
 
 use super::clock::Clock;
+use super::execution::{Execute, Hold, Machine, Run};
 use super::frames::{Frame, FrameError, Hello, VERSION};
-use super::hold::{Execute, Hold, Machine, Run};
 use super::outbox::Outbox;
-use crate::core::Stop;
-use crate::fleet::found_first::{self, Founding};
-use crate::fleet::work::{Act, Ask, Counts, Key, May, Reply, Token, Works};
-use crate::fleet::{Configuration, Member, MemberId, Micros};
+use crate::cluster::bootstrap::first_configuration::{self, Founding};
+use crate::cluster::takeover::{Act, Ask, Counts, Key, May, Reply, Token, Works};
+use crate::cluster::{Configuration, Member, MemberId, Micros};
+use crate::config::operator::OperatorFleet;
+use crate::coordinator::Stop;
 use crate::net::Ration;
-use crate::operator::OperatorFleet;
 
 /// The connection that a member's frames are read from: the newest one alone.
 type Reader = (u64, Sender<Infallible>);
@@ -330,10 +330,10 @@
         self.runs.borrow().get(&key).and_then(Weak::upgrade)
     }
 
-    fn act_on_founding(&self, act: found_first::Act) {
+    fn act_on_founding(&self, act: first_configuration::Act) {
         match act {
-            found_first::Act::Send { to, note } => self.send(&to, &Frame::Founding(note)),
-            found_first::Act::Formed(config) => {
+            first_configuration::Act::Send { to, note } => self.send(&to, &Frame::Founding(note)),
+            first_configuration::Act::Formed(config) => {
                 let (epoch, members) = (config.epoch(), config.members().len());
                 if !config.counts(&self.me) {
                     warn!(self.log, "this member started too late to count"; "epoch" => epoch);
@@ -342,7 +342,7 @@
                 self.works.borrow_mut().configure(self.clock.now(), config);
                 info!(self.log, "fleet configuration"; "members" => members, "epoch" => epoch);
             }
-            found_first::Act::Differs(id) => {
+            first_configuration::Act::Differs(id) => {
                 self.warn("founding members differ", &id, &"its file names others, or other zones")
             }
         }
--- a/src/net/fleet/hold.rs
+++ b/src/net/cluster/execution.rs
@@ -4,7 +4,7 @@
 
 use event_listener::Event as Wake;
 
-use crate::fleet::work::{Key, May, Record};
+use crate::cluster::takeover::{Key, May, Record};
 
 /// A front that executes the work of which this process is the owner, from its start or by takeover.
 pub trait Execute {
--- a/src/net/fleet/frames.rs
+++ b/src/net/cluster/frames.rs
@@ -3,10 +3,10 @@
 
 use prost::Message as _;
 
-use crate::fleet::config::ConfigError;
-use crate::fleet::found_first::Note;
-use crate::fleet::work::{Message, MessageError};
-use crate::fleet::{Configuration, Member, MemberId};
+use crate::cluster::bootstrap::first_configuration::Note;
+use crate::cluster::configuration::ConfigError;
+use crate::cluster::takeover::{Message, MessageError};
+use crate::cluster::{Configuration, Member, MemberId};
 
 /// The version of all that members say to each other.
 pub const VERSION: u32 = 1;
--- a/src/net/fleet/link.rs
+++ b/src/net/cluster/link.rs
@@ -10,7 +10,7 @@
 use super::driver::Driver;
 use super::frames::{self, Frame, FrameError};
 use super::outbox::Outbox;
-use crate::fleet::MemberId;
+use crate::cluster::MemberId;
 use crate::net::buffer::Buffer;
 use crate::net::by;
 use crate::net::socket::{self, Stream};
--- a/src/net/fleet/mod.rs
+++ b/src/net/cluster/mod.rs
@@ -1,11 +1,11 @@
-//! What goes between the members of a fleet, and what the fronts ask of it. The decisions are in [`crate::fleet`].
+//! What goes between the members of a fleet, and what the fronts ask of it. The decisions are in [`crate::cluster`].
 //!
 //! A member writes on the connections that it dials and reads from those that it accepts: one each way and pair.
 mod accept;
 mod clock;
 mod driver;
+pub mod execution;
 pub mod frames;
-pub mod hold;
 mod link;
 mod outbox;
 pub mod store;
@@ -20,11 +20,11 @@
 use slog::{info, Logger};
 
 use self::driver::Driver;
-pub use self::hold::{Execute, Hold};
+pub use self::execution::{Execute, Hold};
 use super::by;
-use crate::fleet::work::{Ask, Counts, Reply, Token};
-use crate::fleet::{Configuration, MemberId};
-use crate::operator::OperatorFleet;
+use crate::cluster::takeover::{Ask, Counts, Reply, Token};
+use crate::cluster::{Configuration, MemberId};
+use crate::config::operator::OperatorFleet;
 
 /// When a client of a member that ends may come again, in seconds: another one takes it at once.
 const ELSEWHERE: f64 = 0.1;
--- a/src/net/fleet/outbox.rs
+++ b/src/net/cluster/outbox.rs
@@ -5,7 +5,7 @@
 use event_listener::Event as Wake;
 
 use super::frames::Frame;
-use crate::fleet::MemberId;
+use crate::cluster::MemberId;
 
 /// Frames are put together up to this for one write.
 const TOGETHER: usize = 64 << 10;
--- a/src/net/fleet/store.rs
+++ b/src/net/cluster/store.rs
@@ -17,7 +17,7 @@
 
 use redb::{Database, ReadableDatabase, ReadableTable, ReadableTableMetadata, TableDefinition};
 
-use crate::fleet::log::{Batch, Hard, Stored};
+use crate::cluster::consensus_log::{Batch, Hard, Stored};
 
 const META: TableDefinition<'_, &str, &[u8]> = TableDefinition::new("meta");
 const ENTRIES: TableDefinition<'_, u64, &[u8]> = TableDefinition::new("entries");
--- a/src/net/nodes/connection.rs
+++ b/src/net/data_nodes/connection.rs
@@ -8,9 +8,9 @@
 use event_listener::Event as Wake;
 
 use super::Carried;
-use crate::core::{Ended, Stop};
-use crate::interface::*;
-use crate::permits::Permit;
+use crate::balancer::interface::*;
+use crate::coordinator::{Ended, Stop};
+use crate::send_policy::Permit;
 
 /// For how long behind its time a given-up part may still hold its place.
 const LATE: Duration = Duration::from_secs(1);
--- a/src/net/nodes/exchange.rs
+++ b/src/net/data_nodes/exchange.rs
@@ -8,15 +8,15 @@
 
 use super::connection::{ended, Connection, Item, Out, Probe};
 use super::Nodes;
-use crate::core::Ended;
-use crate::interface::*;
-use crate::net::audit;
+use crate::balancer::interface::*;
+use crate::config::settings;
+use crate::coordinator::Ended;
 use crate::net::buffer::Buffer;
 use crate::net::by;
-use crate::net::frames::{self, Frame};
+use crate::net::data_nodes::frames::{self, Frame};
+use crate::net::invariants;
 use crate::net::socket::{self, ConnectError, Stream};
-use crate::permits::{Denied, SendConditions, FRAME_TIME};
-use crate::settings;
+use crate::send_policy::{Denied, SendConditions, FRAME_TIME};
 
 /// Share of the time after which a data node would close an idle connection: we do it then. A request that
 /// crosses its close would end as a reset.
@@ -48,7 +48,7 @@
             None
         };
         let local_failure = || {
-            audit::local_failure();
+            invariants::local_failure();
             connection.local_failure.set(true);
         };
         let connected = async { Some(socket::connect_noting(address, latest, local_failure).await) };
@@ -159,7 +159,7 @@
             }
             let written = Instant::now();
             let permits = parts.iter().filter_map(|item| item.permit.get());
-            permits.for_each(|permit| audit::check(permit.written(written)));
+            permits.for_each(|permit| invariants::check(permit.written(written)));
             connection.under_way.borrow_mut().clear();
         }
     }
@@ -167,7 +167,7 @@
     /// Its data node does not read on: the frame would be finished with a time that is over, or for nobody. What is
     /// out on the connection may have run, and its data node may be sound.
     fn stalled(&self, replica: ReplicaId, connection: &Connection) {
-        audit::stalled();
+        invariants::stalled();
         if let Some(spared) = self.said.line() {
             let unfinished = connection.under_way.borrow().first().map(|item| item.id.clone());
             info!(self.log, "a data node does not read"; "replica" => replica.0, "unfinished" => unfinished,
@@ -217,7 +217,7 @@
                     let permit = match conditions.permit() {
                         Ok(permit) => permit,
                         Err(denied) => {
-                            audit::denied(denied);
+                            invariants::denied(denied);
                             debug!(self.log, "not sent"; "id" => &item.id, "replica" => replica.0, "why" => ?denied);
                             // Otherwise its attempt has ended, or is about to be told so.
                             if matches!(denied, Denied::ReplicaNotReady | Denied::WindowOver) {
--- a/src/net/nodes/mod.rs
+++ b/src/net/data_nodes/mod.rs
@@ -1,6 +1,7 @@
 //! The client side of the data nodes: who they are, and which connection a part goes to.
 mod connection;
 mod exchange;
+pub mod frames;
 
 use std::cell::{Cell, RefCell};
 use std::collections::{BTreeMap, BTreeSet};
@@ -15,10 +16,10 @@
 use super::by;
 use super::descriptors::Descriptors;
 use super::Ration;
-use crate::core::{Call, Ended, Step, Stop, Transport};
-use crate::interface::*;
-use crate::permits;
-use crate::settings::Deployment;
+use crate::balancer::interface::*;
+use crate::config::settings::Deployment;
+use crate::coordinator::{Call, Ended, Step, Stop, Transport};
+use crate::send_policy;
 use connection::{Connection, Item, Out};
 
 /// Connections to one data node at most.
@@ -159,7 +160,7 @@
         let (address, phase, connections) = (entry.address, entry.phase, Vec::new());
         let new = || Node { address, phase, gone: None, life: 0, born: 0, started: None, connections };
         let node = nodes.entry(id).or_insert_with(new);
-        let restarted = permits::is_another_start(entry.born, node.born);
+        let restarted = send_policy::is_another_start(entry.born, node.born);
         // Guards against waiting on connections to a process that is no more: its machine may have
         // vanished without a word, and they stay open and silent.
         if (restarted || entry.address != node.address) && !node.connections.is_empty() {
--- a/src/net/discovery/mod.rs
+++ b/src/net/discovery/mod.rs
@@ -1,7 +1,7 @@
 //! The list of data nodes, as discovery tells it: the whole list, then a watch on changes.
 mod list;
-pub mod terms;
 pub mod version;
+pub mod watch_policy;
 
 use std::cell::{Cell, RefCell};
 use std::convert::Infallible;
@@ -16,16 +16,16 @@
 use slog::{info, warn, Logger};
 
 use super::buffer::Buffer;
+use super::data_nodes::{Entry, Nodes};
 use super::http::{self, HttpError, Kind};
-use super::nodes::{Entry, Nodes};
 use super::socket::{self, ConnectError, Stream};
 use super::{by, Ration};
-use crate::core::{Clock, Core};
-use crate::interface::{self, CellId, Listed, News, Phase, ZoneId};
-use crate::permits::{self, StartNotice};
-use crate::subset::{self, Subset};
+use crate::balancer::interface::{self, CellId, Listed, News, Phase, ZoneId};
+use crate::coordinator::{Clock, Core};
+use crate::send_policy::{self, StartNotice};
+use crate::subsetting::{self, Subset};
 pub use list::{DiscoveryError, Host, List};
-use terms::{Terms, CONNECT, CONTINUES, PACE, PAUSE, SLOW, START};
+use watch_policy::{Terms, CONNECT, CONTINUES, PACE, PAUSE, SLOW, START};
 
 /// The largest list: some ten thousand data nodes with long names. Only what comes is held in memory, and not for
 /// longer than it is read; the bound guards that memory against an answer that never ends.
@@ -63,7 +63,7 @@
     ) -> Discovery {
         let (address, called, slow) = (Cell::new(address), Cell::new(Instant::now()), Cell::default());
         let (terms, zones, said) = (Terms::of(told.0), told.1, Ration::default());
-        let (last_list, subset) = (Cell::new(None), RefCell::new(Subset::new(seed, subset::MOST)));
+        let (last_list, subset) = (Cell::new(None), RefCell::new(Subset::new(seed, subsetting::MOST)));
         Discovery { address, moves, core, nodes, zones, terms, called, last_list, slow, subset, said, log }
     }
 
@@ -99,7 +99,7 @@
             let by_wall_clock = clock.born(host.born_ms)?;
             let now = clock.at(Instant::now());
             let last_list_without = self.last_list.get().map(|at| clock.at(at));
-            Some(permits::started(StartNotice { by_wall_clock, now, last_list_without }))
+            Some(send_policy::started(StartNotice { by_wall_clock, now, last_list_without }))
         });
         let zone = self.zones.iter().position(|z| *z == host.site).map_or(u8::MAX, |n| n as u8);
         let (cell, weight) = (CellId(host.block), host.share);
--- a/src/net/discovery/version.rs
+++ b/src/net/discovery/version.rs
@@ -2,7 +2,7 @@
 use std::net::SocketAddr;
 
 use super::list::{DiscoveryError, List};
-use crate::interface::News;
+use crate::balancer::interface::News;
 
 /// A call for the whole list; with a version, for what changed since, held for so long at most.
 pub fn call(address: SocketAddr, seq: Option<u64>, hold_ms: u64) -> String {
--- a/src/net/discovery/terms.rs
+++ b/src/net/discovery/watch_policy.rs
@@ -1,7 +1,7 @@
 //! How long a watch may go without a word and when it is begun anew: figures, and what they follow from. No I/O.
 use std::time::Duration;
 
-use crate::interface;
+use crate::balancer::interface;
 
 /// Whatever discovery has to tell counts as told so long after it had it and could be reached, come what may: a watch
 /// may fall silent as soon as it is begun, and calls may fail.
--- a/src/net/source.rs
+++ b/src/net/dns_sd/watcher.rs
@@ -9,10 +9,10 @@
 use async_io::Timer;
 use slog::{info, warn, Logger};
 
-use super::records::{self, RecordsError, Server};
-use crate::core::{Clock, Core, Transport};
-use crate::interface::*;
-use crate::operator::Source;
+use super::zone_file::{self, RecordsError, Server};
+use crate::balancer::interface::*;
+use crate::config::operator::Source;
+use crate::coordinator::{Clock, Core, Transport};
 
 /// Time between looks at the records: well under the time that a drain may take to be kept.
 const LOOK: Duration = Duration::from_millis(100);
@@ -37,7 +37,7 @@
 /// The servers of a source as it is now.
 pub fn read(source: &Source) -> Result<Vec<Server>, SourceError> {
     let text = std::fs::read(&source.records).map_err(|e| SourceError::Read(source.records.clone(), e))?;
-    records::parse(&text, &source.service).map_err(SourceError::Records)
+    zone_file::parse(&text, &source.service).map_err(SourceError::Records)
 }
 
 /// A server that was listed, and how many lives of it are known.
@@ -154,7 +154,7 @@
         if text == self.seen {
             return Ok(());
         }
-        let servers = records::parse(&text, &self.source.service).map_err(SourceError::Records)?;
+        let servers = zone_file::parse(&text, &self.source.service).map_err(SourceError::Records)?;
         let entries = self.servers.list(&servers, &self.zones, &self.core.clock());
         info!(self.log, "list of servers"; "front" => self.front, "entries" => entries.len());
         self.core.members(News::Full, entries);
--- a/src/net/records.rs
+++ b/src/net/dns_sd/zone_file.rs
@@ -9,7 +9,7 @@
 use domain::rdata::ZoneRecordData;
 use domain::zonefile::inplace::{Entry, Zonefile};
 
-use crate::interface::Phase;
+use crate::balancer::interface::Phase;
 
 /// A master file larger than this is taken for a mistake.
 pub const MOST_BYTES: usize = 1 << 20;
--- a/src/net/grpc/attempt.rs
+++ b/src/net/grpc/attempt.rs
@@ -18,11 +18,11 @@
 use super::servers::{Place, Servers};
 use super::status::{self, Code, Status};
 use super::wire::{self, Framer};
-use crate::core::{Call, Ended, Stop};
-use crate::interface::Outcome;
-use crate::net::audit;
-use crate::permits::SendConditions;
-use crate::pool::Why;
+use crate::balancer::interface::Outcome;
+use crate::connection_pool::Why;
+use crate::coordinator::{Call, Ended, Stop};
+use crate::net::invariants;
+use crate::send_policy::SendConditions;
 
 /// How an attempt ended that brought no answer.
 struct Broken {
@@ -84,7 +84,7 @@
             window_over: stop.too_late(now),
         };
         let (Some((address, _)), Ok(permit)) =
-            (ready, conditions.permit().inspect_err(|denied| audit::denied(*denied)))
+            (ready, conditions.permit().inspect_err(|denied| invariants::denied(*denied)))
         else {
             return Err(Broken::new(Code::Unavailable, "not sent", Outcome::NotSent));
         };
--- a/src/net/grpc/caller.rs
+++ b/src/net/grpc/caller.rs
@@ -156,8 +156,8 @@
     /// leave in time.
     pub(super) async fn merged(
         &mut self,
-        shards: &[crate::interface::ShardId],
-        values: &[(crate::interface::ShardId, crate::core::Value)],
+        shards: &[crate::balancer::interface::ShardId],
+        values: &[(crate::balancer::interface::ShardId, crate::coordinator::Value)],
         whole: bool,
         deadline: Instant,
     ) -> Option<HeaderMap> {
--- a/src/net/grpc/exchange.rs
+++ b/src/net/grpc/exchange.rs
@@ -10,8 +10,8 @@
 
 use super::replay::Replay;
 use super::status::Status;
-use crate::interface::Effect;
-use crate::routes::Route;
+use crate::balancer::interface::Effect;
+use crate::grpc_routing::Route;
 
 /// What comes back for the client.
 #[derive(Default)]
--- a/src/net/grpc/front.rs
+++ b/src/net/grpc/front.rs
@@ -33,13 +33,13 @@
 use super::servers::Servers;
 use super::status::{self, Code, Status};
 use super::wire::{self, Framer};
-use crate::core::{Core, Final, Query};
-use crate::interface::TenantId;
-use crate::net::clients::{Client, Closing};
+use crate::balancer::interface::TenantId;
+use crate::config::operator::FrontLimits;
+use crate::config::settings::Deployment;
+use crate::coordinator::{Core, Final, Query};
+use crate::grpc_routing::{self, Route, Routes};
+use crate::net::http_server::{Client, Closing};
 use crate::net::{by, Ration};
-use crate::operator::FrontLimits;
-use crate::routes::{self, Route, Routes};
-use crate::settings::Deployment;
 
 /// How long the end of a connection, or of a call, may take to leave.
 const LEAVE: Duration = Duration::from_secs(1);
--- a/src/net/grpc/front/checks.rs
+++ b/src/net/grpc/front/checks.rs
@@ -7,17 +7,17 @@
         route: &Route,
         headers: &HeaderMap,
         first: &[u8],
-    ) -> Result<Vec<crate::interface::ShardId>, Status> {
-        let refuse = |e: routes::NoShard| match e {
-            routes::NoShard::TooLarge => Status::new(Code::ResourceExhausted, e.to_string()),
-            routes::NoShard::Packed(_) => Status::new(Code::Unimplemented, e.to_string()),
+    ) -> Result<Vec<crate::balancer::interface::ShardId>, Status> {
+        let refuse = |e: grpc_routing::NoShard| match e {
+            grpc_routing::NoShard::TooLarge => Status::new(Code::ResourceExhausted, e.to_string()),
+            grpc_routing::NoShard::Packed(_) => Status::new(Code::Unimplemented, e.to_string()),
             e => Status::new(Code::InvalidArgument, e.to_string()),
         };
         let encoding = headers.get(wire::GRPC_ENCODING).and_then(|v| v.to_str().ok());
         let inner = match wire::message(first).filter(|_| route.looks_inside()) {
             None => None,
             Some((packed, message)) => {
-                let unpacked = routes::first_message(message, packed, encoding, self.limits.unpacked);
+                let unpacked = grpc_routing::first_message(message, packed, encoding, self.limits.unpacked);
                 Some(unpacked.map_err(refuse)?)
             }
         };
--- a/src/net/grpc/guard.rs
+++ b/src/net/grpc/guard.rs
@@ -2,7 +2,7 @@
 //! PING, SETTINGS, RST_STREAM, CONTINUATION and empty DATA. No I/O; the time is handed in.
 use std::time::{Duration, Instant};
 
-use crate::operator::FrontLimits;
+use crate::config::operator::FrontLimits;
 
 /// The client's preface (RFC 9113 3.4) comes before the first frame.
 const PREFACE: usize = 24;
--- a/src/net/grpc/health.rs
+++ b/src/net/grpc/health.rs
@@ -5,7 +5,7 @@
 
 use super::status::{Code, Status};
 use super::wire;
-use crate::routes::Routes;
+use crate::grpc_routing::Routes;
 
 pub const SERVICE: &str = "/grpc.health.v1.Health/";
 
--- a/src/net/grpc/mod.rs
+++ b/src/net/grpc/mod.rs
@@ -24,11 +24,11 @@
 use self::front::Table;
 use self::replay::Budget;
 use self::servers::Servers;
-use super::clients::Closing;
-use super::source::Watch;
+use super::dns_sd::watcher::Watch;
+use super::http_server::Closing;
 use super::StartError;
-use crate::core::Core;
-use crate::operator::Grpc;
+use crate::config::operator::Grpc;
+use crate::coordinator::Core;
 
 /// A core of its own for this front, on the same code and rules, and the front itself.
 pub fn start(
@@ -60,13 +60,13 @@
 impl Front {
     /// Take over the routes of a file that was read again, whole; calls under way keep theirs. What else the file
     /// says holds from the next start on.
-    pub fn reread(&self, rows: &[crate::routes::Row]) -> Result<(), crate::routes::RowError> {
+    pub fn reread(&self, rows: &[crate::grpc_routing::Row]) -> Result<(), crate::grpc_routing::RowError> {
         let old = self.table.load_full();
         let mut told = old.told.clone();
         let known = told.settings.classes.len();
         let shards = told.shards.unwrap_or(1);
-        let routes = crate::routes::Routes::compile(rows, &mut told, shards, self.limits.message)?;
-        let unfit = |e: crate::interface::SettingsError| crate::routes::RowError {
+        let routes = crate::grpc_routing::Routes::compile(rows, &mut told, shards, self.limits.message)?;
+        let unfit = |e: crate::balancer::interface::SettingsError| crate::grpc_routing::RowError {
             row: 0,
             key: None,
             what: e.to_string(),
--- a/src/net/grpc/servers.rs
+++ b/src/net/grpc/servers.rs
@@ -19,15 +19,15 @@
 use tokio_util::compat::FuturesAsyncReadCompatExt;
 
 use super::exchange::Exchange;
-use crate::core::{Call, Clock, Ended, Stop, Transport};
-use crate::interface::*;
-use crate::net::records::Server;
+use crate::balancer::interface::*;
+use crate::config::operator::FrontLimits;
+use crate::config::settings::Sockets;
+use crate::connection_pool::{Assign, ConnectionId, Do, Limits, Pool, Why};
+use crate::coordinator::{Call, Clock, Ended, Stop, Transport};
+use crate::net::dns_sd::watcher::{Book, Change, Follows};
+use crate::net::dns_sd::zone_file::Server;
 use crate::net::socket::{self, Stream};
-use crate::net::source::{Book, Change, Follows};
 use crate::net::{by, Ration};
-use crate::operator::FrontLimits;
-use crate::pool::{Assign, ConnectionId, Do, Limits, Pool, Why};
-use crate::settings::Sockets;
 
 /// Time between looks at what is due for connections: a fifth of the least limit that goes by it.
 const LOOK: Duration = Duration::from_millis(20);
--- a/src/net/grpc/status.rs
+++ b/src/net/grpc/status.rs
@@ -2,8 +2,8 @@
 //! outcome says to the client. No I/O. `docs/grpc.md` shows the same table.
 use h2::Reason;
 
-use crate::core::Final;
-use crate::interface::{Effect, Outcome};
+use crate::balancer::interface::{Effect, Outcome};
+use crate::coordinator::Final;
 
 macro_rules! codes {
     ($($name:ident = $number:literal, $text:literal;)*) => {
--- a/src/net/clients/closing.rs
+++ b/src/net/http_server/closing.rs
@@ -5,7 +5,7 @@
 use async_io::Timer;
 use event_listener::Event as Wake;
 
-use crate::permits::HELD_UP;
+use crate::send_policy::HELD_UP;
 
 /// The protocol's figures for a planned restart. What comes in later than `LATE` after SIGTERM is lost if SIGKILL
 /// finds it unanswered; SIGKILL comes no sooner than that much behind the longest deadline, which counts as
--- a/src/net/clients/mod.rs
+++ b/src/net/http_server/mod.rs
@@ -11,12 +11,12 @@
 
 use self::acceptor::{Doing, Seat};
 use self::input::Input;
-use super::audit;
 use super::buffer::Buffer;
 use super::by;
 use super::http::{self, Answer, HttpError, Kind, Message, Reader};
+use super::invariants;
 use super::socket::Stream;
-use crate::permits::{self, Answered};
+use crate::send_policy::{self, Answered};
 pub use acceptor::Acceptor;
 pub use closing::{Closing, STILL_COMING};
 
@@ -220,7 +220,7 @@
     /// still comes is dropped, in bounds, and never served: its client has been told by then.
     async fn leave(&mut self, owed: bool) {
         if owed && self.input.begins_another() {
-            audit::check(permits::end_of_connection(self.input.buffer.unread().len()));
+            invariants::check(send_policy::end_of_connection(self.input.buffer.unread().len()));
         }
         let Client { stream, input: Input { buffer, .. }, seat, .. } = self;
         seat.set(Doing::Leaving);
--- a/src/net/audit.rs
+++ b/src/net/invariants.rs
@@ -5,7 +5,7 @@
 
 use slog::{error, Logger};
 
-use crate::permits::{Denied, Violation};
+use crate::send_policy::{Denied, Violation};
 
 /// The process's counts so far.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
--- a/src/net/mod.rs
+++ b/src/net/mod.rs
@@ -1,19 +1,17 @@
 //! Everything that touches a socket.
-pub mod audit;
 pub mod buffer;
-pub mod clients;
+pub mod cluster;
+pub mod data_nodes;
 pub mod descriptors;
 pub mod discovery;
-pub mod fleet;
-pub mod frames;
-pub mod front;
+pub mod dns_sd;
 pub mod grpc;
 pub mod http;
-pub mod nodes;
+pub mod http_server;
+pub mod invariants;
 pub mod opensearch;
-pub mod records;
+pub mod platform_api;
 pub mod socket;
-pub mod source;
 
 use std::cell::Cell;
 use std::future::Future;
@@ -22,13 +20,13 @@
 use async_io::Timer;
 use futures_lite::FutureExt;
 
-use crate::interface::SettingsError;
+use crate::balancer::interface::SettingsError;
 
 /// Why a front could not be started.
 #[derive(Debug)]
 pub enum StartError {
     Settings(SettingsError),
-    Source(source::SourceError),
+    Source(dns_sd::watcher::SourceError),
 }
 
 impl std::fmt::Display for StartError {
--- a/src/net/opensearch/merge.rs
+++ b/src/net/opensearch/merge.rs
@@ -7,7 +7,7 @@
 use serde_json::{json, Value};
 
 use super::query::Search;
-use crate::interface::ShardId;
+use crate::balancer::interface::ShardId;
 
 #[derive(Deserialize)]
 pub struct Reply<'a> {
--- a/src/net/opensearch/mod.rs
+++ b/src/net/opensearch/mod.rs
@@ -1,9 +1,9 @@
 //! The query API: a second front and its client side, on the same core. It listens where the operator's file says.
-pub mod front;
 pub mod merge;
 pub mod outcome;
 mod protected;
 pub mod query;
+pub mod query_api;
 mod search;
 pub mod servers;
 
@@ -12,13 +12,13 @@
 use async_executor::LocalExecutor;
 use slog::Logger;
 
-use self::front::Front;
+use self::query_api::Front;
 use self::servers::Servers;
-use super::clients::Closing;
-use super::source::Watch;
+use super::dns_sd::watcher::Watch;
+use super::http_server::Closing;
 use super::StartError;
-use crate::core::Core;
-use crate::operator::QueryApi;
+use crate::config::operator::QueryApi;
+use crate::coordinator::Core;
 
 /// A core of its own for this front, on the same code and rules, and the front itself.
 pub fn start(
--- a/src/net/opensearch/protected.rs
+++ b/src/net/opensearch/protected.rs
@@ -12,12 +12,12 @@
 use super::outcome::{self, Text};
 use super::search::{error, Front, Joined, Ready};
 use super::servers::Notes;
-use crate::core::{Earlier, Gate, Granting, Protection, Value};
-use crate::fleet::work::{Ask, Key, Part, Record, Reply};
-use crate::interface::ShardId;
+use crate::balancer::interface::ShardId;
+use crate::cluster::takeover::{Ask, Key, Part, Record, Reply};
+use crate::coordinator::{Earlier, Gate, Granting, Protection, Value};
 use crate::net::buffer::Buffer;
 use crate::net::by;
-use crate::net::fleet::{Execute, Fleet, Hold};
+use crate::net::cluster::{Execute, Fleet, Hold};
 use crate::net::http::{Answer, Message};
 
 /// The longest id that a search can be asked for under, in bytes.
--- a/src/net/opensearch/front.rs
+++ b/src/net/opensearch/query_api.rs
@@ -8,8 +8,8 @@
 pub use super::search::Front;
 use super::search::{error, path, segments, Ready};
 use crate::net::buffer::Buffer;
-use crate::net::clients::Client;
 use crate::net::http::{Answer, HttpError, Message};
+use crate::net::http_server::Client;
 
 impl Front {
     /// The life of a client's connection and of each search on it, from its bytes to its one answer.
--- a/src/net/opensearch/search.rs
+++ b/src/net/opensearch/search.rs
@@ -11,13 +11,13 @@
 use super::merge::{self, Failure, MissingShards};
 use super::query::{self, BadQuery, Search};
 use super::servers::{Carried, Notes, Servers};
-use crate::core::{Core, Final, Query};
-use crate::interface::*;
-use crate::net::clients::Closing;
-use crate::net::fleet::Fleet;
+use crate::balancer::interface::*;
+use crate::config::settings::Deployment;
+use crate::coordinator::{Core, Final, Query};
+use crate::net::cluster::Fleet;
 use crate::net::http::Answer;
+use crate::net::http_server::Closing;
 use crate::net::Ration;
-use crate::settings::Deployment;
 
 /// An answer that comes this close before the end of its time was cut off by it.
 const END: Duration = Duration::from_millis(60);
--- a/src/net/opensearch/servers.rs
+++ b/src/net/opensearch/servers.rs
@@ -11,17 +11,17 @@
 
 use super::merge::{self, Failure};
 use super::query::Search;
-use crate::core::{Call, Clock, Ended, Step, Stop, Transport};
-use crate::interface::*;
-use crate::net::audit;
+use crate::balancer::interface::*;
+use crate::config::settings::Sockets;
+use crate::coordinator::{Call, Clock, Ended, Step, Stop, Transport};
 use crate::net::buffer::Buffer;
 use crate::net::by;
+use crate::net::dns_sd::watcher::{Book, Change, Follows};
+use crate::net::dns_sd::zone_file::Server;
 use crate::net::http::{self, HttpError, Kind, Message};
-use crate::net::records::Server;
+use crate::net::invariants;
 use crate::net::socket::{self, ConnectError, Stream};
-use crate::net::source::{Book, Change, Follows};
-use crate::permits::{Permit, SendConditions};
-use crate::settings::Sockets;
+use crate::send_policy::{Permit, SendConditions};
 
 const PROBE_WAIT: Duration = Duration::from_millis(250);
 /// Idle connections are closed this much before a server would.
@@ -131,7 +131,7 @@
             replica_ready: self.ready(call.replica) == Some((address, life)),
             window_over: stop.too_late(now),
         };
-        let Ok(permit) = conditions.permit().inspect_err(|denied| audit::denied(*denied)) else {
+        let Ok(permit) = conditions.permit().inspect_err(|denied| invariants::denied(*denied)) else {
             return Outcome::NotSent.into();
         };
         let request = request(call, address, permit);
--- a/src/net/front.rs
+++ b/src/net/platform_api.rs
@@ -11,13 +11,13 @@
 use slog::{info, warn, Logger};
 
 use super::buffer::Buffer;
-use super::clients::{Client, Closing};
+use super::data_nodes::{Carried, Nodes};
 use super::http::{Answer, HttpError, Message};
-use super::nodes::{Carried, Nodes};
+use super::http_server::{Client, Closing};
 use super::Ration;
-use crate::core::{Core, Final, Query};
-use crate::interface::*;
-use crate::settings::Deployment;
+use crate::balancer::interface::*;
+use crate::config::settings::Deployment;
+use crate::coordinator::{Core, Final, Query};
 
 /// The longest wait that a client may ask for; longer ones are cut to it.
 const LONGEST: Duration = Duration::from_secs(3600);
--- a/src/permits/mod.rs
+++ b/src/send_policy/mod.rs
@@ -1,7 +1,7 @@
 //! What may be sent, repeated, closed or taken for warm now. Each rule has one place here, without I/O or a clock; what
 //! carries it out asks here last of all, just before the byte, and is checked here once it is done.
 //!
-//! What is denied, and what was broken, [`crate::net::audit`] counts.
+//! What is denied, and what was broken, [`crate::net::invariants`] counts.
 mod close;
 mod send;
 mod start;
--- a/src/layout/change.rs
+++ b/src/shard_layout/change.rs
@@ -3,8 +3,8 @@
 use std::sync::Arc;
 
 use super::{District, TileId, Weight};
-use crate::fleet::FleetTime;
-use crate::interface::ReplicaId;
+use crate::balancer::interface::ReplicaId;
+use crate::cluster::FleetTime;
 
 /// What becomes of a tile's history where its servers change.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
--- a/src/layout/closed.rs
+++ b/src/shard_layout/closed_timestamp.rs
@@ -18,7 +18,7 @@
 use super::change::{Change, Entry, Refused};
 use super::state::{Guard, Layouts};
 use super::Edit;
-use crate::fleet::FleetTime;
+use crate::cluster::FleetTime;
 
 /// Changes of its own that a holder has under way at most: they are planned by people, or by one plan at a time.
 const MOST_PENDING: usize = 1024;
--- a/src/layout/mod.rs
+++ b/src/shard_layout/mod.rs
@@ -6,11 +6,11 @@
 //! - [`version`]: one layout, as a persistent map that shares all but what changed with the one before.
 //! - [`state`]: the state machine that applies the log; the same everywhere.
 //! - [`limits`]: bounds of what is kept.
-//! - [`closed`]: up to when no change can come any more, and who may say so.
+//! - [`closed_timestamp`]: up to when no change can come any more, and who may say so.
 //! - [`route`]: the parts of a query at a time. [`tally`]: its ground through changes, each piece counted once.
 //! - [`wire`]: entries, promises and snapshots as bytes.
 pub mod change;
-pub mod closed;
+pub mod closed_timestamp;
 pub mod limits;
 pub mod route;
 pub mod state;
@@ -19,7 +19,7 @@
 pub mod wire;
 
 pub use change::{Change, Edit, Entry, History, Piece, PlanError, Refused};
-pub use closed::{Closer, Known, Told};
+pub use closed_timestamp::{Closer, Known, Told};
 pub use limits::Limits;
 pub use route::{At, Part, ReadError, Routed, Source, Which};
 pub use state::{Applied, Guard, Layouts, Lease};
--- a/src/layout/route.rs
+++ b/src/shard_layout/route.rs
@@ -13,8 +13,8 @@
 use super::state::Layouts;
 use super::version::{Tile, Version};
 use super::{less, plus, zero, District, TileId, Weight};
-use crate::fleet::FleetTime;
-use crate::interface::ReplicaId;
+use crate::balancer::interface::ReplicaId;
+use crate::cluster::FleetTime;
 
 /// Sources of one part at most: a finer cut is not followed, and what is left of the part is lost.
 pub const MOST_SOURCES: usize = 1024;
--- a/src/layout/state.rs
+++ b/src/shard_layout/state.rs
@@ -14,7 +14,7 @@
 use super::change::{Change, Entry, Refused};
 use super::limits::Limits;
 use super::version::{add_up, Version};
-use crate::fleet::FleetTime;
+use crate::cluster::FleetTime;
 
 /// How far ahead of all that is closed or leased a change may be: a year and a day. One at the end of time would be the last.
 pub const AHEAD_MS: u64 = 366 * 86_400_000;
--- a/src/layout/tally.rs
+++ b/src/shard_layout/tally.rs
@@ -12,8 +12,8 @@
 use super::route::{follow, At, Chain, Ground, Part, Routed, Source};
 use super::state::Layouts;
 use super::{less, plus, zero, TileId, Weight};
-use crate::fleet::FleetTime;
-use crate::interface::ReplicaId;
+use crate::balancer::interface::ReplicaId;
+use crate::cluster::FleetTime;
 
 #[derive(Clone, Debug)]
 struct Waiting {
--- a/src/layout/version.rs
+++ b/src/shard_layout/version.rs
@@ -11,8 +11,8 @@
 use super::change::{Edit, History, PlanError};
 use super::limits::Limits;
 use super::{plus, zero, District, TileId, Weight};
-use crate::fleet::FleetTime;
-use crate::interface::ReplicaId;
+use crate::balancer::interface::ReplicaId;
+use crate::cluster::FleetTime;
 
 mod edit;
 
--- a/src/layout/version/edit.rs
+++ b/src/shard_layout/version/edit.rs
@@ -3,11 +3,11 @@
 use std::sync::Arc;
 
 use super::{add_up, Keep, Tile, Version};
-use crate::fleet::FleetTime;
-use crate::interface::ReplicaId;
-use crate::layout::change::{Edit, History, Piece, PlanError};
-use crate::layout::limits::Limits;
-use crate::layout::{less, plus, zero, District, TileId};
+use crate::balancer::interface::ReplicaId;
+use crate::cluster::FleetTime;
+use crate::shard_layout::change::{Edit, History, Piece, PlanError};
+use crate::shard_layout::limits::Limits;
+use crate::shard_layout::{less, plus, zero, District, TileId};
 
 impl Version {
     /// Make one step; `touched` are the tiles of the steps before, each of which may change once. A step that is refused may have
--- a/src/layout/wire.rs
+++ b/src/shard_layout/wire.rs
@@ -11,8 +11,8 @@
 use super::state::{replay, Layouts, Lease};
 use super::version::{self, Version};
 use super::{District, TileId, Told, Weight};
-use crate::fleet::FleetTime;
-use crate::interface::ReplicaId;
+use crate::balancer::interface::ReplicaId;
+use crate::cluster::FleetTime;
 
 /// The largest entry, in bytes: a frame between members.
 pub const MOST_ENTRY: usize = 1 << 20;
--- a/src/subset.rs
+++ b/src/subsetting.rs
@@ -13,7 +13,7 @@
 use rand_core::{RngCore, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 
-use crate::interface::{CellId, Listed, News, Phase, ReplicaId};
+use crate::balancer::interface::{CellId, Listed, News, Phase, ReplicaId};
 
 /// Ready replicas up to which all are worked with: as many as the fleets have that the days are drawn for. A coordinator
 /// of a larger one sees no more traffic.
--- a/src/foresight/demand.rs
+++ b/src/topology_forecast/demand.rs
@@ -4,8 +4,8 @@
 
 use super::report::{Class, Report, Row, SetKey, MOST_CLASSES, MOST_IN_SET, MOST_SERVERS};
 use super::sketch::{Distinct, Heavy};
-use crate::fleet::MemberId;
-use crate::interface::ReplicaId;
+use crate::balancer::interface::ReplicaId;
+use crate::cluster::MemberId;
 
 /// Bounds of one window's tables.
 #[derive(Clone, Debug, PartialEq, Eq)]
--- a/src/foresight/file.rs
+++ b/src/topology_forecast/file.rs
@@ -8,8 +8,8 @@
 use serde::Deserialize;
 
 use super::topology::{Server, Tile, Topology, MOST_HOLDERS, MOST_SERVERS, MOST_TILES};
-use crate::interface::{ReplicaId, ZoneId};
-use crate::operator::{locate, shown, Seg};
+use crate::balancer::interface::{ReplicaId, ZoneId};
+use crate::config::operator::{locate, shown, Seg};
 
 /// Longest text that is read: a hundred thousand tiles of three holders are 10 MB.
 pub const MOST_BYTES: usize = 64 << 20;
--- a/src/foresight/forecast/asked.rs
+++ b/src/topology_forecast/forecast/asked.rs
@@ -2,7 +2,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 use super::{Range, Unknown};
-use crate::foresight::{Demand, Topology};
+use crate::topology_forecast::{Demand, Topology};
 
 /// Counts of a window are taken as Poisson ones: the range has three standard errors to each side, which a stream that
 /// stays as it is leaves once in 370.
--- a/src/foresight/forecast/change.rs
+++ b/src/topology_forecast/forecast/change.rs
@@ -4,8 +4,8 @@
 use serde::Serialize;
 
 use super::{Given, Range, ServerLoad};
-use crate::foresight::Topology;
-use crate::interface::ReplicaId;
+use crate::balancer::interface::ReplicaId;
+use crate::topology_forecast::Topology;
 
 #[derive(Clone, Debug, Default, PartialEq, Serialize)]
 pub struct Change {
@@ -23,7 +23,7 @@
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct Cold {
     pub server: u64,
-    /// Its load over what it stands at its start ([`ColdRule::from`](crate::interface::ColdRule) of its capacity).
+    /// Its load over what it stands at its start ([`ColdRule::from`](crate::balancer::interface::ColdRule) of its capacity).
     pub times: Range,
     /// The told multiple over which it falls, and the seconds for which it stands that.
     pub multiple: f64,
--- a/src/foresight/forecast/fanout.rs
+++ b/src/topology_forecast/forecast/fanout.rs
@@ -5,8 +5,8 @@
 
 use super::asked::{rate, Districts};
 use super::Range;
-use crate::foresight::report::Key;
-use crate::foresight::{Demand, Topology};
+use crate::topology_forecast::report::Key;
+use crate::topology_forecast::{Demand, Topology};
 
 /// A distribution over queries.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize)]
@@ -160,7 +160,7 @@
         let clients = demand
             .clients
             .get(district)
-            .map(|d| Range::exact(d.estimate()).give(2.0 * crate::foresight::sketch::DISTINCT_ERROR));
+            .map(|d| Range::exact(d.estimate()).give(2.0 * crate::topology_forecast::sketch::DISTINCT_ERROR));
         out.push(FanOut {
             class: *class,
             district: *district,
--- a/src/foresight/forecast/fit.rs
+++ b/src/topology_forecast/forecast/fit.rs
@@ -2,7 +2,7 @@
 use super::draw::Load;
 use super::load::{Loads, ENOUGH};
 use super::{Fit, Range, MODEL, MODEL_UNSEEN};
-use crate::foresight::{Server, Topology};
+use crate::topology_forecast::{Server, Topology};
 
 impl Loads<'_> {
     /// From the attempts of all windows to those a second that the loads come to.
--- a/src/foresight/forecast/load.rs
+++ b/src/topology_forecast/forecast/load.rs
@@ -6,7 +6,7 @@
 use super::asked::{rate, ByTile, Districts};
 use super::draw::{Draws, Load, Placement};
 use super::{Given, Range, Unknown};
-use crate::foresight::{Demand, Topology};
+use crate::topology_forecast::{Demand, Topology};
 
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct ServerLoad {
@@ -104,7 +104,7 @@
 /// A part's work on a tile over that on the tiles it was cut from: from none of it going with the weight to all.
 fn cut(to: &Topology, base: &Topology) -> Vec<Range> {
     let weight = |w: num_rational::Ratio<u64>| *w.numer() as f64 / *w.denom() as f64;
-    let each = |t: &crate::foresight::Tile| {
+    let each = |t: &crate::topology_forecast::Tile| {
         let own = [t.tile];
         let from: &[u32] = if t.from.is_empty() { &own } else { &t.from };
         let old: Vec<f64> = from.iter().filter_map(|f| base.tile(*f)).map(|t| weight(t.weight)).collect();
@@ -182,11 +182,12 @@
         }
         let coordinators_in = |zone: u8| given.coordinators.values().filter(|z| z.0 == zone).count() as f64;
         let all = given.coordinators.len().max(1) as f64;
-        let capacity =
-            |(s, (even, work)): (&crate::foresight::Server, (&Range, &Range))| match told && work.mid > 0.0 {
-                true => s.capacity * even.mid / work.mid,
-                false => f64::INFINITY,
-            };
+        let capacity = |(s, (even, work)): (&crate::topology_forecast::Server, (&Range, &Range))| match told
+            && work.mid > 0.0
+        {
+            true => s.capacity * even.mid / work.mid,
+            false => f64::INFINITY,
+        };
         let placement = Placement {
             capacity: to.servers().iter().zip(even.iter().zip(&even_work)).map(capacity).collect(),
             zones: to.servers().iter().map(|s| (s.room.0, coordinators_in(s.room.0) / all)).collect(),
--- a/src/foresight/forecast/mod.rs
+++ b/src/topology_forecast/forecast/mod.rs
@@ -18,8 +18,8 @@
 pub use load::{CoordinatorLoad, Seen, ServerLoad, ZoneLoad};
 
 use super::{Coverage, Demand, Range, Topology};
-use crate::balance::stretch;
-use crate::interface::{Class, ColdRule, ReplicaId, ZoneId};
+use crate::balancer::interface::{Class, ColdRule, ReplicaId, ZoneId};
+use crate::balancer::stretch;
 
 /// Unknowns of one kind that are named one by one.
 pub const MOST_NAMED: usize = 1024;
--- a/src/foresight/mod.rs
+++ b/src/topology_forecast/mod.rs
@@ -6,21 +6,20 @@
 //! reports counts each (member, incarnation, window) once. A [`forecast`] plays the demand on the proposed
 //! [`Topology`]; [`plan`] leads it through the log to adoption, and back once if it was wrong.
 pub mod demand;
+pub mod demand_collection;
 pub mod file;
 pub mod forecast;
-pub mod gather;
 pub mod plan;
 pub mod report;
-pub mod shown;
 pub mod sketch;
 pub mod topology;
 
 use serde::Serialize;
 
 pub use demand::{Asked, Asks, Keeper, Limits, Sent};
+pub use demand_collection::{Coverage, Demand, GatherError, Gathered};
 pub use file::{parse, Plan, PlanError};
 pub use forecast::{forecast, Given, Seen};
-pub use gather::{Coverage, Demand, GatherError, Gathered};
 pub use report::{Report, ReportError};
 pub use topology::{Server, Tile, Topology, TopologyError};
 
--- a/src/foresight/plan/command.rs
+++ b/src/topology_forecast/plan/command.rs
@@ -4,8 +4,8 @@
 
 use super::verdict::{Said, Why};
 use super::Plans;
-use crate::fleet::MemberId;
-use crate::foresight::forecast::Seen;
+use crate::cluster::MemberId;
+use crate::topology_forecast::forecast::Seen;
 
 /// Where a plan is.
 #[derive(Clone, Debug, PartialEq)]
--- a/src/foresight/plan/mod.rs
+++ b/src/topology_forecast/plan/mod.rs
@@ -22,7 +22,7 @@
 pub use verdict::{Need, Rules, Said, Why};
 
 use super::forecast::Seen;
-use crate::fleet::MemberId;
+use crate::cluster::MemberId;
 
 /// Plans and reversals that are remembered: the oldest that are over are forgotten first. A plan may flap once more
 /// after so many others were reverted.
--- a/src/foresight/plan/verdict.rs
+++ b/src/topology_forecast/plan/verdict.rs
@@ -5,7 +5,7 @@
 
 use serde::Serialize;
 
-use crate::foresight::forecast::{Forecast, Seen, ServerLoad};
+use crate::topology_forecast::forecast::{Forecast, Seen, ServerLoad};
 
 /// Who must be ready before T is set.
 #[derive(Clone, Debug, PartialEq)]
--- a/src/foresight/report.rs
+++ b/src/topology_forecast/report.rs
@@ -1,4 +1,5 @@
 //! The report of one coordinator on one window.
+pub mod json;
 mod wire;
 
 use std::collections::BTreeMap;
@@ -6,7 +7,7 @@
 use std::rc::Rc;
 
 use super::sketch::{Distinct, Times};
-use crate::fleet::MemberId;
+use crate::cluster::MemberId;
 
 /// Longest report that is decoded: the default bounds of [`Keeper`](super::Keeper) come to under half of it.
 pub const MOST_BYTES: usize = 1 << 20;
--- a/src/foresight/shown.rs
+++ b/src/topology_forecast/report/json.rs
@@ -1,8 +1,8 @@
 //! A forecast as the operators read it: a JSON document, and one line for the log.
 use serde::Serialize;
 
-use super::forecast::Forecast;
-use super::plan::{Said, Why};
+use crate::topology_forecast::forecast::Forecast;
+use crate::topology_forecast::plan::{Said, Why};
 
 /// The result of a plan.
 #[derive(Serialize)]
--- a/src/foresight/report/wire.rs
+++ b/src/topology_forecast/report/wire.rs
@@ -7,8 +7,8 @@
     Class, Key, Report, ReportError, Row, SetKey, MOST_BYTES, MOST_CLASSES, MOST_IN_SET, MOST_SERVERS,
     VERSION,
 };
-use crate::fleet::MemberId;
-use crate::foresight::sketch::{Distinct, Times};
+use crate::cluster::MemberId;
+use crate::topology_forecast::sketch::{Distinct, Times};
 
 /// Most that one counter of a window may say: sums over all rows of all reports that are kept stay within 64 bits.
 const MOST_COUNT: u64 = 1 << 32;
--- a/src/foresight/topology.rs
+++ b/src/topology_forecast/topology.rs
@@ -5,7 +5,7 @@
 
 use num_rational::Ratio;
 
-use crate::interface::{ReplicaId, ZoneId};
+use crate::balancer::interface::{ReplicaId, ZoneId};
 
 /// Most tiles and servers of a topology, and holders of a tile: more is taken for a spoilt list.
 pub const MOST_TILES: usize = 1 << 20;
--- a/src/wire.rs
+++ b/src/wire.rs
@@ -3,8 +3,8 @@
 use std::fmt;
 use std::io::{Read, Write};
 
-use crate::interface::*;
-use crate::settings::{self, Deployment, ReportValue};
+use crate::balancer::interface::*;
+use crate::config::settings::{self, Deployment, ReportValue};
 use crate::Balancer;
 
 const EVENT_BYTES: usize = 48;
--- a/tests/cold_fleet/due.rs
+++ b/tests/cold_fleet/due.rs
@@ -1,5 +1,5 @@
 //! What is to happen in the simulated fleet, in order of time.
-use marlgap::interface::Event;
+use marlgap::balancer::interface::Event;
 
 /// An event to come, the soonest first.
 pub struct Due(pub f64, pub u64, pub usize, pub u32, pub What);
--- a/tests/cold_fleet/main.rs
+++ b/tests/cold_fleet/main.rs
@@ -7,7 +7,7 @@
 mod rates;
 mod world;
 
-use marlgap::interface::{ColdRule, Reports};
+use marlgap::balancer::interface::{ColdRule, Reports};
 use world::{Case, Way, World};
 
 /// The settings that the cases go by: multiple, window, least share and ramp.
--- a/tests/cold_fleet/rates.rs
+++ b/tests/cold_fleet/rates.rs
@@ -1,7 +1,7 @@
 //! The rates that data nodes report: late and noisy.
 use std::collections::VecDeque;
 
-use marlgap::interface::Report;
+use marlgap::balancer::interface::Report;
 
 /// Seconds that a report is late, and over which it counts.
 const DELAY: f64 = 0.3;
--- a/tests/cold_fleet/world.rs
+++ b/tests/cold_fleet/world.rs
@@ -2,8 +2,8 @@
 //! of all coordinators together.
 use std::collections::{BTreeMap, BTreeSet, BinaryHeap};
 
-use marlgap::interface::*;
-use marlgap::subset::Subset;
+use marlgap::balancer::interface::*;
+use marlgap::subsetting::Subset;
 use marlgap::Balancer;
 use rand_core::{RngCore, SeedableRng};
 use rand_pcg::Pcg64Mcg;
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -8,8 +8,8 @@
 use std::time::Duration;
 
 use fault_control::{Plan, PLAN_VARIABLE};
-use marlgap::core::{Protection, Query};
-use marlgap::interface::{Class, ClassId, Effect, ShardId, TenantId};
+use marlgap::balancer::interface::{Class, ClassId, Effect, ShardId, TenantId};
+use marlgap::coordinator::{Protection, Query};
 
 /// A class of a single step that needs all its parts, each safe to repeat.
 pub fn class() -> Class {
--- a/tests/configuration.rs
+++ b/tests/configuration.rs
@@ -6,8 +6,8 @@
 use std::process::Command;
 
 use common::configure;
-use marlgap::fleet::work::WhenFull;
-use marlgap::operator::Operator;
+use marlgap::cluster::takeover::WhenFull;
+use marlgap::config::operator::Operator;
 
 /// What cannot be used ends the program with one line and a status that is not zero.
 #[test]
--- a/tests/decisions/main.rs
+++ b/tests/decisions/main.rs
@@ -1,7 +1,7 @@
 //! Scripted events: the ordinary path, and one small test for each failure found.
 use std::collections::BTreeMap;
 
-use marlgap::interface::*;
+use marlgap::balancer::interface::*;
 use marlgap::Balancer;
 
 #[path = "../common/mod.rs"]
--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -2,7 +2,7 @@
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap};
 
-use marlgap::interface::*;
+use marlgap::balancer::interface::*;
 use marlgap::Balancer;
 use rand_core::{RngCore, SeedableRng};
 use rand_pcg::Pcg64Mcg;
--- a/tests/fleet_log/main.rs
+++ b/tests/fleet_log/main.rs
@@ -1,8 +1,8 @@
 //! The replicated log: voters under a virtual clock, spoilt and wild messages, rosters and proposals.
 mod sim;
 
-use marlgap::fleet::log::*;
-use marlgap::fleet::{Configuration, MemberId};
+use marlgap::cluster::consensus_log::*;
+use marlgap::cluster::{Configuration, MemberId};
 use protobuf::Message as _;
 use raft::eraftpb::{Entry, Message, MessageType};
 use rand_core::RngCore;
--- a/tests/fleet_log/sim.rs
+++ b/tests/fleet_log/sim.rs
@@ -4,8 +4,8 @@
 use std::hash::Hasher;
 use std::rc::Rc;
 
-use marlgap::fleet::log::*;
-use marlgap::fleet::{Configuration, Member, MemberId};
+use marlgap::cluster::consensus_log::*;
+use marlgap::cluster::{Configuration, Member, MemberId};
 use rand_core::{RngCore, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 
--- a/tests/fleet_parts/configuration.rs
+++ b/tests/fleet_parts/configuration.rs
@@ -1,5 +1,5 @@
 //! Configurations: groups of members, and lists that are none.
-use marlgap::fleet::{ConfigError, Configuration, Member, MemberId};
+use marlgap::cluster::{ConfigError, Configuration, Member, MemberId};
 
 fn member(n: usize, zone: &str) -> Member {
     let id = MemberId::new(&format!("m{n:03}"), 1);
--- a/tests/fleet_parts/founding.rs
+++ b/tests/fleet_parts/founding.rs
@@ -2,9 +2,9 @@
 use std::collections::BTreeMap;
 use std::rc::Rc;
 
-use marlgap::fleet::found::{FoundAct, Founding, Say, Set, Stage, Stuck};
-use marlgap::fleet::log::Seat;
-use marlgap::fleet::{Member, MemberId};
+use marlgap::cluster::bootstrap::{FoundAct, Founding, Say, Set, Stage, Stuck};
+use marlgap::cluster::consensus_log::Seat;
+use marlgap::cluster::{Member, MemberId};
 use rand_core::{RngCore, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 
--- a/tests/fleet_parts/founding_first.rs
+++ b/tests/fleet_parts/founding_first.rs
@@ -1,8 +1,8 @@
 //! Founding members of a fleet without a log: one list is formed.
 use std::rc::Rc;
 
-use marlgap::fleet::found_first::{Act, Founding, Kind, Note, Round};
-use marlgap::fleet::{Configuration, Member, MemberId};
+use marlgap::cluster::bootstrap::first_configuration::{Act, Founding, Kind, Note, Round};
+use marlgap::cluster::{Configuration, Member, MemberId};
 use rand_core::{RngCore, SeedableRng};
 
 const NAMES: [&str; 3] = ["a", "b", "c"];
--- a/tests/fleet_parts/store.rs
+++ b/tests/fleet_parts/store.rs
@@ -3,8 +3,8 @@
 use std::path::{Path, PathBuf};
 use std::process::{Command, Stdio};
 
-use marlgap::fleet::log::{Batch, Hard, Stored};
-use marlgap::net::fleet::store::{Opened, Store, StoreError};
+use marlgap::cluster::consensus_log::{Batch, Hard, Stored};
+use marlgap::net::cluster::store::{Opened, Store, StoreError};
 use rand_core::{RngCore, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 
--- a/tests/fleet_parts/time.rs
+++ b/tests/fleet_parts/time.rs
@@ -1,6 +1,6 @@
 //! The fleet's time: stamps, and the bound on the clocks' offsets.
-use marlgap::fleet::time::{Beyond, Clock, FleetTime, Offsets, Standing, BOUND_MS};
-use marlgap::fleet::MemberId;
+use marlgap::cluster::hybrid_clock::{Beyond, Clock, FleetTime, Offsets, Standing, BOUND_MS};
+use marlgap::cluster::MemberId;
 
 #[test]
 fn stamps_rise_while_the_wall_clock_steps_back_and_the_counter_runs_over() {
--- a/tests/fleet_together/cluster.rs
+++ b/tests/fleet_together/cluster.rs
@@ -12,7 +12,7 @@
 use async_io::{Async, Timer};
 use futures_lite::io::{AsyncBufReadExt, BufReader};
 use futures_lite::FutureExt;
-use marlgap::fleet::{Configuration, Member, MemberId};
+use marlgap::cluster::{Configuration, Member, MemberId};
 use serde_json::json;
 
 use crate::checker;
--- a/tests/fleet_work/check.rs
+++ b/tests/fleet_work/check.rs
@@ -2,9 +2,9 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::rc::Rc;
 
-use marlgap::fleet::work::slot::{Acceptor, NEVER};
-use marlgap::fleet::work::{Record, Reply, Works};
-use marlgap::fleet::MemberId;
+use marlgap::cluster::takeover::slot::{Acceptor, NEVER};
+use marlgap::cluster::takeover::{Record, Reply, Works};
+use marlgap::cluster::MemberId;
 
 use crate::sim::World;
 
--- a/tests/fleet_work/main.rs
+++ b/tests/fleet_work/main.rs
@@ -7,7 +7,7 @@
 use std::collections::BTreeMap;
 use std::thread;
 
-use marlgap::fleet::work::{Guards, Reply};
+use marlgap::cluster::takeover::{Guards, Reply};
 use sim::{Plan, World, SECOND};
 
 fn plan(seed: u64) -> Plan {
--- a/tests/fleet_work/model.rs
+++ b/tests/fleet_work/model.rs
@@ -3,7 +3,7 @@
 //! number of times or never, and its answer may be lost. No clock: what is shown here rests on no lease.
 use std::collections::BTreeSet;
 
-use marlgap::fleet::work::slot::{Acceptor, Opening};
+use marlgap::cluster::takeover::slot::{Acceptor, Opening};
 use stateright::{Checker, HasDiscoveries, Model, Property};
 
 const MEMBERS: usize = 3;
--- a/tests/fleet_work/sim.rs
+++ b/tests/fleet_work/sim.rs
@@ -6,10 +6,10 @@
 use std::collections::{BTreeMap, BinaryHeap};
 use std::rc::Rc;
 
-use marlgap::fleet::work::{
+use marlgap::cluster::takeover::{
     Ask, ClassRule, Guards, Key, Limits, Message, Record, Reply, Token, WhenFull, Works,
 };
-use marlgap::fleet::{Configuration, Member, MemberId};
+use marlgap::cluster::{Configuration, Member, MemberId};
 use rand_core::{RngCore, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 
--- a/tests/fleet_work/sim/acts.rs
+++ b/tests/fleet_work/sim/acts.rs
@@ -1,9 +1,9 @@
 //! What a member's machine wants done: messages on the links, and an executor whose parts run, fail or are lost.
 use std::rc::Rc;
 
-use marlgap::fleet::work::message::Body;
-use marlgap::fleet::work::{Act, Key, May, Message, Part};
-use marlgap::fleet::MemberId;
+use marlgap::cluster::takeover::message::Body;
+use marlgap::cluster::takeover::{Act, Key, May, Message, Part};
+use marlgap::cluster::MemberId;
 use rand_core::RngCore;
 
 use super::{Event, How, Run, World, MS};
--- a/tests/foresight/draw.rs
+++ b/tests/foresight/draw.rs
@@ -1,5 +1,5 @@
 //! Loads of servers from which parts are drawn.
-use marlgap::foresight::forecast::{Draws, Placement};
+use marlgap::topology_forecast::forecast::{Draws, Placement};
 
 #[test]
 fn no_part_is_lost_and_the_busy_server_gets_the_lesser_share() {
--- a/tests/foresight/files.rs
+++ b/tests/foresight/files.rs
@@ -1,8 +1,8 @@
 //! Files of plans that are sound, and those that are not.
 use std::rc::Rc;
 
-use marlgap::foresight::{parse, Server, Tile, Topology};
-use marlgap::interface::{ReplicaId, ZoneId};
+use marlgap::balancer::interface::{ReplicaId, ZoneId};
+use marlgap::topology_forecast::{parse, Server, Tile, Topology};
 use num_rational::Ratio;
 
 const NOW: u64 = 1_800_000_000_000;
--- a/tests/foresight/fleet.rs
+++ b/tests/foresight/fleet.rs
@@ -4,10 +4,12 @@
 use std::collections::{BTreeMap, VecDeque};
 use std::rc::Rc;
 
-use marlgap::fleet::MemberId;
-use marlgap::foresight::forecast::Given;
-use marlgap::foresight::{Asked, Asks, Demand, Gathered, Keeper, Limits, Sent, Server, Tile, Topology};
-use marlgap::interface::{Class, ColdRule, Effect, ReplicaId, ZoneId};
+use marlgap::balancer::interface::{Class, ColdRule, Effect, ReplicaId, ZoneId};
+use marlgap::cluster::MemberId;
+use marlgap::topology_forecast::forecast::Given;
+use marlgap::topology_forecast::{
+    Asked, Asks, Demand, Gathered, Keeper, Limits, Sent, Server, Tile, Topology,
+};
 use num_rational::Ratio;
 use rand_core::{RngCore, SeedableRng};
 use rand_pcg::Pcg64Mcg;
--- a/tests/foresight/merging.rs
+++ b/tests/foresight/merging.rs
@@ -1,9 +1,9 @@
 //! Reports gathered in any order, twice, over restarts, and as bytes.
 use std::rc::Rc;
 
-use marlgap::fleet::MemberId;
-use marlgap::foresight::{Asked, Asks, GatherError, Gathered, Keeper, Limits, Report, Sent};
-use marlgap::interface::ReplicaId;
+use marlgap::balancer::interface::ReplicaId;
+use marlgap::cluster::MemberId;
+use marlgap::topology_forecast::{Asked, Asks, GatherError, Gathered, Keeper, Limits, Report, Sent};
 use proptest::prelude::*;
 
 const WINDOW: u64 = 60_000;
--- a/tests/foresight/plans.rs
+++ b/tests/foresight/plans.rs
@@ -2,11 +2,11 @@
 use std::collections::BTreeSet;
 use std::rc::Rc;
 
-use marlgap::fleet::MemberId;
-use marlgap::foresight::plan::{
+use marlgap::cluster::MemberId;
+use marlgap::topology_forecast::plan::{
     Command, Dropped, Need, Nothing, Plans, Rules, Said, Stage, Todo, Under, Why,
 };
-use marlgap::foresight::Seen;
+use marlgap::topology_forecast::Seen;
 use proptest::prelude::*;
 
 fn member(n: u64) -> MemberId {
--- a/tests/foresight/sketch.rs
+++ b/tests/foresight/sketch.rs
@@ -1,5 +1,5 @@
 //! Bounded counts against the truth.
-use marlgap::foresight::sketch::{Distinct, Heavy, DISTINCT_ERROR};
+use marlgap::topology_forecast::sketch::{Distinct, Heavy, DISTINCT_ERROR};
 use proptest::prelude::*;
 
 proptest! {
--- a/tests/golden_store/bootstrap.rs
+++ b/tests/golden_store/bootstrap.rs
@@ -1,7 +1,7 @@
 //! Founding: what members say to each other before there is a log, and the set that they pin on their disks.
-use marlgap::fleet::found::{Say, Set, Stage};
-use marlgap::fleet::found_first::{Kind, Life, Note, Round};
-use marlgap::net::fleet::frames::{parse, Frame, Hello, VERSION};
+use marlgap::cluster::bootstrap::first_configuration::{Kind, Life, Note, Round};
+use marlgap::cluster::bootstrap::{Say, Set, Stage};
+use marlgap::net::cluster::frames::{parse, Frame, Hello, VERSION};
 use prost::Message as _;
 
 use crate::fixture::{names, record, records, Records};
--- a/tests/golden_store/frames.rs
+++ b/tests/golden_store/frames.rs
@@ -3,7 +3,7 @@
 use std::hash::Hasher;
 use std::rc::Rc;
 
-use marlgap::fleet::log::{voter, Command, Identity, Limits, Log, LogAct, Stored};
+use marlgap::cluster::consensus_log::{voter, Command, Identity, Limits, Log, LogAct, Stored};
 use protobuf::Message as _;
 use raft::eraftpb::{Message, MessageType};
 
--- a/tests/golden_store/log.rs
+++ b/tests/golden_store/log.rs
@@ -1,5 +1,5 @@
 //! The replicated log: a command of each kind, the roster, and the snapshot that a voter keeps and sends.
-use marlgap::fleet::log::{
+use marlgap::cluster::consensus_log::{
     decode_command, encode_command, voter, Batch, Command, Hard, Identity, Limits, Log, LogAct, Outcome,
     Roster, Stored,
 };
--- a/tests/golden_store/sample.rs
+++ b/tests/golden_store/sample.rs
@@ -1,6 +1,6 @@
 //! Values that all fixtures are made of: each field another one than its default and than its neighbours.
-use marlgap::fleet::log::{Command, ProposalId, Seat};
-use marlgap::fleet::{Member, MemberId};
+use marlgap::cluster::consensus_log::{Command, ProposalId, Seat};
+use marlgap::cluster::{Member, MemberId};
 
 pub const CLUSTER: u64 = 0xc1c2_c3c4_c5c6_c7c8;
 pub const DISK: u64 = 0xd1d2_d3d4_d5d6_d7d8;
--- a/tests/golden_store/store.rs
+++ b/tests/golden_store/store.rs
@@ -3,9 +3,9 @@
 use std::hash::Hasher;
 use std::path::{Path, PathBuf};
 
-use marlgap::fleet::found::Set;
-use marlgap::fleet::log::{Batch, Hard, Stored};
-use marlgap::net::fleet::store::{Opened, Store};
+use marlgap::cluster::bootstrap::Set;
+use marlgap::cluster::consensus_log::{Batch, Hard, Stored};
+use marlgap::net::cluster::store::{Opened, Store};
 use redb::{Database, ReadableDatabase, ReadableTable, TableDefinition, TableHandle};
 
 use crate::fixture::compressed;
--- a/tests/golden_wire/closed.rs
+++ b/tests/golden_wire/closed.rs
@@ -1,6 +1,6 @@
 //! What the holder of a lease says to be closed, as members send it.
-use marlgap::fleet::FleetTime;
-use marlgap::layout::Told;
+use marlgap::cluster::FleetTime;
+use marlgap::shard_layout::Told;
 
 use crate::fixtures::{assert_same_bytes, records};
 
--- a/tests/golden_wire/data_nodes.rs
+++ b/tests/golden_wire/data_nodes.rs
@@ -1,5 +1,5 @@
 //! The frames of data nodes: each kind that comes from them as stored bytes, and the envelope of those to them.
-use marlgap::net::frames::{named, open, parse, reported, seal, End, Frame};
+use marlgap::net::data_nodes::frames::{named, open, parse, reported, seal, End, Frame};
 
 use crate::fixtures::{assert_same_bytes, records};
 
--- a/tests/golden_wire/forecast.rs
+++ b/tests/golden_wire/forecast.rs
@@ -1,10 +1,10 @@
 //! The document that operators read of a forecast: its keys, and the words for what is not known or refused.
-use marlgap::foresight::forecast::{
+use marlgap::topology_forecast::forecast::{
     Change, Cold, CoordinatorLoad, FanOut, Fit, Forecast, Lateness, ServerLoad, Spread, Unknown, ZoneLoad,
 };
-use marlgap::foresight::plan::Why;
-use marlgap::foresight::shown::json;
-use marlgap::foresight::{Coverage, Range};
+use marlgap::topology_forecast::plan::Why;
+use marlgap::topology_forecast::report::json::json;
+use marlgap::topology_forecast::{Coverage, Range};
 
 use crate::fixtures::text;
 
--- a/tests/golden_wire/layout.rs
+++ b/tests/golden_wire/layout.rs
@@ -1,7 +1,9 @@
 //! Entries of the layout's log, each step of a change among them, and a snapshot of what they make.
-use marlgap::fleet::FleetTime;
-use marlgap::interface::ReplicaId;
-use marlgap::layout::{Change, District, Edit, Entry, History, Keep, Layouts, Limits, Piece, Tile, Weight};
+use marlgap::balancer::interface::ReplicaId;
+use marlgap::cluster::FleetTime;
+use marlgap::shard_layout::{
+    Change, District, Edit, Entry, History, Keep, Layouts, Limits, Piece, Tile, Weight,
+};
 
 use crate::fixtures::{assert_same_bytes, records};
 
--- a/tests/golden_wire/links.rs
+++ b/tests/golden_wire/links.rs
@@ -1,8 +1,8 @@
 //! The frames on a connection between two members: hello, work and founding.
-use marlgap::fleet::found_first::{Kind, Life, Note, Round};
-use marlgap::fleet::work::message::{Body, Renew};
-use marlgap::fleet::work::Message;
-use marlgap::net::fleet::frames::{parse, Frame, Hello, VERSION};
+use marlgap::cluster::bootstrap::first_configuration::{Kind, Life, Note, Round};
+use marlgap::cluster::takeover::message::{Body, Renew};
+use marlgap::cluster::takeover::Message;
+use marlgap::net::cluster::frames::{parse, Frame, Hello, VERSION};
 
 use crate::fixtures::{assert_same_bytes, records};
 
--- a/tests/golden_wire/report.rs
+++ b/tests/golden_wire/report.rs
@@ -1,9 +1,9 @@
 //! A coordinator's report on demand, with its sketches of times and of different clients.
 use std::collections::BTreeMap;
 
-use marlgap::fleet::MemberId;
-use marlgap::foresight::report::{Class, Report, Row, SetKey};
-use marlgap::foresight::sketch::{Distinct, Times};
+use marlgap::cluster::MemberId;
+use marlgap::topology_forecast::report::{Class, Report, Row, SetKey};
+use marlgap::topology_forecast::sketch::{Distinct, Times};
 
 use crate::fixtures::{assert_same_bytes, records};
 
--- a/tests/golden_wire/work.rs
+++ b/tests/golden_wire/work.rs
@@ -1,9 +1,9 @@
 //! What members say to each other about work in hand: a message of each kind, each field with a value of its own.
 use bytes::Bytes;
-use marlgap::fleet::work::message::{
+use marlgap::cluster::takeover::message::{
     Accept, Accepted, Asked, Body, Decided, Prepare, Promised, Rejected, Renew, Seal, Sealed, Told, What,
 };
-use marlgap::fleet::work::{Message, Part, Record};
+use marlgap::cluster::takeover::{Message, Part, Record};
 
 use crate::fixtures::{assert_same_bytes, records};
 
--- a/tests/grpc_decisions.rs
+++ b/tests/grpc_decisions.rs
@@ -4,13 +4,13 @@
 use std::time::{Duration, Instant};
 
 use bytes::Bytes;
-use marlgap::interface::{Phase, ReplicaId, ShardId};
+use marlgap::balancer::interface::{Phase, ReplicaId, ShardId};
+use marlgap::config::operator::{FrontLimits, Operator};
+use marlgap::connection_pool::{Assign, ConnectionId, Do, Limits, Pool, Why};
+use marlgap::grpc_routing::{field, first_message, stable_hash, Field, NoShard};
 use marlgap::net::grpc::guard::{Flood, Guard};
 use marlgap::net::grpc::replay::{Budget, Next, Replay};
 use marlgap::net::grpc::wire::{self, Framer, Malformed};
-use marlgap::operator::{FrontLimits, Operator};
-use marlgap::pool::{Assign, ConnectionId, Do, Limits, Pool, Why};
-use marlgap::routes::{field, first_message, stable_hash, Field, NoShard};
 use proptest::prelude::*;
 
 /// The operator's file with these routes.
--- a/tests/layout/closed.rs
+++ b/tests/layout/closed.rs
@@ -3,8 +3,8 @@
 //! between them but the model's log.
 use std::collections::BTreeSet;
 
-use marlgap::fleet::FleetTime;
-use marlgap::layout::{Closer, District, Edit, Entry, Guard, Known, Layouts, Limits, Told};
+use marlgap::cluster::FleetTime;
+use marlgap::shard_layout::{Closer, District, Edit, Entry, Guard, Known, Layouts, Limits, Told};
 use stateright::{Checker, HasDiscoveries, Model, Property};
 
 use crate::reference::ms;
--- a/tests/layout/plans.rs
+++ b/tests/layout/plans.rs
@@ -1,6 +1,6 @@
 //! Plans, entries and snapshots that are not sound: a clear error each, and nothing is changed.
-use marlgap::interface::ReplicaId;
-use marlgap::layout::{
+use marlgap::balancer::interface::ReplicaId;
+use marlgap::shard_layout::{
     Change, District, Edit, Entry, History, Keep, Layouts, Limits, Piece, PlanError, Refused, Told, Weight,
     WireError,
 };
--- a/tests/layout/reference.rs
+++ b/tests/layout/reference.rs
@@ -1,9 +1,9 @@
 //! The plain model: each version a full copy, ground as atoms, and for each atom who keeps which span of its history.
 use std::collections::{BTreeMap, BTreeSet};
 
-use marlgap::fleet::FleetTime;
-use marlgap::interface::ReplicaId;
-use marlgap::layout::{
+use marlgap::balancer::interface::ReplicaId;
+use marlgap::cluster::FleetTime;
+use marlgap::shard_layout::{
     At, Change, District, Edit, Entry, History, Layouts, Limits, Piece, Source, TileId, Weight, Which,
 };
 use rand_core::{RngCore, SeedableRng};
--- a/tests/recorded.rs
+++ b/tests/recorded.rs
@@ -6,7 +6,7 @@
 //! actions: an attempt that was sent has an outcome a while later, also when its query is over.
 use std::hash::Hasher;
 
-use marlgap::interface::*;
+use marlgap::balancer::interface::*;
 
 mod common;
 use common::class;
--- a/tests/recorded/plans.rs
+++ b/tests/recorded/plans.rs
@@ -1,5 +1,5 @@
 //! Plans of large streams, and of streams drawn at random.
-use marlgap::interface::*;
+use marlgap::balancer::interface::*;
 use rand_core::{RngCore, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 
--- a/tests/recorded/world.rs
+++ b/tests/recorded/world.rs
@@ -3,7 +3,7 @@
 use std::hash::Hasher;
 
 use fnv::FnvHasher;
-use marlgap::interface::*;
+use marlgap::balancer::interface::*;
 use marlgap::Balancer;
 use rand_core::{RngCore, SeedableRng};
 use rand_pcg::Pcg64Mcg;
--- a/tests/recorded_large.rs
+++ b/tests/recorded_large.rs
@@ -3,7 +3,7 @@
 //! before its rounds were made so (41cf648); `tests/recorded.rs` says how a stream comes about.
 use std::hash::Hasher;
 
-use marlgap::interface::*;
+use marlgap::balancer::interface::*;
 
 mod common;
 use common::class;
--- a/tests/round_cost/main.rs
+++ b/tests/round_cost/main.rs
@@ -2,7 +2,7 @@
 //! everything are right.
 use std::hash::Hasher;
 
-use marlgap::interface::*;
+use marlgap::balancer::interface::*;
 use marlgap::Balancer;
 
 #[path = "../common/mod.rs"]
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -2,7 +2,7 @@
 //! server here: outcomes, news and times are drawn without regard to sense.
 use std::collections::BTreeMap;
 
-use marlgap::interface::*;
+use marlgap::balancer::interface::*;
 use marlgap::Balancer;
 use rand_core::{RngCore, SeedableRng};
 use rand_pcg::Pcg64Mcg;
--- a/tests/scale/costs.rs
+++ b/tests/scale/costs.rs
@@ -1,5 +1,5 @@
 //! Short forms of the bench's runs, and counts that hold at any size.
-use marlgap::interface::{News, Phase};
+use marlgap::balancer::interface::{News, Phase};
 
 use crate::hollow::{Hollow, Setup};
 use crate::listing::{change_exchange, seconds, whole_exchange};
--- a/tests/scale_control/version.rs
+++ b/tests/scale_control/version.rs
@@ -1,5 +1,5 @@
 //! What an answer of discovery means against the version that is held.
-use marlgap::interface::News;
+use marlgap::balancer::interface::News;
 use marlgap::net::discovery::version::{call, taken, Taken};
 use marlgap::net::discovery::{DiscoveryError, List};
 
--- a/tests/settings.rs
+++ b/tests/settings.rs
@@ -4,8 +4,8 @@
 use std::path::Path;
 use std::process::Command;
 
-use marlgap::interface::*;
-use marlgap::settings::{self, Deployment};
+use marlgap::balancer::interface::*;
+use marlgap::config::settings::{self, Deployment};
 use marlgap::Balancer;
 use serde_json::{json, Value};
 
--- a/tests/subset.rs
+++ b/tests/subset.rs
@@ -1,8 +1,8 @@
 //! The choice of replicas that a coordinator works with, against its invariants, over drawn changes of the list.
 use std::collections::{BTreeMap, BTreeSet};
 
-use marlgap::interface::*;
-use marlgap::subset::{Subset, LEAST_IN_CELL};
+use marlgap::balancer::interface::*;
+use marlgap::subsetting::{Subset, LEAST_IN_CELL};
 use proptest::prelude::*;
 
 const MOST: usize = 12;
--- a/tests/takeover.rs
+++ b/tests/takeover.rs
@@ -9,8 +9,8 @@
 use async_executor::LocalExecutor;
 use common::class;
 use futures_lite::FutureExt;
-use marlgap::core::*;
-use marlgap::interface::*;
+use marlgap::balancer::interface::*;
+use marlgap::coordinator::*;
 use marlgap::Balancer;
 
 fn settings(class: Class) -> Settings {
