--- /dev/null
+++ b/tests/golden_store/frames.rs
@@ -0,0 +1,181 @@
+//! Messages between voters: of each kind the first one that three voters send each other, as their connection has it.
+use std::collections::VecDeque;
+use std::hash::Hasher;
+use std::rc::Rc;
+
+use marlgap::fleet::log::{voter, Command, Identity, Limits, Log, LogAct, Stored};
+use protobuf::Message as _;
+use raft::eraftpb::{Message, MessageType};
+
+use crate::fixture::{names, record, records, Records};
+use crate::sample::{seat, seats, CLUSTER};
+
+/// Version, cluster and check come before the message.
+const HEAD: usize = 1 + 8 + 8;
+
+struct Trio {
+    logs: Vec<Log>,
+    /// Cut from the others.
+    apart: Option<usize>,
+    sent: Records,
+}
+
+fn name(number: usize) -> Rc<str> {
+    seat(number).member.id.name
+}
+
+fn number(id: u64) -> usize {
+    (0..3).find(|n| voter(&name(*n), seat(*n).disk) == id).expect("a voter")
+}
+
+fn start(number: usize) -> Log {
+    let stored = Stored::founded(CLUSTER, seats(3)).expect("a founded cluster");
+    let me = Identity { name: name(number), disk: seat(number).disk };
+    Log::new(me, stored, Limits { keep: 2, ..Limits::default() }).expect("a log")
+}
+
+fn message(frame: &[u8]) -> Message {
+    Message::parse_from_bytes(&frame[HEAD..]).expect("a message")
+}
+
+impl Trio {
+    /// All that is sent arrives at once and in order.
+    fn settle(&mut self) {
+        let mut wire = VecDeque::new();
+        loop {
+            for (from, log) in self.logs.iter_mut().enumerate() {
+                for act in log.ready() {
+                    match act {
+                        LogAct::Send { to, bytes } => wire.push_back((from, to, bytes)),
+                        LogAct::Compact => wire.extend(compact(log).into_iter().map(|(to, b)| (from, to, b))),
+                        _ => {}
+                    }
+                }
+            }
+            let Some((from, to, bytes)) = wire.pop_front() else { return };
+            let kind = format!("{:?}", message(&bytes).get_msg_type());
+            if !self.sent.iter().any(|(known, _)| *known == kind) {
+                self.sent.push((kind, bytes.clone()));
+            }
+            let to = (0..3).find(|n| name(*n) == to).expect("a name");
+            if self.apart != Some(from) && self.apart != Some(to) {
+                self.logs[to].receive(&name(from), &bytes).expect("taken");
+            }
+        }
+    }
+
+    fn tick(&mut self) {
+        self.logs.iter_mut().for_each(Log::tick);
+        self.settle();
+    }
+}
+
+fn compact(log: &mut Log) -> Vec<(Rc<str>, Vec<u8>)> {
+    log.compact(b"other parts").expect("a snapshot");
+    let sends = |act| match act {
+        LogAct::Send { to, bytes } => Some((to, bytes)),
+        _ => None,
+    };
+    log.ready().into_iter().filter_map(sends).collect()
+}
+
+/// An election, entries, and a voter that was cut off so long that it needs a snapshot.
+fn first_of_each_kind() -> Records {
+    let mut trio = Trio { logs: (0..3).map(start).collect(), apart: None, sent: Vec::new() };
+    while !trio.logs.iter().any(Log::leads) {
+        trio.tick();
+    }
+    (0..4).for_each(|_| trio.tick());
+    let leader = trio.logs.iter().position(Log::leads).expect("a leader");
+    trio.apart = Some((leader + 1) % 3);
+    for step in 0..8u8 {
+        trio.logs[leader].propose(&Command::Plan([b'p', step].as_slice().into())).expect("taken");
+        trio.settle();
+    }
+    trio.apart = None;
+    (0..30).for_each(|_| trio.tick());
+    trio.sent
+}
+
+const KINDS: [&str; 9] = [
+    "MsgRequestPreVote",
+    "MsgRequestPreVoteResponse",
+    "MsgRequestVote",
+    "MsgRequestVoteResponse",
+    "MsgAppend",
+    "MsgAppendResponse",
+    "MsgHeartbeat",
+    "MsgHeartbeatResponse",
+    "MsgSnapshot",
+];
+
+#[test]
+fn this_build_sends_the_same_frames() {
+    let golden = records("frames.hex", first_of_each_kind);
+    assert_eq!(names(&golden), KINDS);
+    assert_eq!(first_of_each_kind(), golden);
+}
+
+#[test]
+fn the_head_of_a_frame_is_version_cluster_and_check() {
+    for (kind, frame) in records("frames.hex", first_of_each_kind) {
+        let mut hasher = fnv::FnvHasher::default();
+        hasher.write(&frame[HEAD..]);
+        assert_eq!(frame[0], 1, "{kind}");
+        assert_eq!(frame[1..9], CLUSTER.to_be_bytes(), "{kind}");
+        assert_eq!(frame[9..HEAD], hasher.finish().to_be_bytes(), "{kind}");
+        assert_eq!(message(&frame).write_to_bytes().expect("bytes"), frame[HEAD..], "{kind}");
+    }
+}
+
+#[test]
+fn a_voter_takes_the_frames_of_an_earlier_build() {
+    let golden = records("frames.hex", first_of_each_kind);
+    for kind in ["MsgRequestPreVote", "MsgRequestVote", "MsgAppend", "MsgSnapshot"] {
+        let frame = record(&golden, kind);
+        let sent = message(frame);
+        let mut log = start(number(sent.to));
+        log.receive(&name(number(sent.from)), frame).expect(kind);
+        let acts = log.ready();
+        let answered = acts.iter().any(|act| matches!(act, LogAct::Send { .. }));
+        assert!(answered, "{kind}: {acts:?}");
+        if sent.get_msg_type() == MessageType::MsgSnapshot {
+            let restored = |act: &LogAct| match act {
+                LogAct::Restored { index, roster, others } => {
+                    *index == sent.get_snapshot().get_metadata().index
+                        && roster.seats().cloned().collect::<Vec<_>>() == seats(3)
+                        && others == b"other parts"
+                }
+                _ => false,
+            };
+            assert!(acts.iter().any(restored), "{acts:?}");
+        }
+    }
+}
+
+#[test]
+fn the_fields_of_each_message_are_read() {
+    // Term, term of the entry before, its index, where the log is agreed on, and how many entries come with it.
+    let fields = |(kind, frame): (String, Vec<u8>)| {
+        let m = message(&frame);
+        assert_eq!(format!("{:?}", m.get_msg_type()), kind);
+        let numbers = [m.term, m.log_term, m.index, m.commit, m.get_entries().len() as u64];
+        (kind, name(number(m.from)).to_string(), name(number(m.to)).to_string(), numbers)
+    };
+    let read: Vec<_> = records("frames.hex", first_of_each_kind).into_iter().map(fields).collect();
+    let expected = [
+        ("MsgRequestPreVote", "lima", "oslo", [2, 1, 1, 1, 0]),
+        ("MsgRequestPreVoteResponse", "oslo", "lima", [2, 0, 0, 0, 0]),
+        ("MsgRequestVote", "lima", "oslo", [2, 1, 1, 1, 0]),
+        ("MsgRequestVoteResponse", "oslo", "lima", [2, 0, 0, 0, 0]),
+        ("MsgAppend", "lima", "oslo", [2, 1, 1, 1, 1]),
+        ("MsgAppendResponse", "oslo", "lima", [2, 0, 2, 1, 0]),
+        ("MsgHeartbeat", "lima", "oslo", [2, 0, 0, 2, 0]),
+        ("MsgHeartbeatResponse", "oslo", "lima", [2, 0, 0, 2, 0]),
+        ("MsgSnapshot", "lima", "oslo", [2, 0, 0, 0, 0]),
+    ];
+    let owned = |(kind, from, to, numbers): (&str, &str, &str, [u64; 5])| {
+        (kind.to_string(), from.to_string(), to.to_string(), numbers)
+    };
+    assert_eq!(read, expected.map(owned));
+}
--- /dev/null
+++ b/tests/golden_store/store.rs
@@ -0,0 +1,177 @@
+//! A voter's store: the file by `redb`, with its tables, keys and sealed records, and the mark file beside it.
+use std::collections::BTreeMap;
+use std::hash::Hasher;
+use std::path::{Path, PathBuf};
+
+use marlgap::fleet::found::Set;
+use marlgap::fleet::log::{Batch, Hard, Stored};
+use marlgap::net::fleet::store::{Opened, Store};
+use redb::{Database, ReadableDatabase, ReadableTable, TableDefinition, TableHandle};
+
+use crate::fixture::compressed;
+use crate::sample::{seats, CLUSTER, DISK};
+
+/// A folder that goes with the test.
+struct Folder(PathBuf);
+
+impl Folder {
+    fn new(name: &str) -> Folder {
+        let folder = std::env::temp_dir().join(format!("marlgap-golden-{name}-{}", std::process::id()));
+        std::fs::create_dir_all(&folder).expect("a folder");
+        Folder(folder)
+    }
+
+    fn store(&self) -> PathBuf {
+        self.0.join("voter.redb")
+    }
+
+    fn mark(&self) -> PathBuf {
+        self.0.join("voter.redb.mark")
+    }
+}
+
+impl Drop for Folder {
+    fn drop(&mut self) {
+        let _ = std::fs::remove_dir_all(&self.0);
+    }
+}
+
+const SNAPSHOT: &[u8] = b"a later snapshot of the state";
+const HARD: Hard = Hard { term: 0x0a01, vote: 0x0b02_0304_0506_0708, commit: 0x0c03 };
+
+fn entries() -> Vec<(u64, Vec<u8>)> {
+    (0x0c02..0x0c06).map(|index| (index, format!("entry {index:x}").into_bytes())).collect()
+}
+
+fn stage() -> Vec<u8> {
+    Set::new(seats(3)).encode()
+}
+
+fn expected() -> Opened {
+    let stored = Stored { cluster: CLUSTER, hard: HARD, snapshot: Some(SNAPSHOT.into()), entries: entries() };
+    Opened { disk: DISK, stage: stage(), stored }
+}
+
+/// The generator: four batches, so that the last is the store's fifth transaction, counted from its making.
+fn write(path: &Path) {
+    let (mut store, _) = Store::open(path, DISK).expect("a new store");
+    store.stage(b"an earlier stage").expect("written");
+    let first = Hard { term: 1, vote: 2, commit: 3 };
+    let begun =
+        Stored { cluster: CLUSTER, hard: first, snapshot: Some(b"first".into()), entries: Vec::new() };
+    store.begin(&begun, &stage()).expect("written");
+    let all = entries();
+    let batch = Batch { hard: first, entries: all[..2].to_vec(), ..Batch::default() };
+    store.persist(&batch).expect("written");
+    let batch =
+        Batch { hard: HARD, snapshot: Some(SNAPSHOT.into()), entries: all[2..].to_vec(), ..Batch::default() };
+    store.persist(&batch).expect("written");
+}
+
+/// The fixture, as the two files that a voter would find.
+fn inflate(name: &str) -> Folder {
+    let written = |file: fn(&Folder) -> PathBuf| {
+        let folder = Folder::new(&format!("{name}-generated"));
+        write(&folder.store());
+        std::fs::read(file(&folder)).expect("a file that was written")
+    };
+    let folder = Folder::new(name);
+    let store = compressed("voter.redb.gz", || written(Folder::store));
+    std::fs::write(folder.store(), store).expect("inflated");
+    let mark = compressed("voter.redb.mark.gz", || written(Folder::mark));
+    std::fs::write(folder.mark(), mark).expect("inflated");
+    folder
+}
+
+#[test]
+fn a_store_of_an_earlier_build_is_read() {
+    let folder = inflate("read");
+    let (store, opened) = Store::open(&folder.store(), 1).expect("opened");
+    assert_eq!(opened.disk, DISK);
+    assert_eq!(opened.stage, stage());
+    assert_eq!(Set::decode(&opened.stage).expect("a set").seats(), seats(3));
+    assert_eq!(opened.stored.cluster, CLUSTER);
+    assert_eq!(opened.stored.hard.term, HARD.term);
+    assert_eq!(opened.stored.hard.vote, HARD.vote);
+    assert_eq!(opened.stored.hard.commit, HARD.commit);
+    assert_eq!(opened.stored.snapshot.as_deref(), Some(SNAPSHOT));
+    assert_eq!(opened.stored.entries, entries());
+    assert_eq!(opened, expected());
+    drop(store);
+
+    // It goes on from there, and is read again.
+    let (mut store, _) = Store::open(&folder.store(), 1).expect("opened again");
+    store.stage(b"a later stage").expect("written");
+    drop(store);
+    let (_, opened) = Store::open(&folder.store(), 1).expect("opened a third time");
+    assert_eq!(opened, Opened { stage: b"a later stage".to_vec(), ..expected() });
+}
+
+const META: TableDefinition<'_, &str, &[u8]> = TableDefinition::new("meta");
+const ENTRIES: TableDefinition<'_, u64, &[u8]> = TableDefinition::new("entries");
+
+/// A record is followed by a check over its key, its length and its bytes.
+fn sealed(key: &[u8], bytes: &[u8]) -> Vec<u8> {
+    let mut hasher = fnv::FnvHasher::default();
+    hasher.write(key);
+    hasher.write(&(bytes.len() as u64).to_le_bytes());
+    hasher.write(bytes);
+    [bytes, &hasher.finish().to_be_bytes()].concat()
+}
+
+fn check_raw(path: &Path) {
+    let database = Database::open(path).expect("a redb file");
+    let read = database.begin_read().expect("a transaction");
+    let mut tables: Vec<String> =
+        read.list_tables().expect("tables").map(|table| table.name().to_string()).collect();
+    tables.sort();
+    assert_eq!(tables, ["entries", "meta"]);
+
+    let meta = read.open_table(META).expect("the table of strings to bytes");
+    let mut found = BTreeMap::new();
+    for record in meta.iter().expect("records") {
+        let (key, value) = record.expect("a record");
+        found.insert(key.value().to_string(), value.value().to_vec());
+    }
+    let (count, last) = (4, 0x0c05);
+    let head = [5, DISK, CLUSTER, HARD.term, HARD.vote, HARD.commit, count, last, 1];
+    let head: Vec<u8> = head.iter().flat_map(|number: &u64| number.to_be_bytes()).collect();
+    let mut wanted = BTreeMap::new();
+    for (key, bytes) in [("head", head), ("snapshot", SNAPSHOT.to_vec()), ("stage", stage())] {
+        wanted.insert(key.to_string(), sealed(key.as_bytes(), &bytes));
+    }
+    assert_eq!(found, wanted);
+
+    let table = read.open_table(ENTRIES).expect("the table of numbers to bytes");
+    let mut found = Vec::new();
+    for record in table.iter().expect("records") {
+        let (index, value) = record.expect("a record");
+        found.push((index.value(), value.value().to_vec()));
+    }
+    let seal = |(index, bytes): (u64, Vec<u8>)| (index, sealed(&index.to_be_bytes(), &bytes));
+    assert_eq!(found, entries().into_iter().map(seal).collect::<Vec<_>>());
+}
+
+#[test]
+fn tables_keys_and_records_are_those_of_the_form() {
+    check_raw(&inflate("raw").store());
+}
+
+#[test]
+fn this_build_writes_the_same_tables_keys_records_and_mark() {
+    let (old, new) = (inflate("old"), Folder::new("new"));
+    write(&new.store());
+    check_raw(&new.store());
+    let (old, new) = (std::fs::read(old.mark()).expect("a mark"), std::fs::read(new.mark()).expect("a mark"));
+    assert_eq!(new, old);
+}
+
+#[test]
+fn the_mark_holds_the_last_two_batches() {
+    let bytes = std::fs::read(inflate("mark").mark()).expect("a mark");
+    let slot = |serial: u64| sealed(b"mark", &[&serial.to_be_bytes()[..], b"marlgap1"].concat());
+    assert_eq!(bytes.len(), 4096 + 24);
+    assert_eq!(bytes[..24], slot(4));
+    assert_eq!(bytes[4096..], slot(5));
+    assert!(bytes[24..4096].iter().all(|byte| *byte == 0));
+}
