--- a/benches/round.rs
+++ b/benches/round.rs
@@ -57,7 +57,7 @@
         let mut bench =
             Bench { balancer, now: 100.0, next: 0, replicas, cells, parts, attempts, out, ended: 0 };
         let entries = bench.list();
-        bench.round(&[Event::Members { news: News::Full, entries }]);
+        bench.round(&[Event::Endpoints { update: EndpointUpdate::Full, endpoints: entries }]);
         // Every replica has reported, and the limit on open parts has grown.
         for _ in 0..2 * replicas / u64::from(parts) + 20 {
             bench.whole();
@@ -65,12 +65,19 @@
         bench
     }
 
-    fn listed(&self, n: u64) -> Listed {
+    fn listed(&self, n: u64) -> Endpoint {
         let (zone, cell) = (ZoneId((n % 3) as u8), CellId((n % self.cells) as u16));
-        Listed { replica: ReplicaId(n), zone, cell, phase: Phase::Ready, weight: 1.0, started: None }
+        Endpoint {
+            replica: ReplicaId(n),
+            zone,
+            cell,
+            state: EndpointState::Ready,
+            weight: 1.0,
+            started: None,
+        }
     }
 
-    fn list(&self) -> Vec<Listed> {
+    fn list(&self) -> Vec<Endpoint> {
         (0..self.replicas).map(|n| self.listed(n)).collect()
     }
 
@@ -86,7 +93,7 @@
                     self.out.push_back((part, *attempt, replica));
                     *attempt += 1;
                 }
-                Action::Answer { .. } | Action::Refuse { .. } | Action::Fail { .. } => self.ended += 1,
+                Action::Answer { .. } | Action::Reject { .. } | Action::Fail { .. } => self.ended += 1,
                 _ => {}
             }
         }
@@ -101,25 +108,37 @@
             number,
             class: ClassId(0),
             tenant: TenantId::NONE,
-            patience: 4.0,
+            time_left: 4.0,
             parts: self.parts,
-            repeat: false,
+            is_retry: false,
         }];
         for n in 0..self.parts {
             self.next += 1;
             let (part, weight) = (PartId(self.next), 1.0 / f64::from(self.parts));
             let shard = ShardId((self.next.wrapping_mul(7919).wrapping_add(n)) % self.cells as u32);
-            events.push(Event::Part { part, number, shard, weight, spent: 0, served: false });
+            events.push(Event::Part { part, number, shard, weight, prior_attempts: 0, completed: false });
         }
         self.round(&events)
     }
 
     fn outcome(&mut self) -> Option<f64> {
         let (part, attempt, replica) = self.out.pop_front()?;
-        let report =
-            Some(Report { queue: Some(1.0), in_flight: Some(1.0), busy: Some(0.5), ..Report::default() });
-        let (over, outcome, took) = (true, Outcome::Served, 0.01);
-        Some(self.round(&[Event::Outcome { part, attempt, replica, over, outcome, took, report }]))
+        let report = Some(LoadReport {
+            queue_depth: Some(1.0),
+            in_flight: Some(1.0),
+            utilization: Some(0.5),
+            ..LoadReport::default()
+        });
+        let (over, outcome, took) = (true, Outcome::Succeeded, 0.01);
+        Some(self.round(&[Event::Outcome {
+            part,
+            attempt,
+            replica,
+            part_finished: over,
+            outcome,
+            elapsed: took,
+            report,
+        }]))
     }
 
     /// A query alone: all its rounds, one for each outcome.
@@ -159,13 +178,13 @@
             let many = mean((0..200).filter_map(|_| bench.outcome()));
             while bench.outcome().is_some() {}
             let entry = mean((0..40).map(|n| {
-                let phase = if n % 2 == 0 { Phase::Draining } else { Phase::Ready };
-                let entries = vec![Listed { phase, ..bench.listed(n / 2) }];
-                bench.round(&[Event::Members { news: News::Delta, entries }])
+                let phase = if n % 2 == 0 { EndpointState::Draining } else { EndpointState::Ready };
+                let entries = vec![Endpoint { state: phase, ..bench.listed(n / 2) }];
+                bench.round(&[Event::Endpoints { update: EndpointUpdate::Delta, endpoints: entries }])
             }));
             let list = mean((0..3).map(|_| {
                 let entries = bench.list();
-                bench.round(&[Event::Members { news: News::Full, entries }])
+                bench.round(&[Event::Endpoints { update: EndpointUpdate::Full, endpoints: entries }])
             }));
             println!(
                 "{replicas:>8} {parts:>6} {one:>10.1} {many:>10.1} {query:>10.0} {entry:>10.1} {list:>10.0}"
--- a/benches/scale/client.rs
+++ b/benches/scale/client.rs
@@ -5,7 +5,7 @@
 
 use async_executor::LocalExecutor;
 use futures_lite::FutureExt;
-use marlgap::balancer::interface::News;
+use marlgap::balancer::interface::EndpointUpdate;
 use marlgap::config::settings::{self, Deployment, Unreadable};
 use marlgap::coordinator::Core;
 use marlgap::net::data_nodes::Nodes;
@@ -93,7 +93,7 @@
     }
 
     /// Take over a list as the watch does, through the module's round.
-    pub fn take_over(&self, list: &List, news: News) {
+    pub fn take_over(&self, list: &List, news: EndpointUpdate) {
         self.discovery.apply(list, news);
         while self.executor.try_tick() {}
     }
--- a/benches/scale/control/plane/watches.rs
+++ b/benches/scale/control/plane/watches.rs
@@ -8,7 +8,7 @@
 use std::rc::Rc;
 use std::time::Instant;
 
-use marlgap::balancer::interface::{self, News};
+use marlgap::balancer::interface::{self, EndpointUpdate};
 use marlgap::net::buffer::Buffer;
 use marlgap::net::discovery::watch_policy::{Terms, CONNECT, CONTINUES, PACE, PAUSE};
 use marlgap::net::discovery::{version, List, MOST_LIST};
--- a/benches/scale/control/plane/watches/calls.rs
+++ b/benches/scale/control/plane/watches/calls.rs
@@ -137,7 +137,7 @@
         let watch = &mut self.watches[i];
         let taken = version::taken(&list, watch.seq, self.terms.pushed).map_err(|e| e.to_string())?;
         match taken.news {
-            Some(News::Full) => {
+            Some(EndpointUpdate::Full) => {
                 watch.whole += 1;
                 watch.held.fill(Health::Removed as u8);
             }
--- a/benches/scale/hollow.rs
+++ b/benches/scale/hollow.rs
@@ -65,19 +65,19 @@
     }
 
     /// The list's entry of a data node.
-    pub fn entry(&self, node: u64, phase: Phase) -> Listed {
-        Listed {
+    pub fn entry(&self, node: u64, phase: EndpointState) -> Endpoint {
+        Endpoint {
             replica: ReplicaId(node),
             zone: ZoneId((node % self.zones) as u8),
             cell: CellId((node / IN_CELL % u64::from(self.cells())) as u16),
-            phase,
+            state: phase,
             weight: 1.0,
             started: None,
         }
     }
 
-    pub fn entries(&self) -> Vec<Listed> {
-        (0..self.data_nodes).map(|node| self.entry(node, Phase::Ready)).collect()
+    pub fn entries(&self) -> Vec<Endpoint> {
+        (0..self.data_nodes).map(|node| self.entry(node, EndpointState::Ready)).collect()
     }
 }
 
@@ -139,7 +139,7 @@
     /// One that has taken over the whole list.
     pub fn new(setup: &Setup) -> Result<Hollow, SettingsError> {
         let mut hollow = Hollow::unlisted(setup)?;
-        hollow.members(News::Full, setup.entries());
+        hollow.members(EndpointUpdate::Full, setup.entries());
         Ok(hollow)
     }
 
@@ -169,8 +169,8 @@
     }
 
     /// A round with news of the list.
-    pub fn members(&mut self, news: News, entries: Vec<Listed>) -> Duration {
-        self.round(vec![Event::Members { news, entries }])
+    pub fn members(&mut self, news: EndpointUpdate, entries: Vec<Endpoint>) -> Duration {
+        self.round(vec![Event::Endpoints { update: news, endpoints: entries }])
     }
 
     /// A round in which so many queries of so many parts come in.
@@ -179,12 +179,20 @@
         for _ in 0..queries {
             let (query, number) = (QueryId(self.id()), QueryNumber(self.next));
             let (class, tenant, patience) = (ClassId(0), TenantId::NONE, DEADLINE);
-            events.push(Event::Query { query, number, class, tenant, patience, parts, repeat: false });
+            events.push(Event::Query {
+                query,
+                number,
+                class,
+                tenant,
+                time_left: patience,
+                parts,
+                is_retry: false,
+            });
             let mut open = Open { query, all: Vec::new(), parts: VecDeque::new() };
             for _ in 0..parts {
                 let (part, shard) = (PartId(self.id()), ShardId(self.rng.next_u32()));
                 let weight = 1.0 / f64::from(parts);
-                events.push(Event::Part { part, number, shard, weight, spent: 0, served: false });
+                events.push(Event::Part { part, number, shard, weight, prior_attempts: 0, completed: false });
                 open.all.push(part);
                 open.parts.push_back(part);
             }
@@ -205,9 +213,17 @@
             let first = self.held.get_mut(&part).filter(|held| !held.is_empty()).map(|held| held.remove(0));
             match first {
                 Some(Held { attempt, replica, sent }) => {
-                    let report = Some(Report { queue: Some(QUEUE), ..Report::default() });
-                    let (outcome, took) = (Outcome::Served, self.now - sent);
-                    events.push(Event::Outcome { part, attempt, replica, over: true, outcome, took, report });
+                    let report = Some(LoadReport { queue_depth: Some(QUEUE), ..LoadReport::default() });
+                    let (outcome, took) = (Outcome::Succeeded, self.now - sent);
+                    events.push(Event::Outcome {
+                        part,
+                        attempt,
+                        replica,
+                        part_finished: true,
+                        outcome,
+                        elapsed: took,
+                        report,
+                    });
                 }
                 // Not sent yet: it waits its turn.
                 None => open.parts.push_back(part),
@@ -257,8 +273,11 @@
             }
             Action::Cancel { part, attempt } => self.called_off(part, attempt),
             Action::Answer { query, .. } => self.end(query, true),
-            Action::Refuse { query, .. } | Action::Fail { query } => self.end(query, false),
-            Action::Probe { .. } | Action::CloseIdle { .. } | Action::Timer { .. } | Action::Subscribe => {}
+            Action::Reject { query, .. } | Action::Fail { query } => self.end(query, false),
+            Action::HealthCheck { .. }
+            | Action::CloseIdle { .. }
+            | Action::Timer { .. }
+            | Action::Subscribe => {}
         }
     }
 
@@ -268,7 +287,15 @@
         let Held { attempt, replica, sent } = held.remove(at);
         let held_none = held.is_empty();
         let (outcome, took) = (Outcome::Cancelled, self.now - sent);
-        self.ends.push(Event::Outcome { part, attempt, replica, over: true, outcome, took, report: None });
+        self.ends.push(Event::Outcome {
+            part,
+            attempt,
+            replica,
+            part_finished: true,
+            outcome,
+            elapsed: took,
+            report: None,
+        });
         if held_none {
             self.held.remove(&part);
         }
--- a/benches/scale/listing.rs
+++ b/benches/scale/listing.rs
@@ -3,7 +3,7 @@
 use std::hint::black_box;
 use std::time::Instant;
 
-use marlgap::balancer::interface::News;
+use marlgap::balancer::interface::EndpointUpdate;
 use marlgap::net::discovery::List;
 
 use crate::client::{follow, list, nowhere, Client};
@@ -76,7 +76,7 @@
 }
 
 /// Parsing a text, and taking it over through the module's round; the least times in microseconds.
-pub fn parse_and_take(client: &Client, texts: &[String], news: News) -> (f64, f64) {
+pub fn parse_and_take(client: &Client, texts: &[String], news: EndpointUpdate) -> (f64, f64) {
     let (mut parses, mut takes) = (Vec::new(), Vec::new());
     for round in 0..ROUNDS {
         let begun = Instant::now();
@@ -94,7 +94,8 @@
     let (mut parses, mut takes) = (Vec::new(), Vec::new());
     for n in options.sizes(TARGET.data_nodes, 4.0) {
         let client = Client::new(n as u64, ZONES, nowhere());
-        let (parse, take) = parse_and_take(&client, &[list(41, true, 0, n as u64, ZONES, "up")], News::Full);
+        let (parse, take) =
+            parse_and_take(&client, &[list(41, true, 0, n as u64, ZONES, "up")], EndpointUpdate::Full);
         parses.push((n, parse));
         takes.push((n, take));
     }
@@ -111,11 +112,11 @@
     let (mut sizes, mut times) = (Vec::new(), Vec::new());
     let client = Client::new(nodes, ZONES, nowhere());
     let known = list(41, true, 0, nodes, ZONES, "up");
-    client.take_over(&serde_json::from_str(&known).expect("the bench's own list"), News::Full);
+    client.take_over(&serde_json::from_str(&known).expect("the bench's own list"), EndpointUpdate::Full);
     for changed in options.sizes(TARGET.zone_entries(), 1.0) {
         sizes.push((changed, change_exchange(nodes, 0, changed as u64).bytes() as f64));
         let texts = ["draining", "up"].map(|health| list(42, false, 0, changed as u64, ZONES, health));
-        let (parse, take) = parse_and_take(&client, &texts, News::Delta);
+        let (parse, take) = parse_and_take(&client, &texts, EndpointUpdate::Delta);
         times.push((changed, parse + take));
     }
     let axis = "entries changed";
@@ -135,9 +136,9 @@
         bytes.push((n, change_exchange(n as u64, 0, 1).bytes() as f64));
         let client = Client::new(n as u64, ZONES, nowhere());
         let known = list(41, true, 0, n as u64, ZONES, "up");
-        client.take_over(&serde_json::from_str(&known).expect("the bench's own list"), News::Full);
+        client.take_over(&serde_json::from_str(&known).expect("the bench's own list"), EndpointUpdate::Full);
         let texts = ["draining", "up"].map(|health| list(42, false, 0, 1, ZONES, health));
-        let (parse, take) = parse_and_take(&client, &texts, News::Delta);
+        let (parse, take) = parse_and_take(&client, &texts, EndpointUpdate::Delta);
         times.push((n, parse + take));
     }
     let axis = "data nodes listed";
--- a/benches/scale/module.rs
+++ b/benches/scale/module.rs
@@ -1,7 +1,7 @@
 //! Time of the decision module's rounds and queries, along each axis of size.
 use std::time::Duration;
 
-use marlgap::balancer::interface::{News, Phase, SettingsError};
+use marlgap::balancer::interface::{EndpointState, EndpointUpdate, SettingsError};
 
 use crate::hollow::{Hollow, Setup};
 use crate::options::Options;
@@ -141,17 +141,18 @@
     let mut hollow = Hollow::new(setup)?;
     let mut times = Vec::new();
     for round in 0..ROUNDS {
-        let phase = if round % 2 == 0 { Phase::Draining } else { Phase::Ready };
+        let phase = if round % 2 == 0 { EndpointState::Draining } else { EndpointState::Ready };
         let news = (0..entries.min(setup.data_nodes)).map(|node| setup.entry(node, phase)).collect();
         hollow.now += STEP;
-        times.push(hollow.members(News::Delta, news));
+        times.push(hollow.members(EndpointUpdate::Delta, news));
     }
     Ok(least(&times))
 }
 
 fn whole_list(setup: &Setup) -> Result<f64, SettingsError> {
     let mut hollow = Hollow::new(setup)?;
-    let times: Vec<Duration> = (0..QUERIES).map(|_| hollow.members(News::Full, setup.entries())).collect();
+    let times: Vec<Duration> =
+        (0..QUERIES).map(|_| hollow.members(EndpointUpdate::Full, setup.entries())).collect();
     Ok(least(&times))
 }
 
--- a/benches/scale/sockets.rs
+++ b/benches/scale/sockets.rs
@@ -6,7 +6,7 @@
 
 use allocation_counter::measure;
 use async_executor::LocalExecutor;
-use marlgap::balancer::interface::{Outcome, Phase, ShardId};
+use marlgap::balancer::interface::{EndpointState, Outcome, ShardId};
 use marlgap::coordinator::{Call, Step, Stop, Transport};
 use marlgap::net::data_nodes::{Carried, Entry, Nodes};
 use marlgap::net::descriptors::Descriptors;
@@ -99,7 +99,7 @@
     let log = slog::Logger::root(slog::Discard, slog::o!());
     let room = Rc::new(Descriptors::new(4 * connections));
     let nodes = Nodes::new(told, room, executor.clone(), log);
-    let entry = |n: usize| Entry { name: format!("n{n}"), address, phase: Phase::Ready, born: 0 };
+    let entry = |n: usize| Entry { name: format!("n{n}"), address, phase: EndpointState::Ready, born: 0 };
     let replicas: Vec<_> = (0..connections).map(|n| nodes.list(&entry(n))).collect();
     let carried = Rc::new(Carried::new("a1".to_owned(), vec![b's'; statement]));
     let mut served = 0;
@@ -109,7 +109,7 @@
             let call = Call::alone(*replica, carried.clone(), ShardId(0), Step::First, deadline);
             let (_hold, stop) = Stop::new();
             let ended = async_io::block_on(executor.run(nodes.clone().call(call, stop)));
-            served += usize::from(ended.outcome == Outcome::Served);
+            served += usize::from(ended.outcome == Outcome::Succeeded);
         }
     });
     assert_eq!(served, connections, "each is served");
--- a/benches/scale/state.rs
+++ b/benches/scale/state.rs
@@ -1,6 +1,6 @@
 //! Memory that a coordinator keeps, counted by the allocator: the list, the module, what is open, what was lately.
 use allocation_counter::measure;
-use marlgap::balancer::interface::{ColdRule, News, SettingsError};
+use marlgap::balancer::interface::{ColdRule, EndpointUpdate, SettingsError};
 use marlgap::net::discovery::List;
 
 use crate::client::{list, nowhere, Client};
@@ -46,7 +46,7 @@
     let info = measure(|| {
         let text = list(41, true, 0, data_nodes, ZONES, "up");
         let parsed: List = serde_json::from_str(&text).expect("the bench's own list");
-        client.take_over(&parsed, News::Full);
+        client.take_over(&parsed, EndpointUpdate::Full);
     });
     assert_eq!(client.known() as u64, data_nodes);
     (info.bytes_current as f64, info.bytes_max as f64)
@@ -64,7 +64,7 @@
 fn kept_of_list(setup: &Setup) -> Result<f64, SettingsError> {
     let mut hollow = Hollow::unlisted(setup)?;
     hollow.counting = true;
-    hollow.members(News::Full, setup.entries());
+    hollow.members(EndpointUpdate::Full, setup.entries());
     Ok(hollow.counts.kept as f64)
 }
 
--- a/benches/scale/walk.rs
+++ b/benches/scale/walk.rs
@@ -1,5 +1,5 @@
 //! The way from today's size to the target, all axes together: where on it each bound breaks.
-use marlgap::balancer::interface::{News, SettingsError};
+use marlgap::balancer::interface::{EndpointUpdate, SettingsError};
 
 use crate::client::{list, nowhere, Client};
 use crate::hollow::Setup;
@@ -147,9 +147,9 @@
     let (nodes, zones) = (sizes.data_nodes as u64, sizes.zones as u64);
     let client = Client::new(nodes, zones, nowhere());
     let known = list(41, true, 0, nodes, zones, "up");
-    client.take_over(&serde_json::from_str(&known).expect("the bench's own list"), News::Full);
+    client.take_over(&serde_json::from_str(&known).expect("the bench's own list"), EndpointUpdate::Full);
     let texts = ["draining", "up"].map(|health| list(42, false, 0, 1, zones, health));
-    let (parse, take) = parse_and_take(&client, &texts, News::Delta);
+    let (parse, take) = parse_and_take(&client, &texts, EndpointUpdate::Delta);
     parse + take
 }
 
--- a/src/balancer/admission.rs
+++ b/src/balancer/admission.rs
@@ -17,18 +17,20 @@
 
 impl Balancer {
     pub(super) fn take_query(&mut self, event: &Event) {
-        let &Event::Query { query, number, class: id, tenant, patience, repeat, .. } = event else { return };
+        let &Event::Query { query, number, class: id, tenant, time_left, is_retry, .. } = event else {
+            return;
+        };
         self.recent.taken.add(self.now);
         let Some(class) = self.s.classes.get(usize::from(id.0)).copied() else {
             return self.out.push(Action::Fail { query });
         };
         self.recent.ask(tenant, self.now);
         // A first try, where repeats are marked, has waited for nothing: a client may simply want it soon.
-        let first_try = self.s.marks_retry && !repeat;
-        let waited = self.waited(id, &class, patience) * f64::from(u8::from(!first_try));
+        let first_try = self.s.marks_retry && !is_retry;
+        let waited = self.waited(id, &class, time_left) * f64::from(u8::from(!first_try));
         let aim = self.now + class.aim - waited;
-        let q = Query::new(query, id, class, tenant, self.now + patience, aim);
-        self.out.push(Action::Timer { after: (patience - self.margin).max(0.0) });
+        let q = Query::new(query, id, class, tenant, self.now + time_left, aim);
+        self.out.push(Action::Timer { after: (time_left - self.margin).max(0.0) });
         // A number used again while its query is open: the old one still gets its answer.
         if let Some(mut old) = self.queries.remove(&number) {
             self.give_up(&old);
@@ -68,11 +70,12 @@
         let number = self.parts.get(&part).map(|p| p.number);
         let Some(class) = number.and_then(|n| self.queries.get(&n)).map(|q| q.class) else { return };
         let strain = self.expected(&class) / class.aim;
-        let worse = outcome == Outcome::TurnedAway || strain > STRAIN_HIGH;
+        let worse = outcome == Outcome::Rejected || strain > STRAIN_HIGH;
         if worse && self.now - self.pace.eased > self.pace.typical {
             self.pace.eased = self.now;
             self.pace.limit = (self.pace.limit * LIMIT_CUT).max(LIMIT_LEAST);
-        } else if outcome == Outcome::Served && strain < STRAIN_LOW && self.open() > 0.5 * self.pace.limit {
+        } else if outcome == Outcome::Succeeded && strain < STRAIN_LOW && self.open() > 0.5 * self.pace.limit
+        {
             self.pace.limit += LIMIT_STEP * ((self.now - self.pace.eased) / EASED).min(1.0);
         }
     }
--- a/src/balancer/attempts.rs
+++ b/src/balancer/attempts.rs
@@ -141,26 +141,29 @@
     }
 
     pub(crate) fn outcome(&mut self, event: &Event) {
-        let &Event::Outcome { part, attempt, replica, over, outcome, took, report } = event else { return };
+        let &Event::Outcome { part, attempt, replica, part_finished, outcome, elapsed, report } = event
+        else {
+            return;
+        };
         if let Some(flight) = self.landed(replica, (part, attempt)) {
             self.hear(replica, report);
-            if outcome == Outcome::Served && took.is_finite() && !flight.streams {
-                self.measure(replica, took);
+            if outcome == Outcome::Succeeded && elapsed.is_finite() && !flight.streams {
+                self.measure(replica, elapsed);
             }
             let ended = matches!(outcome, Outcome::Cancelled | Outcome::TimedOut);
-            if self.fleet.thin && ended && took.is_finite() {
-                self.unanswered_for(replica, took);
+            if self.fleet.thin && ended && elapsed.is_finite() {
+                self.unanswered_for(replica, elapsed);
             }
             self.steer(part, outcome);
-            self.judge(replica, outcome, took, flight);
+            self.judge(replica, outcome, elapsed, flight);
             self.note_outcome(part, replica, outcome);
             self.cancel_copies(replica);
         }
         let Some(p) = self.parts.get_mut(&part) else { return };
-        p.over |= over;
+        p.over |= part_finished;
         let Some(a) = p.attempts.get_mut(usize::from(attempt)).filter(|a| a.ended.is_none()) else { return };
         a.ended = Some(outcome);
-        if outcome == Outcome::Served {
+        if outcome == Outcome::Succeeded {
             p.served = true;
             self.call_off(part, None);
         }
@@ -168,12 +171,12 @@
 
     /// A value that streams counts as answered from its first message on; its own end ends the part.
     pub(crate) fn committed(&mut self, event: &Event) {
-        let &Event::Committed { part, attempt, replica, took } = event else { return };
+        let &Event::ResponseStarted { part, attempt, replica, elapsed } = event else { return };
         let flight = self.replicas.get_mut(&replica).and_then(|r| r.out.get_mut(&(part, attempt)));
         if let Some(flight) = flight.filter(|f| !f.streams) {
             (flight.streams, flight.silent) = (true, false);
             self.flights.remove(flight.sent, replica, (part, attempt));
-            self.measure(replica, took);
+            self.measure(replica, elapsed);
         }
         let Some(p) = self.parts.get_mut(&part) else { return };
         p.over = true;
@@ -183,7 +186,7 @@
     /// A pending copy is called off once its server reports a queue.
     fn cancel_copies(&mut self, id: ReplicaId) {
         let Some(r) = self.replicas.get(&id) else { return };
-        let queued = match (r.report.queue, r.report.in_flight) {
+        let queued = match (r.report.queue_depth, r.report.in_flight) {
             (Some(queue), _) => queue >= 0.5,
             (None, Some(held)) => held >= r.out.len() as f64 + 0.5,
             (None, None) => false,
--- a/src/balancer/bookkeeping.rs
+++ b/src/balancer/bookkeeping.rs
@@ -7,16 +7,16 @@
 
 impl Balancer {
     pub(crate) fn take_part(&mut self, event: &Event) {
-        let &Event::Part { part, number, shard, weight, spent, served } = event else { return };
+        let &Event::Part { part, number, shard, weight, prior_attempts, completed } = event else { return };
         self.recent.taken.add(self.now);
         self.recent.arrived.add(self.now);
         let Some(query) = self.queries.get_mut(&number) else { return };
         query.parts.push(part);
-        query.served += u32::from(served);
-        if served {
+        query.served += u32::from(completed);
+        if completed {
             query.brings(weight);
         }
-        let new = Part::new((number, query.in_class), shard, weight, spent, served);
+        let new = Part::new((number, query.in_class), shard, weight, prior_attempts, completed);
         if let Some(old) = self.parts.insert(part, new) {
             self.agenda.drop_part(part, old);
         }
@@ -24,7 +24,7 @@
     }
 
     /// Every answer refreshes its replica's entry; the rates of warm ones tell what one of these can serve.
-    pub(crate) fn hear(&mut self, id: ReplicaId, report: Option<Report>) {
+    pub(crate) fn hear(&mut self, id: ReplicaId, report: Option<LoadReport>) {
         let (Some(r), Some(report)) = (self.replicas.get_mut(&id), report) else { return };
         (r.report, r.heard) = (report, self.now);
         self.census.hear(id, r.load(), self.now);
@@ -38,7 +38,7 @@
     pub(crate) fn note_outcome(&mut self, part: PartId, replica: ReplicaId, outcome: Outcome) {
         let number = self.parts.get(&part).map(|p| p.number);
         let Some(q) = number.and_then(|n| self.queries.get_mut(&n)) else { return };
-        q.served += u32::from(outcome == Outcome::Served);
+        q.served += u32::from(outcome == Outcome::Succeeded);
         if outcome == Outcome::Reset && !q.broke.contains(&replica) {
             q.broke.push(replica);
         }
--- a/src/balancer/endpoints.rs
+++ b/src/balancer/endpoints.rs
@@ -8,20 +8,20 @@
 
 impl Balancer {
     /// A drain or a loss acts at once: only `Ready` replicas are drawn. A full list drops what it lacks.
-    pub(super) fn members(&mut self, news: News, entries: &[Listed]) {
+    pub(super) fn members(&mut self, news: EndpointUpdate, entries: &[Endpoint]) {
         match news {
-            News::Failed => {
+            EndpointUpdate::Failed => {
                 self.renew_at.get_or_insert(self.now + self.renew);
                 return self.out.push(Action::Timer { after: self.renew });
             }
-            News::Full | News::Cached => {
+            EndpointUpdate::Full | EndpointUpdate::Cached => {
                 let listed: BTreeSet<_> = entries.iter().map(|e| e.replica).collect();
                 for (id, r) in self.replicas.iter_mut().filter(|(id, _)| !listed.contains(id)) {
-                    r.leave(Phase::Gone, self.now);
+                    r.leave(EndpointState::Removed, self.now);
                     self.census.list(*id, r, self.s.cold.is_some());
                 }
             }
-            News::Delta => {}
+            EndpointUpdate::Delta => {}
         }
         self.renew = RENEW;
         entries.iter().for_each(|entry| self.list(entry));
@@ -30,8 +30,8 @@
     }
 
     /// A replica with a new start is a new process: what was held against the old one is dropped.
-    fn list(&mut self, entry: &Listed) {
-        if entry.phase == Phase::Gone && !self.replicas.contains_key(&entry.replica) {
+    fn list(&mut self, entry: &Endpoint) {
+        if entry.state == EndpointState::Removed && !self.replicas.contains_key(&entry.replica) {
             return;
         }
         let replica = self.replicas.entry(entry.replica).or_default();
@@ -42,7 +42,7 @@
             replica.phase = (self.rng.next_u32() as f64) / f64::from(u32::MAX);
         }
         self.census.place(entry.replica, replica.listed.cell, entry.cell);
-        replica.leave(entry.phase, self.now);
+        replica.leave(entry.state, self.now);
         replica.listed = *entry;
         self.census.list(entry.replica, replica, self.s.cold.is_some());
         self.moved(entry.replica, zone);
--- a/src/balancer/interface.rs
+++ b/src/balancer/interface.rs
@@ -1,4 +1,4 @@
-//! What goes into a [`Balancer`](crate::Balancer) and what comes out: plain types, no behaviour.
+//! The events that go into a [`Balancer`](crate::Balancer) and the actions that come out: plain types, no behaviour.
 //!
 //! One `Balancer` is made for each co-ordinator. Once a round it is handed the time and the events that
 //! came in since the last round, and gives back the actions to carry out, in order. Times are seconds on
@@ -15,26 +15,26 @@
 //! let settings = Settings { classes: vec![class], cells: 1, reach: 1, ..Settings::default() };
 //! let mut balancer = Balancer::new(settings, 42)?;
 //!
-//! let replica = Listed {
-//!     replica: ReplicaId(7), zone: ZoneId(0), cell: CellId(0), phase: Phase::Ready,
+//! let endpoint = Endpoint {
+//!     replica: ReplicaId(7), zone: ZoneId(0), cell: CellId(0), state: EndpointState::Ready,
 //!     weight: 1.0, started: None,
 //! };
 //! let query = Event::Query {
 //!     query: QueryId(1), number: QueryNumber(1), class: ClassId(0), tenant: TenantId(0),
-//!     patience: 2.0, parts: 1, repeat: false,
+//!     time_left: 2.0, parts: 1, is_retry: false,
 //! };
 //! let part = Event::Part { part: PartId(2), number: QueryNumber(1), shard: ShardId(0), weight: 1.0,
-//!     spent: 0, served: false };
-//! let listed = Event::Members { news: News::Full, entries: vec![replica] };
+//!     prior_attempts: 0, completed: false };
+//! let listed = Event::Endpoints { update: EndpointUpdate::Full, endpoints: vec![endpoint] };
 //! let actions = balancer.round(0.0, &[listed, query, part]);
 //! assert!(actions.iter().any(|a| matches!(a, Action::Send { part: PartId(2), .. })));
 //!
-//! let served = Event::Outcome {
-//!     part: PartId(2), attempt: 0, replica: ReplicaId(7), over: true, outcome: Outcome::Served,
-//!     took: 0.01, report: None,
+//! let succeeded = Event::Outcome {
+//!     part: PartId(2), attempt: 0, replica: ReplicaId(7), part_finished: true, outcome: Outcome::Succeeded,
+//!     elapsed: 0.01, report: None,
 //! };
-//! let actions = balancer.round(0.01, &[served]);
-//! assert!(actions.contains(&Action::Answer { query: QueryId(1), whole: true }));
+//! let actions = balancer.round(0.01, &[succeeded]);
+//! assert!(actions.contains(&Action::Answer { query: QueryId(1), complete: true }));
 //! # Ok::<(), SettingsError>(())
 //! ```
 
@@ -78,20 +78,20 @@
 
 /// State of a replica as discovery has it.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum Phase {
+pub enum EndpointState {
     Ready,
     Draining,
     #[default]
-    Gone,
+    Removed,
 }
 
 /// An entry of the list of replicas.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Listed {
+pub struct Endpoint {
     pub replica: ReplicaId,
     pub zone: ZoneId,
     pub cell: CellId,
-    pub phase: Phase,
+    pub state: EndpointState,
     pub weight: f64,
     /// When it last started, if that is known to be not long ago.
     pub started: Option<f64>,
@@ -99,7 +99,7 @@
 
 /// What kind of news a list is.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum News {
+pub enum EndpointUpdate {
     /// Changed entries only.
     Delta,
     /// The whole list.
@@ -112,15 +112,15 @@
 
 /// A replica's report of its load; what the deployment does not report is `None`.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Report {
+pub struct LoadReport {
     /// Parts waiting.
-    pub queue: Option<f64>,
+    pub queue_depth: Option<f64>,
     /// Requests held.
     pub in_flight: Option<f64>,
     /// Share of the processor that is busy.
-    pub busy: Option<f64>,
+    pub utilization: Option<f64>,
     /// Recent service time without waiting, in seconds.
-    pub service: Option<f64>,
+    pub service_time: Option<f64>,
     /// Requests served a second, of all co-ordinators together.
     pub rate: Option<f64>,
 }
@@ -128,36 +128,36 @@
 /// How an attempt ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Outcome {
-    Served,
+    Succeeded,
     /// An error; it may have run.
     Error,
     /// Turned away unseen.
-    TurnedAway,
+    Rejected,
     /// No answer in time; it may have run.
     TimedOut,
     /// No connection in time; it never ran.
-    NoConnection,
+    ConnectFailed,
     /// The connection broke, and its replica may be no more; it may have run.
     Reset,
     /// The connection is gone, by a fault of its own or of another part's answer, while its replica lives; it
     /// may have run.
-    Dropped,
+    ConnectionLost,
     /// Called off; it may have run.
     Cancelled,
     /// Never sent.
-    NotSent,
+    NeverSent,
 }
 
 impl Outcome {
     /// Whether it proves that the attempt never ran.
     pub fn never_ran(self) -> bool {
-        matches!(self, Outcome::TurnedAway | Outcome::NoConnection | Outcome::NotSent)
+        matches!(self, Outcome::Rejected | Outcome::ConnectFailed | Outcome::NeverSent)
     }
 
     /// Whether the attempt was told to have failed: neither served, nor turned away, nor left without an
     /// answer.
     pub fn failed(self) -> bool {
-        !matches!(self, Outcome::Served | Outcome::TurnedAway | Outcome::TimedOut | Outcome::Cancelled)
+        !matches!(self, Outcome::Succeeded | Outcome::Rejected | Outcome::TimedOut | Outcome::Cancelled)
     }
 }
 
@@ -171,11 +171,11 @@
         class: ClassId,
         tenant: TenantId,
         /// How long the client still waits.
-        patience: f64,
+        time_left: f64,
         /// Parts of the first step.
         parts: u32,
         /// The client's repeat, where clients mark these.
-        repeat: bool,
+        is_retry: bool,
     },
     Part {
         part: PartId,
@@ -185,41 +185,41 @@
         weight: f64,
         /// Attempts that an earlier owner of its query may have made: each may have run and counts among the
         /// part's. Ours are numbered from here on.
-        spent: u8,
+        prior_attempts: u8,
         /// An earlier owner had its value in: nothing is sent for it.
-        served: bool,
+        completed: bool,
     },
     Outcome {
         part: PartId,
         attempt: u8,
         replica: ReplicaId,
         /// The part is over.
-        over: bool,
+        part_finished: bool,
         outcome: Outcome,
-        took: f64,
-        report: Option<Report>,
+        elapsed: f64,
+        report: Option<LoadReport>,
     },
     /// Its value has begun to go to the client: its other attempts are called off, and there will be no more.
-    Committed {
+    ResponseStarted {
         part: PartId,
         attempt: u8,
         replica: ReplicaId,
         /// Time to the first of the value.
-        took: f64,
+        elapsed: f64,
     },
-    Probed {
+    HealthChecked {
         replica: ReplicaId,
-        ok: bool,
-        took: f64,
-        report: Option<Report>,
+        healthy: bool,
+        elapsed: f64,
+        report: Option<LoadReport>,
     },
     /// The client has left.
-    Withdrawn {
+    ClientDisconnected {
         query: QueryId,
     },
-    Members {
-        news: News,
-        entries: Vec<Listed>,
+    Endpoints {
+        update: EndpointUpdate,
+        endpoints: Vec<Endpoint>,
     },
     Timer,
 }
@@ -241,17 +241,17 @@
     /// End the query, or its first step, with what its parts brought.
     Answer {
         query: QueryId,
-        whole: bool,
+        complete: bool,
     },
     /// Send the query back; trying again is harmless.
-    Refuse {
+    Reject {
         query: QueryId,
         retry_after: Option<f64>,
     },
     Fail {
         query: QueryId,
     },
-    Probe {
+    HealthCheck {
         replica: ReplicaId,
     },
     /// Close our connections to a replica that carry nothing; the next attempt there opens a new one.
--- a/src/balancer/mod.rs
+++ b/src/balancer/mod.rs
@@ -133,14 +133,14 @@
 
     fn event(&mut self, event: &Event) {
         match *event {
-            Event::Members { news, ref entries } => self.members(news, entries),
+            Event::Endpoints { update, ref endpoints } => self.members(update, endpoints),
             Event::Query { .. } => self.take_query(event),
             Event::Part { .. } => self.take_part(event),
             Event::Outcome { part, .. } => self.ended(part, event),
-            Event::Committed { part, .. } => self.streams(part, event),
+            Event::ResponseStarted { part, .. } => self.streams(part, event),
             // A probe that failed may have waited behind parts: no proof of a bad replica.
-            Event::Probed { replica, report, .. } => self.hear(replica, report),
-            Event::Withdrawn { query } => self.withdrawn(query),
+            Event::HealthChecked { replica, report, .. } => self.hear(replica, report),
+            Event::ClientDisconnected { query } => self.withdrawn(query),
             Event::Timer => {}
         }
     }
@@ -157,7 +157,7 @@
             self.census.asked.set(replica, now);
             self.replicas.entry(replica).and_modify(|r| r.probed = now);
             self.recent.probes.add(now);
-            self.out.push(Action::Probe { replica });
+            self.out.push(Action::HealthCheck { replica });
         }
     }
 }
--- a/src/balancer/outlier_detection.rs
+++ b/src/balancer/outlier_detection.rs
@@ -31,13 +31,13 @@
         r.used = now;
         let zone = r.listed.zone;
         match outcome {
-            Outcome::Served | Outcome::TurnedAway | Outcome::Error => self.fleet.hear(zone, now),
-            Outcome::NoConnection => self.fleet.hush(zone, id, flight.sent, ROOM_LEAST),
+            Outcome::Succeeded | Outcome::Rejected | Outcome::Error => self.fleet.hear(zone, now),
+            Outcome::ConnectFailed => self.fleet.hush(zone, id, flight.sent, ROOM_LEAST),
             _ => {}
         }
         match outcome {
-            Outcome::TurnedAway => (r.rest, r.full) = (now + FULL_REST, r.out.len()),
-            Outcome::Served => {
+            Outcome::Rejected => (r.rest, r.full) = (now + FULL_REST, r.out.len()),
+            Outcome::Succeeded => {
                 self.recent.unanswered[usize::from(flight.paused)] *= 1.0 - GAIN;
                 if r.ready() && r.cold_since(now, self.s.cold).is_none() {
                     self.recent.borne.add(now);
@@ -46,13 +46,13 @@
                 r.whole.served(self.now, flight.sent);
                 r.classes.entry(flight.class).or_default().served(self.now, flight.sent);
             }
-            Outcome::Reset | Outcome::NoConnection => {
+            Outcome::Reset | Outcome::ConnectFailed => {
                 if outcome == Outcome::Reset || took < DIED_WITHIN * self.pace.typical {
                     self.recent.suspect = self.now + SUSPECT;
                 }
                 r.used = 0.0;
                 // Guards a part's few attempts: all would be spent on it where the others rest.
-                if outcome == Outcome::NoConnection {
+                if outcome == Outcome::ConnectFailed {
                     (r.rest, r.full) = (now + FULL_REST, 0);
                 }
                 self.recent.unanswered[0] += GAIN * (1.0 - self.recent.unanswered[0]);
@@ -60,11 +60,11 @@
             }
             Outcome::Error => self.blame(id, flight, ERROR_GAIN, false),
             // Sound replicas close connections too; one that does nothing else is found out.
-            Outcome::Dropped => self.blame(id, flight, DROP_GAIN, false),
+            Outcome::ConnectionLost => self.blame(id, flight, DROP_GAIN, false),
             Outcome::Cancelled if took <= HEDGE_TAIL * self.pace.tail => {}
             Outcome::TimedOut | Outcome::Cancelled if flight.silent => {}
             Outcome::TimedOut | Outcome::Cancelled => self.unanswered(id, flight, ERROR_GAIN),
-            Outcome::NotSent => {}
+            Outcome::NeverSent => {}
         }
     }
 
--- a/src/balancer/query_progress.rs
+++ b/src/balancer/query_progress.rs
@@ -43,7 +43,7 @@
         }
         if done {
             let whole = whole && query.first.unwrap_or(true);
-            self.out.push(Action::Answer { query: query.id, whole });
+            self.out.push(Action::Answer { query: query.id, complete: whole });
             query.first = Some(whole);
             return if second { Verdict::Step } else { Verdict::Over };
         }
@@ -60,7 +60,7 @@
         let attempts = query.parts.iter().filter_map(|id| self.parts.get(id)).flat_map(|p| &p.attempts);
         let ran = query.first.is_some() || { attempts }.any(|a| !a.never_ran());
         let (safe, query) = (query.class.effect == Effect::Safe || !ran, query.id);
-        let refuse = Action::Refuse { query, retry_after: self.s.retry_after };
+        let refuse = Action::Reject { query, retry_after: self.s.retry_after };
         self.out.push(if safe { refuse } else { Action::Fail { query } });
     }
 
--- a/src/balancer/replica_selection.rs
+++ b/src/balancer/replica_selection.rs
@@ -77,7 +77,7 @@
     pub(super) fn shorter(&self, pair: &[ReplicaId]) -> Option<ReplicaId> {
         let key = |id: &ReplicaId| {
             let r = &self.replicas[id];
-            let busy = match (self.s.reports, r.report.busy) {
+            let busy = match (self.s.reports, r.report.utilization) {
                 (Reports::Inline, busy) if !self.fleet.thin || busy.is_some() => 4.0 * busy.unwrap_or(0.0),
                 _ => 2.0 * self.usual_time(*id) / self.pace.typical.max(1e-6),
             } as i64;
--- a/src/balancer/state/mod.rs
+++ b/src/balancer/state/mod.rs
@@ -252,10 +252,10 @@
 
 #[derive(Default)]
 pub struct Replica {
-    pub listed: Listed,
+    pub listed: Endpoint,
     /// Since when it is gone, if it is.
     pub gone: f64,
-    pub report: Report,
+    pub report: LoadReport,
     pub heard: f64,
     pub probed: f64,
     pub used: f64,
@@ -295,12 +295,12 @@
 
 impl Replica {
     pub fn ready(&self) -> bool {
-        self.listed.phase == Phase::Ready
+        self.listed.state == EndpointState::Ready
     }
 
     /// The load that it last reported: its queue, else what it holds.
     pub fn load(&self) -> Option<f64> {
-        self.report.queue.or(self.report.in_flight)
+        self.report.queue_depth.or(self.report.in_flight)
     }
 
     /// Whether it owes an answer for so long that this was noticed.
@@ -309,11 +309,11 @@
     }
 
     /// Note its state; since when it is gone, if it now is.
-    pub fn leave(&mut self, phase: Phase, now: f64) {
-        if self.listed.phase != Phase::Gone {
+    pub fn leave(&mut self, phase: EndpointState, now: f64) {
+        if self.listed.state != EndpointState::Removed {
             self.gone = now;
         }
-        self.listed.phase = phase;
+        self.listed.state = phase;
     }
 
     /// When it started, if it may still be cold: within the ramp that the rule tells.
--- a/src/balancer/state/replica_index.rs
+++ b/src/balancer/state/replica_index.rs
@@ -53,9 +53,9 @@
             Some(start) => self.cold.set(id, start),
             None => drop(self.cold.remove(id)),
         }
-        match replica.listed.phase {
-            Phase::Gone if !self.owing.contains(&id) => self.gone.set(id, replica.gone),
-            Phase::Gone => {}
+        match replica.listed.state {
+            EndpointState::Removed if !self.owing.contains(&id) => self.gone.set(id, replica.gone),
+            EndpointState::Removed => {}
             _ => drop((self.gone.remove(id), self.owing.remove(&id))),
         }
         self.recount(before, id);
@@ -189,7 +189,7 @@
             (self.fresh.keys().collect::<BTreeSet<_>>() == ids(&told), "fresh"),
             (self.loads.keys().copied().collect::<BTreeSet<_>>() == ids(&told), "loads"),
             ((self.average() - mean).abs() <= 1e-9 * mean.abs().max(1.0), "average"),
-            (gone == ids(&|r| r.listed.phase == Phase::Gone), "gone"),
+            (gone == ids(&|r| r.listed.state == EndpointState::Removed), "gone"),
             (replicas.iter().all(at_home) && placed == self.places.len() && known, "cells"),
         ];
         cases.into_iter().find(|(same, _)| !same).map_or(Ok(()), |(_, what)| Err(what))
--- a/src/cli/show.rs
+++ b/src/cli/show.rs
@@ -2,7 +2,7 @@
 use std::fmt::Write;
 use std::path::Path;
 
-use crate::balancer::interface::{Effect, Phase, ShardId};
+use crate::balancer::interface::{Effect, EndpointState, ShardId};
 use crate::config::operator::{Grpc, Operator, OperatorError, Source};
 use crate::config::settings::Deployment;
 use crate::grpc_routing::{As, Route, ShardFrom};
@@ -44,7 +44,7 @@
 fn holders<'s>(told: &Deployment, servers: &'s [Server], shard: ShardId) -> Vec<&'s Server> {
     let (cells, reach) = (told.settings.cells, told.settings.reach);
     let row = |cell: u32| (0..reach.min(cells)).any(|j| (shard.0 % cells + j) % cells == cell);
-    let held = |s: &&Server| s.phase == Phase::Ready && row(u32::from(s.cell));
+    let held = |s: &&Server| s.phase == EndpointState::Ready && row(u32::from(s.cell));
     servers.iter().filter(held).collect()
 }
 
--- a/src/config/settings.rs
+++ b/src/config/settings.rs
@@ -89,15 +89,15 @@
 }
 
 /// A load report from its values, in the order in which the settings name them.
-pub fn report(names: &[ReportValue], values: impl Iterator<Item = f64>) -> Report {
-    let mut out = Report::default();
+pub fn report(names: &[ReportValue], values: impl Iterator<Item = f64>) -> LoadReport {
+    let mut out = LoadReport::default();
     for (name, value) in names.iter().zip(values) {
         let value = Some(value).filter(|v| v.is_finite());
         match name {
-            ReportValue::Queue => out.queue = value,
+            ReportValue::Queue => out.queue_depth = value,
             ReportValue::InFlight => out.in_flight = value,
-            ReportValue::Busy => out.busy = value,
-            ReportValue::ServiceMs => out.service = value.map(|ms| ms / 1000.0),
+            ReportValue::Busy => out.utilization = value,
+            ReportValue::ServiceMs => out.service_time = value.map(|ms| ms / 1000.0),
             ReportValue::Rate => out.rate = value,
             ReportValue::Other => {}
         }
--- a/src/connection_pool/mod.rs
+++ b/src/connection_pool/mod.rs
@@ -11,7 +11,7 @@
 
 use serde::Deserialize;
 
-use crate::balancer::interface::{Phase, ReplicaId};
+use crate::balancer::interface::{EndpointState, ReplicaId};
 
 /// Bounds of the connections to one server. Times are seconds.
 #[derive(Clone, Debug, Deserialize)]
@@ -148,7 +148,7 @@
 
 #[derive(Debug)]
 struct Server {
-    phase: Phase,
+    phase: EndpointState,
     failures: u32,
     rests: Option<Instant>,
     connections: BTreeMap<ConnectionId, Connection>,
@@ -170,11 +170,11 @@
 
     /// A server's phase, as its records have it. One that is not ready gets nothing new from here on; what it is
     /// doing it may finish.
-    pub fn phase(&mut self, now: Instant, server: ReplicaId, phase: Phase) {
+    pub fn phase(&mut self, now: Instant, server: ReplicaId, phase: EndpointState) {
         let new = || Server { phase, failures: 0, rests: None, connections: BTreeMap::new() };
         let held = self.servers.entry(server).or_insert_with(new);
         held.phase = phase;
-        if phase != Phase::Ready {
+        if phase != EndpointState::Ready {
             held.connections.values_mut().for_each(|c| c.drain(now));
         }
     }
@@ -190,7 +190,11 @@
 
     /// Forget a server that is gone and carries nothing.
     pub fn remove(&mut self, server: ReplicaId) {
-        if self.servers.get(&server).is_some_and(|s| s.connections.is_empty() && s.phase == Phase::Gone) {
+        if self
+            .servers
+            .get(&server)
+            .is_some_and(|s| s.connections.is_empty() && s.phase == EndpointState::Removed)
+        {
             self.servers.remove(&server);
         }
     }
@@ -202,7 +206,7 @@
     /// would fill.
     pub fn assign(&mut self, now: Instant, server: ReplicaId, waiting: usize) -> Assign {
         let limits = &self.limits;
-        let Some(held) = self.servers.get_mut(&server).filter(|s| s.phase == Phase::Ready) else {
+        let Some(held) = self.servers.get_mut(&server).filter(|s| s.phase == EndpointState::Ready) else {
             return Assign::NotReady;
         };
         let free = held.connections.iter_mut().filter(|(_, c)| c.takes());
--- a/src/coordinator/attempt.rs
+++ b/src/coordinator/attempt.rs
@@ -89,7 +89,7 @@
     pub outcome: Outcome,
     /// The part's value and its score, if it was served.
     pub served: Option<(Value, f64)>,
-    pub report: Option<Report>,
+    pub report: Option<LoadReport>,
 }
 
 impl From<Outcome> for Ended {
@@ -103,7 +103,7 @@
     type Carried: 'static;
     fn call(self: Rc<Self>, call: Call<Self>, stop: Stop) -> impl Future<Output = Ended>;
     /// Whether the replica answered, and its report.
-    fn probe(self: Rc<Self>, replica: ReplicaId) -> impl Future<Output = (bool, Option<Report>)>;
+    fn probe(self: Rc<Self>, replica: ReplicaId) -> impl Future<Output = (bool, Option<LoadReport>)>;
     fn close_idle(&self, replica: ReplicaId);
 }
 
@@ -119,15 +119,15 @@
     ) {
         let held = state.parts.get_mut(&part).and_then(|p| Some((state.open.get(&p.query)?, p)));
         let Some((open, held)) = held.filter(|(_, p)| u32::from(p.attempts) < self.most_tries) else {
-            let (attempt, outcome) = (u8::MAX, Outcome::NotSent);
+            let (attempt, outcome) = (u8::MAX, Outcome::NeverSent);
             let over = true;
             state.events.push(Event::Outcome {
                 part,
                 attempt,
                 replica,
-                over,
+                part_finished: over,
                 outcome,
-                took: 0.0,
+                elapsed: 0.0,
                 report: None,
             });
             return;
@@ -181,7 +181,7 @@
         let sent = *sent;
         let ended = match granted && !stop.called_off() {
             true => self.transport.clone().call(call, stop).await,
-            false => Outcome::NotSent.into(),
+            false => Outcome::NeverSent.into(),
         };
         match &ended.served {
             Some((value, score)) if self.wants(part, attempt) => gate.value(step, shard, value, *score),
@@ -207,7 +207,7 @@
         let others = (0..part.attempts).filter(|n| *n != attempt);
         others.for_each(|n| drop(state.stops.remove(&(id, n))));
         let took = sent.elapsed().as_secs_f64();
-        state.events.push(Event::Committed { part: id, attempt, replica, took });
+        state.events.push(Event::ResponseStarted { part: id, attempt, replica, elapsed: took });
         self.wake.notify(1);
         true
     }
@@ -226,7 +226,15 @@
         drop(state);
         let (outcome, report) = (ended.outcome, ended.report);
         let took = sent.elapsed().as_secs_f64();
-        self.tell(Event::Outcome { part: id, attempt, replica, over, outcome, took, report });
+        self.tell(Event::Outcome {
+            part: id,
+            attempt,
+            replica,
+            part_finished: over,
+            outcome,
+            elapsed: took,
+            report,
+        });
     }
 }
 
--- a/src/coordinator/mod.rs
+++ b/src/coordinator/mod.rs
@@ -176,8 +176,8 @@
     }
 
     /// News of the list of replicas.
-    pub fn members(&self, news: News, entries: Vec<Listed>) {
-        self.state.borrow_mut().events.push(Event::Members { news, entries });
+    pub fn members(&self, news: EndpointUpdate, entries: Vec<Endpoint>) {
+        self.state.borrow_mut().events.push(Event::Endpoints { update: news, endpoints: entries });
         self.wake.notify(1);
     }
 
@@ -214,7 +214,7 @@
         let state = &mut *self.state.borrow_mut();
         let now = Instant::now();
         let events = std::mem::take(&mut state.events);
-        let listed = |e: &Event| matches!(e, Event::Members { entries, .. } if !entries.is_empty());
+        let listed = |e: &Event| matches!(e, Event::Endpoints { endpoints, .. } if !endpoints.is_empty());
         self.listed.set(self.listed.get() || events.iter().any(listed));
         for action in state.balancer.round(self.clock.at(now), &events) {
             self.act(state, now, action);
@@ -226,8 +226,8 @@
             Action::Send { part, replica, timeout } => self.send(state, now, part, replica, timeout),
             // Its attempt resolves as called off, unless another outcome is already on its way.
             Action::Cancel { part, attempt } => drop(state.stops.remove(&(part, attempt))),
-            Action::Answer { query, whole } => self.answer(state, query, whole),
-            Action::Refuse { query, retry_after } => {
+            Action::Answer { query, complete } => self.answer(state, query, complete),
+            Action::Reject { query, retry_after } => {
                 self.count(|c| c.refused += 1);
                 state.end(query, Final::Refused { retry_after });
             }
@@ -235,12 +235,12 @@
                 self.count(|c| c.failed += 1);
                 state.end(query, Final::Failed);
             }
-            Action::Probe { replica } => {
+            Action::HealthCheck { replica } => {
                 let (core, transport) = (self.clone(), self.transport.clone());
                 let probe = async move {
                     let (ok, report) = transport.probe(replica).await;
                     let took = now.elapsed().as_secs_f64();
-                    core.tell(Event::Probed { replica, ok, took, report });
+                    core.tell(Event::HealthChecked { replica, healthy: ok, elapsed: took, report });
                 };
                 self.executor.spawn(probe).detach();
             }
@@ -284,7 +284,14 @@
             let repeats = open.window.map(Repeats::within);
             let held = Part { query, shard, step, value, attempts, cleared, committed, repeats };
             self.parts.insert(part, held);
-            self.events.push(Event::Part { part, number, shard, weight, spent, served });
+            self.events.push(Event::Part {
+                part,
+                number,
+                shard,
+                weight,
+                prior_attempts: spent,
+                completed: served,
+            });
         }
     }
 
--- a/src/coordinator/query.rs
+++ b/src/coordinator/query.rs
@@ -116,9 +116,9 @@
             number,
             class: query.class,
             tenant: query.tenant,
-            patience: query.deadline.saturating_duration_since(now).as_secs_f64(),
+            time_left: query.deadline.saturating_duration_since(now).as_secs_f64(),
             parts: query.parts.len() as u32,
-            repeat: query.repeat,
+            is_retry: query.repeat,
         });
         let mut open = Open {
             number,
@@ -142,7 +142,7 @@
         let mut state = self.state.borrow_mut();
         if let Some(open) = state.open.remove(&id) {
             open.parts.iter().for_each(|p| drop(state.leave(*p)));
-            state.events.push(Event::Withdrawn { query: id });
+            state.events.push(Event::ClientDisconnected { query: id });
             self.count(|c| c.withdrawn += 1);
             self.wake.notify(1);
         }
--- a/src/net/data_nodes/connection.rs
+++ b/src/net/data_nodes/connection.rs
@@ -19,7 +19,7 @@
 const MOST_LATE: usize = 64;
 
 /// Where the answer to a probe goes: whether the data node answered, and its report.
-pub type Probe = Sender<(bool, Option<Report>)>;
+pub type Probe = Sender<(bool, Option<LoadReport>)>;
 pub type Ending = (Sender<Ended>, Receiver<Ended>);
 
 /// A part on a connection.
@@ -160,7 +160,7 @@
         let mut lost = waiting.split_off(0);
         ended(&lost.drain(spoilt..(spoilt + 1).min(lost.len())).collect::<Vec<_>>(), Outcome::Error);
         if !alone {
-            ended(&lost, Outcome::Dropped);
+            ended(&lost, Outcome::ConnectionLost);
         }
     }
 
--- a/src/net/data_nodes/exchange.rs
+++ b/src/net/data_nodes/exchange.rs
@@ -75,10 +75,10 @@
                     let lives = silent || (!known && self.lives(replica).await);
                     // What we closed by ourselves nobody refused.
                     let refused = !known && !lives;
-                    ended(&unsent, if refused { Outcome::NoConnection } else { Outcome::NotSent });
+                    ended(&unsent, if refused { Outcome::ConnectFailed } else { Outcome::NeverSent });
                     // What fell silent may still be worked on, and never hears of our close.
                     if !(silent && self.alone()) {
-                        ended(&lost, if lives { Outcome::Dropped } else { Outcome::Reset });
+                        ended(&lost, if lives { Outcome::ConnectionLost } else { Outcome::Reset });
                     }
                 }
                 return;
@@ -86,12 +86,12 @@
             Some(Err(e)) => {
                 debug!(self.log, "no connection"; "replica" => replica.0, "error" => %e);
                 match e {
-                    ConnectError::Local(_) => Outcome::NotSent,
-                    ConnectError::Refused(_) | ConnectError::Late => Outcome::NoConnection,
+                    ConnectError::Local(_) => Outcome::NeverSent,
+                    ConnectError::Refused(_) | ConnectError::Late => Outcome::ConnectFailed,
                 }
             }
             // Closed by ourselves: its data node moved, or is another process now, which refused nothing.
-            None => Outcome::NotSent,
+            None => Outcome::NeverSent,
         };
         let [unsent, _] = connection.end();
         ended(&unsent, outcome);
@@ -186,7 +186,7 @@
         bytes: &mut Vec<u8>,
     ) -> (Vec<Rc<Item>>, Option<Probe>) {
         let nodes = self.nodes.borrow();
-        let node = nodes.get(&replica).filter(|n| n.phase == Phase::Ready);
+        let node = nodes.get(&replica).filter(|n| n.phase == EndpointState::Ready);
         let mut queue = connection.queue.borrow_mut();
         let (mut parts, now) = (Vec::new(), Instant::now());
         let per_call = self.told.settings.per_call.max(1) as usize;
@@ -221,7 +221,7 @@
                             debug!(self.log, "not sent"; "id" => &item.id, "replica" => replica.0, "why" => ?denied);
                             // Otherwise its attempt has ended, or is about to be told so.
                             if matches!(denied, Denied::ReplicaNotReady | Denied::WindowOver) {
-                                drop(item.end.0.try_send(Outcome::NotSent.into()));
+                                drop(item.end.0.try_send(Outcome::NeverSent.into()));
                             }
                             continue;
                         }
@@ -342,13 +342,13 @@
                 let report = self.report(report);
                 let (outcome, served) = match end {
                     // Copied: the value outlives the buffer, until its query is answered.
-                    frames::End::Served => (Outcome::Served, Some((value.into(), score))),
+                    frames::End::Served => (Outcome::Succeeded, Some((value.into(), score))),
                     frames::End::Broke => (Outcome::Error, None),
                     frames::End::Skipped if item.carried.turned_away(&item.id, connection) => {
-                        (Outcome::TurnedAway, None)
+                        (Outcome::Rejected, None)
                     }
                     // The one before may have come twice: this proves nothing.
-                    frames::End::Skipped => (Outcome::Dropped, None),
+                    frames::End::Skipped => (Outcome::ConnectionLost, None),
                 };
                 drop(item.end.0.try_send(Ended { outcome, served, report }));
             }
@@ -365,7 +365,7 @@
         true
     }
 
-    fn report(&self, report: &str) -> Option<Report> {
+    fn report(&self, report: &str) -> Option<LoadReport> {
         let values = self.told.report_names.iter().map(|name| frames::reported(report, name));
         (report != "-").then(|| settings::report(&self.told.reports, values))
     }
--- a/src/net/data_nodes/mod.rs
+++ b/src/net/data_nodes/mod.rs
@@ -62,7 +62,7 @@
 
 struct Node {
     address: SocketAddr,
-    phase: Phase,
+    phase: EndpointState,
     /// Since when it is gone, if it is.
     gone: Option<Instant>,
     /// Counts its starts, as far as we were told of them.
@@ -77,7 +77,7 @@
     /// Note since when it is gone.
     fn leave(&mut self) {
         let since = self.gone.unwrap_or_else(Instant::now);
-        self.gone = (self.phase == Phase::Gone).then_some(since);
+        self.gone = (self.phase == EndpointState::Removed).then_some(since);
     }
 }
 
@@ -85,7 +85,7 @@
 pub struct Entry {
     pub name: String,
     pub address: SocketAddr,
-    pub phase: Phase,
+    pub phase: EndpointState,
     pub born: u64,
 }
 
@@ -135,7 +135,7 @@
     pub fn forget(&self, now: Instant) {
         let mut nodes = self.nodes.borrow_mut();
         nodes.retain(|_, node| {
-            if node.phase != Phase::Ready {
+            if node.phase != EndpointState::Ready {
                 node.connections.iter().filter(|c| c.idle()).for_each(|c| c.close());
                 node.connections.retain(|c| !c.closed.get());
             }
@@ -180,7 +180,7 @@
     pub fn keep_only(&self, listed: &BTreeSet<ReplicaId>) {
         for (id, node) in self.nodes.borrow_mut().iter_mut() {
             if !listed.contains(id) {
-                node.phase = Phase::Gone;
+                node.phase = EndpointState::Removed;
                 node.leave();
             }
         }
@@ -190,7 +190,7 @@
     /// that carries least.
     fn connection(self: &Rc<Self>, replica: ReplicaId) -> Option<(Rc<Connection>, u64)> {
         let mut nodes = self.nodes.borrow_mut();
-        let node = nodes.get_mut(&replica).filter(|n| n.phase == Phase::Ready)?;
+        let node = nodes.get_mut(&replica).filter(|n| n.phase == EndpointState::Ready)?;
         let now = Instant::now();
         node.connections.iter().for_each(|c| c.hush(now, DEAD));
         node.connections.retain(|c| !c.closed.get());
@@ -236,7 +236,9 @@
         let latest = Instant::now() + LIVES;
         let fresh = {
             let mut nodes = self.nodes.borrow_mut();
-            let Some(node) = nodes.get_mut(&replica).filter(|n| n.phase == Phase::Ready) else { return true };
+            let Some(node) = nodes.get_mut(&replica).filter(|n| n.phase == EndpointState::Ready) else {
+                return true;
+            };
             node.connections.retain(|c| !c.closed.get());
             self.open(&mut nodes, replica)
         };
@@ -252,7 +254,7 @@
     /// The life of one attempt: a place on a connection, the write, and the one thing that ends it.
     async fn call(self: Rc<Self>, call: Call<Self>, stop: Stop) -> Ended {
         let Some((connection, life)) = self.connection(call.replica) else {
-            return Outcome::NotSent.into();
+            return Outcome::NeverSent.into();
         };
         let second = if call.step == Step::First { "" } else { ".b" };
         let item = Rc::new(Item {
@@ -282,7 +284,7 @@
         ended
     }
 
-    async fn probe(self: Rc<Self>, replica: ReplicaId) -> (bool, Option<Report>) {
+    async fn probe(self: Rc<Self>, replica: ReplicaId) -> (bool, Option<LoadReport>) {
         let latest = Instant::now() + PROBE_WAIT;
         let Some((connection, _)) = self.connection(replica) else { return (false, None) };
         let letter = if self.told.settings.reports == Reports::OnProbe { b'l' } else { b'p' };
--- a/src/net/discovery/mod.rs
+++ b/src/net/discovery/mod.rs
@@ -20,7 +20,7 @@
 use super::http::{self, HttpError, Kind};
 use super::socket::{self, ConnectError, Stream};
 use super::{by, Ration};
-use crate::balancer::interface::{self, CellId, Listed, News, Phase, ZoneId};
+use crate::balancer::interface::{self, CellId, Endpoint, EndpointState, EndpointUpdate, ZoneId};
 use crate::coordinator::{Clock, Core};
 use crate::send_policy::{self, StartNotice};
 use crate::subsetting::{self, Subset};
@@ -68,27 +68,27 @@
     }
 
     /// Hand a list on: to the connections first, whose writes it may stop, then to the module.
-    pub fn apply(&self, list: &List, news: News) {
+    pub fn apply(&self, list: &List, news: EndpointUpdate) {
         let clock = self.core.clock();
-        let entries: Vec<Listed> = list.hosts.iter().filter_map(|h| self.entry(h, &clock)).collect();
-        if news != News::Delta {
+        let entries: Vec<Endpoint> = list.hosts.iter().filter_map(|h| self.entry(h, &clock)).collect();
+        if news != EndpointUpdate::Delta {
             self.nodes.keep_only(&entries.iter().map(|e| e.replica).collect());
         }
-        info!(self.log, "list of data nodes"; "seq" => list.seq, "whole" => news != News::Delta,
+        info!(self.log, "list of data nodes"; "seq" => list.seq, "whole" => news != EndpointUpdate::Delta,
             "entries" => entries.len());
         self.nodes.forget(Instant::now());
         let entries = self.subset.borrow_mut().update(news, entries);
         self.core.members(news, entries);
     }
 
-    fn entry(&self, host: &Host, clock: &Clock) -> Option<Listed> {
+    fn entry(&self, host: &Host, clock: &Clock) -> Option<Endpoint> {
         let phase = match &*host.health {
-            "up" => Phase::Ready,
-            "draining" => Phase::Draining,
-            _ => Phase::Gone,
+            "up" => EndpointState::Ready,
+            "draining" => EndpointState::Draining,
+            _ => EndpointState::Removed,
         };
         // Nobody dials what wants nothing new: guards against a drain that goes unheard for want of an address.
-        let unused = (phase != Phase::Ready).then_some(SocketAddr::from(([0, 0, 0, 0], 0)));
+        let unused = (phase != EndpointState::Ready).then_some(SocketAddr::from(([0, 0, 0, 0], 0)));
         let address = host.dial.parse().ok();
         if address.is_none() {
             warn!(self.log, "unusable address of a data node"; "host" => &*host.host, "dial" => &*host.dial);
@@ -103,7 +103,7 @@
         });
         let zone = self.zones.iter().position(|z| *z == host.site).map_or(u8::MAX, |n| n as u8);
         let (cell, weight) = (CellId(host.block), host.share);
-        Some(Listed { replica, zone: ZoneId(zone), cell, phase, weight, started })
+        Some(Endpoint { replica, zone: ZoneId(zone), cell, state: phase, weight, started })
     }
 
     /// Follow the list for as long as the program runs. `known` is the list as we last had it, maybe old. Where lists
@@ -112,14 +112,14 @@
     pub async fn run(self, known: Option<&List<'_>>) {
         let mut seq = None;
         if let Some(known) = known.filter(|_| !self.terms.pushed) {
-            self.apply(known, News::Cached);
+            self.apply(known, EndpointUpdate::Cached);
             seq = Some(known.seq);
         }
         let late = async {
             Timer::at(Instant::now() + START).await;
             if !self.core.ready() {
                 warn!(self.log, "no list from discovery yet"; "known" => known.map(|k| k.hosts.len()));
-                known.iter().for_each(|k| self.apply(k, News::Cached));
+                known.iter().for_each(|k| self.apply(k, EndpointUpdate::Cached));
                 self.core.go_on();
             }
             std::future::pending().await
@@ -172,7 +172,7 @@
                         "seq" => seq);
                     // Asked for before this end: it was begun already.
                     while subscriptions.try_recv().is_ok() {}
-                    self.core.members(News::Failed, Vec::new());
+                    self.core.members(EndpointUpdate::Failed, Vec::new());
                     latest = Some(Instant::now() + PAUSE);
                 }
             }
--- a/src/net/discovery/version.rs
+++ b/src/net/discovery/version.rs
@@ -2,7 +2,7 @@
 use std::net::SocketAddr;
 
 use super::list::{DiscoveryError, List};
-use crate::balancer::interface::News;
+use crate::balancer::interface::EndpointUpdate;
 
 /// A call for the whole list; with a version, for what changed since, held for so long at most.
 pub fn call(address: SocketAddr, seq: Option<u64>, hold_ms: u64) -> String {
@@ -16,7 +16,7 @@
     /// The version held from now on; none: the whole list is asked for next.
     pub seq: Option<u64>,
     /// How its entries are handed on, if they are.
-    pub news: Option<News>,
+    pub news: Option<EndpointUpdate>,
     /// It is another version than ours was.
     pub newer: bool,
     /// Changes of a version before ours: they build on a list that we do not have.
@@ -31,8 +31,8 @@
     }
     let same = pushed && ours == Some(list.seq);
     let news = match list.whole {
-        true => (!same).then_some(News::Full),
-        false => (!list.hosts.is_empty()).then_some(News::Delta),
+        true => (!same).then_some(EndpointUpdate::Full),
+        false => (!list.hosts.is_empty()).then_some(EndpointUpdate::Delta),
     };
     Ok(Taken { seq: Some(list.seq), news, newer: ours != Some(list.seq), back: false })
 }
--- a/src/net/dns_sd/watcher.rs
+++ b/src/net/dns_sd/watcher.rs
@@ -50,9 +50,9 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Change {
     /// It is on the list, as it was or in another phase.
-    Listed(Phase),
+    Listed(EndpointState),
     /// It is another process now, or at another place: what leads to the old one is of no more use.
-    Moved(Phase),
+    Moved(EndpointState),
     /// It is on the list no more: a drain.
     Gone,
 }
@@ -71,11 +71,11 @@
         servers: &[Server],
         zones: &[String],
         clock: &Clock,
-    ) -> (Vec<Listed>, Vec<(ReplicaId, Change)>) {
+    ) -> (Vec<Endpoint>, Vec<(ReplicaId, Change)>) {
         let mut changes = Vec::new();
         for (id, old) in &mut self.members {
             if !servers.iter().any(|s| s.name == old.server.name) {
-                old.server.phase = Phase::Gone;
+                old.server.phase = EndpointState::Removed;
                 changes.push((*id, Change::Gone));
             }
         }
@@ -91,11 +91,11 @@
             let change = if moved { Change::Moved } else { Change::Listed };
             changes.push((replica, change(server.phase)));
             let zone = zones.iter().position(|z| *z == server.zone).map_or(u8::MAX, |n| n as u8);
-            listed.push(Listed {
+            listed.push(Endpoint {
                 replica,
                 zone: ZoneId(zone),
                 cell: CellId(server.cell),
-                phase: server.phase,
+                state: server.phase,
                 weight: server.weight,
                 // A start that is still to come is one of a clock that disagrees with ours.
                 started: clock.born(server.born).map(|at| at.min(now)),
@@ -110,7 +110,7 @@
 
     /// Where a server is and which life of it, if it wants anything new.
     pub fn ready(&self, replica: ReplicaId) -> Option<(std::net::SocketAddr, u64)> {
-        let held = self.members.get(&replica).filter(|m| m.server.phase == Phase::Ready)?;
+        let held = self.members.get(&replica).filter(|m| m.server.phase == EndpointState::Ready)?;
         Some((held.server.address, held.life))
     }
 }
@@ -118,7 +118,7 @@
 /// A transport that follows a list of servers.
 pub trait Follows: Transport {
     /// Take over a whole list; what the module is to be told of it.
-    fn list(&self, servers: &[Server], zones: &[String], clock: &Clock) -> Vec<Listed>;
+    fn list(&self, servers: &[Server], zones: &[String], clock: &Clock) -> Vec<Endpoint>;
 }
 
 /// The records, read again whenever they change.
@@ -157,7 +157,7 @@
         let servers = zone_file::parse(&text, &self.source.service).map_err(SourceError::Records)?;
         let entries = self.servers.list(&servers, &self.zones, &self.core.clock());
         info!(self.log, "list of servers"; "front" => self.front, "entries" => entries.len());
-        self.core.members(News::Full, entries);
+        self.core.members(EndpointUpdate::Full, entries);
         self.seen = text;
         Ok(())
     }
--- a/src/net/dns_sd/zone_file.rs
+++ b/src/net/dns_sd/zone_file.rs
@@ -9,7 +9,7 @@
 use domain::rdata::ZoneRecordData;
 use domain::zonefile::inplace::{Entry, Zonefile};
 
-use crate::balancer::interface::Phase;
+use crate::balancer::interface::EndpointState;
 
 /// A master file larger than this is taken for a mistake.
 pub const MOST_BYTES: usize = 1 << 20;
@@ -42,7 +42,7 @@
 pub struct Server {
     pub name: String,
     pub address: SocketAddr,
-    pub phase: Phase,
+    pub phase: EndpointState,
     pub cell: u16,
     pub zone: String,
     pub weight: f64,
@@ -111,8 +111,8 @@
     let bad = |key| RecordsError::Txt { instance: name.clone(), key };
     let cell = txt.get("cell").and_then(|v| v.parse().ok()).ok_or(bad("cell"))?;
     let phase = match txt.get("state").map(String::as_str) {
-        None | Some("up") => Phase::Ready,
-        Some("draining") => Phase::Draining,
+        None | Some("up") => EndpointState::Ready,
+        Some("draining") => EndpointState::Draining,
         Some(_) => return Err(bad("state")),
     };
     let weight: f64 = txt.get("weight").map_or(Ok(1.0), |v| v.parse()).map_err(|_| bad("weight"))?;
--- a/src/net/grpc/attempt.rs
+++ b/src/net/grpc/attempt.rs
@@ -86,13 +86,13 @@
         let (Some((address, _)), Ok(permit)) =
             (ready, conditions.permit().inspect_err(|denied| invariants::denied(*denied)))
         else {
-            return Err(Broken::new(Code::Unavailable, "not sent", Outcome::NotSent));
+            return Err(Broken::new(Code::Unavailable, "not sent", Outcome::NeverSent));
         };
         let Some(mut send) = place.send.take() else {
-            return Err(Broken::new(Code::Unavailable, "no connection", Outcome::NoConnection));
+            return Err(Broken::new(Code::Unavailable, "no connection", Outcome::ConnectFailed));
         };
         let request = head(exchange, address, permit.left());
-        let request = request.map_err(|e| Broken::new(Code::Internal, e.to_string(), Outcome::NotSent))?;
+        let request = request.map_err(|e| Broken::new(Code::Internal, e.to_string(), Outcome::NeverSent))?;
         let (answer, body) = send.send_request(request, false).map_err(|e| self.broken(&place, &e, false))?;
         drop(send);
         let heard = Cell::new(false);
@@ -227,7 +227,9 @@
                 (Code::Ok, Some((false, body))) => Ok(served(body)),
                 (Code::Ok, _) => Err(Broken::malformed("a message that cannot be merged")),
                 // One shard's status is not the call's.
-                (_, _) if outcome == Outcome::Served => Err(Broken { status: told, outcome: Outcome::Error }),
+                (_, _) if outcome == Outcome::Succeeded => {
+                    Err(Broken { status: told, outcome: Outcome::Error })
+                }
                 _ => Err(Broken { status: told, outcome }),
             };
         }
@@ -238,14 +240,14 @@
             // Its own words, whatever they are. The status decides of the attempt, too.
             exchange.drained().await;
             exchange.close(passed_on(&trailers));
-            return Ok(if outcome == Outcome::Served { served(&[]) } else { outcome.into() });
+            return Ok(if outcome == Outcome::Succeeded { served(&[]) } else { outcome.into() });
         }
         match outcome {
-            Outcome::Served if call.commit() => {
+            Outcome::Succeeded if call.commit() => {
                 exchange.close(passed_on(&trailers));
                 Ok(served(&[]))
             }
-            Outcome::Served => Ok(Outcome::Cancelled.into()),
+            Outcome::Succeeded => Ok(Outcome::Cancelled.into()),
             outcome => Err(Broken { status: told, outcome }),
         }
     }
@@ -256,11 +258,11 @@
         let said = |what: &str| format!("{what}: {e}");
         match e.reason() {
             _ if place.link.closed.get().is_some_and(|why| why != Why::Moved) => {
-                Broken::new(Code::Unavailable, "the connection was given up", Outcome::Dropped)
+                Broken::new(Code::Unavailable, "the connection was given up", Outcome::ConnectionLost)
             }
             Some(_) if e.is_go_away() && e.is_remote() && !begun => {
                 self.pool.borrow_mut().drain(Instant::now(), place.id);
-                Broken::new(Code::Unavailable, said("the server is going away"), Outcome::NotSent)
+                Broken::new(Code::Unavailable, said("the server is going away"), Outcome::NeverSent)
             }
             Some(reason) if e.is_reset() && e.is_remote() => {
                 let (code, outcome) = status::reset(reason);
@@ -275,7 +277,7 @@
 }
 
 fn served(value: &[u8]) -> Ended {
-    Ended { outcome: Outcome::Served, served: Some((Rc::from(value), 0.0)), report: None }
+    Ended { outcome: Outcome::Succeeded, served: Some((Rc::from(value), 0.0)), report: None }
 }
 
 /// Wait for some room in the stream's window.
--- a/src/net/grpc/servers.rs
+++ b/src/net/grpc/servers.rs
@@ -72,7 +72,7 @@
 }
 
 impl Follows for Servers {
-    fn list(&self, servers: &[Server], zones: &[String], clock: &Clock) -> Vec<Listed> {
+    fn list(&self, servers: &[Server], zones: &[String], clock: &Clock) -> Vec<Endpoint> {
         let now = Instant::now();
         let (listed, changes) = self.book.borrow_mut().list(servers, zones, clock);
         for (replica, change) in changes {
@@ -80,7 +80,7 @@
             let (acts, phase) = match change {
                 Change::Listed(phase) => (Vec::new(), phase),
                 Change::Moved(phase) => (pool.moved(replica), phase),
-                Change::Gone => (Vec::new(), Phase::Gone),
+                Change::Gone => (Vec::new(), EndpointState::Removed),
             };
             pool.phase(now, replica, phase);
             pool.remove(replica);
@@ -169,7 +169,7 @@
     pub(super) async fn place(self: &Rc<Self>, replica: ReplicaId) -> Result<Place, Outcome> {
         let waiting = Waiting { servers: self.clone(), replica, counted: Cell::new(false) };
         loop {
-            let Some((address, _)) = self.ready(replica) else { return Err(Outcome::NotSent) };
+            let Some((address, _)) = self.ready(replica) else { return Err(Outcome::NeverSent) };
             let listener = self.changed.listen();
             let ahead = waiting.ahead();
             let now = Instant::now();
@@ -198,13 +198,13 @@
                 }
                 Assign::Open(id) if full => {
                     self.pool.borrow_mut().ended(id);
-                    return Err(Outcome::NotSent);
+                    return Err(Outcome::NeverSent);
                 }
                 Assign::Open(id) => self.open(id, address),
                 Assign::Wait => {}
-                Assign::NotReady => return Err(Outcome::NotSent),
-                Assign::Resting(_) => return Err(Outcome::NoConnection),
-                Assign::Full => return Err(Outcome::TurnedAway),
+                Assign::NotReady => return Err(Outcome::NeverSent),
+                Assign::Resting(_) => return Err(Outcome::ConnectFailed),
+                Assign::Full => return Err(Outcome::Rejected),
             }
             waiting.count();
             listener.await;
@@ -370,7 +370,7 @@
     }
 
     /// A server answers when a connection to it is up.
-    async fn probe(self: Rc<Self>, replica: ReplicaId) -> (bool, Option<Report>) {
+    async fn probe(self: Rc<Self>, replica: ReplicaId) -> (bool, Option<LoadReport>) {
         let latest = Instant::now() + PROBE_WAIT;
         (by(latest, self.place(replica)).await.is_some_and(|place| place.is_ok()), None)
     }
--- a/src/net/grpc/status.rs
+++ b/src/net/grpc/status.rs
@@ -66,9 +66,9 @@
     /// not run twice, being turned away counts as an error that may have run.
     pub fn outcome(self, effect: Effect) -> Outcome {
         match self {
-            c if c.answers() => Outcome::Served,
+            c if c.answers() => Outcome::Succeeded,
             Code::DeadlineExceeded => Outcome::TimedOut,
-            Code::ResourceExhausted if effect != Effect::Unsafe => Outcome::TurnedAway,
+            Code::ResourceExhausted if effect != Effect::Unsafe => Outcome::Rejected,
             _ => Outcome::Error,
         }
     }
@@ -77,7 +77,7 @@
 /// How a stream was reset by its server (RFC 9113 7; gRPC over HTTP/2, "Errors"): its status, and its outcome.
 pub fn reset(reason: Reason) -> (Code, Outcome) {
     let code = match reason {
-        Reason::REFUSED_STREAM => return (Code::Unavailable, Outcome::TurnedAway),
+        Reason::REFUSED_STREAM => return (Code::Unavailable, Outcome::Rejected),
         Reason::CANCEL => Code::Cancelled,
         Reason::ENHANCE_YOUR_CALM => Code::ResourceExhausted,
         Reason::INADEQUATE_SECURITY => Code::PermissionDenied,
@@ -106,7 +106,7 @@
         _ => Code::Unknown,
     };
     let full = matches!(status, 429 | 503) && effect != Effect::Unsafe;
-    (code, if full { Outcome::TurnedAway } else { Outcome::Error })
+    (code, if full { Outcome::Rejected } else { Outcome::Error })
 }
 
 /// A status for the client, made here.
--- a/src/net/opensearch/servers.rs
+++ b/src/net/opensearch/servers.rs
@@ -58,7 +58,7 @@
 }
 
 impl Follows for Servers {
-    fn list(&self, servers: &[Server], zones: &[String], clock: &Clock) -> Vec<Listed> {
+    fn list(&self, servers: &[Server], zones: &[String], clock: &Clock) -> Vec<Endpoint> {
         let (listed, changes) = self.book.borrow_mut().list(servers, zones, clock);
         for (replica, change) in changes {
             if !matches!(change, Change::Listed(_)) {
@@ -91,14 +91,14 @@
             }
         }
         if self.room.get() == 0 {
-            return Err(Outcome::NotSent);
+            return Err(Outcome::NeverSent);
         }
         let latest = Instant::now() + self.sockets.connect;
         // Counted before it is up: many may be coming up at once.
         let mut place = Place::reserve(self);
         let stream = socket::connect(address, latest).await.map_err(|e| match e {
-            ConnectError::Local(_) => Outcome::NotSent,
-            ConnectError::Refused(_) | ConnectError::Late => Outcome::NoConnection,
+            ConnectError::Local(_) => Outcome::NeverSent,
+            ConnectError::Refused(_) | ConnectError::Late => Outcome::ConnectFailed,
         })?;
         stream.set_nodelay();
         place.stream = Some(stream);
@@ -115,7 +115,7 @@
 
     /// One request on one connection, from its place to the last byte of its answer.
     async fn ask(self: &Rc<Self>, call: &Call<Servers>, stop: &Stop) -> Ended {
-        let Some((address, life)) = self.ready(call.replica) else { return Outcome::NotSent.into() };
+        let Some((address, life)) = self.ready(call.replica) else { return Outcome::NeverSent.into() };
         let mut place = match self.connection(call.replica, address).await {
             Ok(place) => place,
             Err(outcome) => return self.failed(call, outcome, (503, "connect_exception", "no connection")),
@@ -132,12 +132,12 @@
             window_over: stop.too_late(now),
         };
         let Ok(permit) = conditions.permit().inspect_err(|denied| invariants::denied(*denied)) else {
-            return Outcome::NotSent.into();
+            return Outcome::NeverSent.into();
         };
         let request = request(call, address, permit);
-        let Some(stream) = place.stream.as_mut() else { return Outcome::NoConnection.into() };
+        let Some(stream) = place.stream.as_mut() else { return Outcome::ConnectFailed.into() };
         if stream.write_all(&request).await.is_err() {
-            return self.failed(call, Outcome::NoConnection, (503, "connect_exception", "connection broke"));
+            return self.failed(call, Outcome::ConnectFailed, (503, "connect_exception", "connection broke"));
         }
         call.carried.notes.borrow_mut().begun = true;
         let mut buffer = Buffer::default();
@@ -162,7 +162,7 @@
             let error: serde_json::Value = serde_json::from_slice(&body).unwrap_or_default();
             let text = |key: &str| error["error"][key].as_str().unwrap_or("unknown").to_owned();
             // Turned away before it began; anything else may have run.
-            let outcome = if message.status == 429 { Outcome::TurnedAway } else { Outcome::Error };
+            let outcome = if message.status == 429 { Outcome::Rejected } else { Outcome::Error };
             return self.failed(call, outcome, (message.status, &text("type"), &text("reason")));
         }
         let search = &call.carried.search;
@@ -172,7 +172,7 @@
                 call.carried.notes.borrow_mut().failures.remove(&call.shard);
                 // Copied: the value outlives the buffer, until its query is answered.
                 let served = Some((Rc::from(&*body), score));
-                Ended { outcome: Outcome::Served, served, report: None }
+                Ended { outcome: Outcome::Succeeded, served, report: None }
             }
             Err((status, kind, reason)) => self.failed(call, Outcome::Error, (status, &kind, &reason)),
         }
@@ -257,7 +257,7 @@
         ended.unwrap_or(Outcome::TimedOut.into())
     }
 
-    async fn probe(self: Rc<Self>, replica: ReplicaId) -> (bool, Option<Report>) {
+    async fn probe(self: Rc<Self>, replica: ReplicaId) -> (bool, Option<LoadReport>) {
         let latest = Instant::now() + PROBE_WAIT;
         let probe = async {
             let (address, _) = self.ready(replica)?;
--- a/src/subsetting.rs
+++ b/src/subsetting.rs
@@ -13,7 +13,7 @@
 use rand_core::{RngCore, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 
-use crate::balancer::interface::{CellId, Listed, News, Phase, ReplicaId};
+use crate::balancer::interface::{CellId, Endpoint, EndpointState, EndpointUpdate, ReplicaId};
 
 /// Ready replicas up to which all are worked with: as many as the fleets have that the days are drawn for. A coordinator
 /// of a larger one sees no more traffic.
@@ -34,7 +34,7 @@
 /// A replica that is listed.
 #[derive(Debug)]
 struct Known {
-    listed: Listed,
+    listed: Endpoint,
     /// Drawn once: the lowest of a cell are chosen first.
     rank: u64,
 }
@@ -64,12 +64,12 @@
     }
 
     /// Take over news of the list; what of it is announced.
-    pub fn update(&mut self, news: News, entries: Vec<Listed>) -> Vec<Listed> {
-        if news == News::Failed {
+    pub fn update(&mut self, news: EndpointUpdate, entries: Vec<Endpoint>) -> Vec<Endpoint> {
+        if news == EndpointUpdate::Failed {
             return entries;
         }
         let mut touched: BTreeSet<ReplicaId> = entries.iter().map(|e| e.replica).collect();
-        let whole = news != News::Delta;
+        let whole = news != EndpointUpdate::Delta;
         if whole {
             self.keep_only(&touched);
         }
@@ -88,7 +88,7 @@
         if whole {
             // A whole list says by itself what is not in it. What drains goes on, and is in it.
             let known = &self.known;
-            self.announced.retain(|id| known.get(id).is_some_and(|k| k.listed.phase != Phase::Ready));
+            self.announced.retain(|id| known.get(id).is_some_and(|k| k.listed.state != EndpointState::Ready));
         }
         // Where the choice begins or ends, there is something to say of all.
         if whole || chose != self.chooses {
@@ -118,7 +118,7 @@
 
     /// Take a replica out of its cell; which one that was, and whether it was chosen there.
     fn leave(&mut self, id: ReplicaId) -> Option<(CellId, bool)> {
-        let known = self.known.get(&id).filter(|known| known.listed.phase == Phase::Ready)?;
+        let known = self.known.get(&id).filter(|known| known.listed.state == EndpointState::Ready)?;
         let at = known.listed.cell;
         let cell = self.cells.get_mut(&at)?;
         self.ready -= 1;
@@ -132,11 +132,11 @@
 
     /// Note an entry; the cell that it was ready in before, if it was. A chosen one that is ready in the same cell stays
     /// chosen.
-    fn place(&mut self, entry: &Listed) -> Option<CellId> {
+    fn place(&mut self, entry: &Endpoint) -> Option<CellId> {
         let id = entry.replica;
         let left = self.leave(id);
         let old_cell = left.map(|(cell, _)| cell);
-        if entry.phase == Phase::Gone {
+        if entry.state == EndpointState::Removed {
             self.known.remove(&id);
             return old_cell;
         }
@@ -144,7 +144,7 @@
         let known = self.known.entry(id).or_insert_with(|| Known { listed: *entry, rank: random.next_u64() });
         known.listed = *entry;
         let rank = known.rank;
-        if entry.phase == Phase::Ready {
+        if entry.state == EndpointState::Ready {
             self.ready += 1;
             let cell = self.cells.entry(entry.cell).or_default();
             if left == Some((entry.cell, true)) {
@@ -181,18 +181,20 @@
     }
 
     /// What is to be said of a replica, if anything is.
-    fn announce(&mut self, id: ReplicaId) -> Option<Listed> {
-        let gone = Listed { replica: id, phase: Phase::Gone, ..Listed::default() };
+    fn announce(&mut self, id: ReplicaId) -> Option<Endpoint> {
+        let gone = Endpoint { replica: id, state: EndpointState::Removed, ..Endpoint::default() };
         let Some(listed) = self.known.get(&id).map(|known| known.listed) else {
             return self.announced.remove(&id).then_some(gone);
         };
         let chosen = self.cells.get(&listed.cell).is_some_and(|cell| cell.chosen.contains(&id));
-        match listed.phase {
-            Phase::Ready if chosen => {
+        match listed.state {
+            EndpointState::Ready if chosen => {
                 self.announced.insert(id);
                 Some(listed)
             }
-            Phase::Ready => self.announced.remove(&id).then_some(Listed { phase: Phase::Gone, ..listed }),
+            EndpointState::Ready => {
+                self.announced.remove(&id).then_some(Endpoint { state: EndpointState::Removed, ..listed })
+            }
             // One that was never announced is of no matter to whoever sends. With all announced again it is.
             _ => (self.announced.contains(&id) || !self.chooses).then_some(listed),
         }
--- a/src/wire.rs
+++ b/src/wire.rs
@@ -68,7 +68,7 @@
     out.copy_from_slice(&replica.0.to_be_bytes()[2..8]);
 }
 
-fn report(record: &Fields, at: usize, names: &[ReportValue]) -> Result<Option<Report>, WireError> {
+fn report(record: &Fields, at: usize, names: &[ReportValue]) -> Result<Option<LoadReport>, WireError> {
     let n = usize::from(record.u8(at));
     if n > 4 {
         return bad(format!("load report of {n} values, at most 4 fit"));
@@ -90,7 +90,7 @@
 #[derive(Default)]
 pub struct Host {
     instances: BTreeMap<u16, Instance>,
-    lists: BTreeMap<u32, Vec<Listed>>,
+    lists: BTreeMap<u32, Vec<Endpoint>>,
 }
 
 impl Host {
@@ -174,17 +174,17 @@
                 part: PartId(r.u32(1)),
                 attempt: r.u8(5),
                 replica: r.replica(6),
-                over: r.u8(12) != 0,
+                part_finished: r.u8(12) != 0,
                 outcome: outcome(r.u8(13))?,
-                took: r.f64(14),
+                elapsed: r.f64(14),
                 report: report(r, 22, &instance.names)?,
             },
-            5 => Event::Withdrawn { query: QueryId(r.u32(1)) },
+            5 => Event::ClientDisconnected { query: QueryId(r.u32(1)) },
             6 => Event::Timer,
-            7 => Event::Probed {
+            7 => Event::HealthChecked {
                 replica: r.replica(1),
-                ok: r.u8(7) == 0,
-                took: r.f64(8),
+                healthy: r.u8(7) == 0,
+                elapsed: r.f64(8),
                 report: report(r, 16, &instance.names)?,
             },
             _ => return bad("unknown event code"),
@@ -203,16 +203,16 @@
     }
 }
 
-fn entry(bytes: &[u8]) -> Result<Listed, WireError> {
+fn entry(bytes: &[u8]) -> Result<Endpoint, WireError> {
     let r = Fields(bytes);
-    Ok(Listed {
+    Ok(Endpoint {
         replica: r.replica(0),
         zone: ZoneId(r.u8(6)),
         cell: CellId(r.u16(8)),
-        phase: match r.u8(10) {
-            0 => Phase::Draining,
-            1 => Phase::Ready,
-            2 => Phase::Gone,
+        state: match r.u8(10) {
+            0 => EndpointState::Draining,
+            1 => EndpointState::Ready,
+            2 => EndpointState::Removed,
             other => return bad(format!("Phase {other} is unknown")),
         },
         weight: r.f32(11),
@@ -220,16 +220,16 @@
     })
 }
 
-fn members(r: &Fields, lists: &BTreeMap<u32, Vec<Listed>>) -> Result<Event, WireError> {
+fn members(r: &Fields, lists: &BTreeMap<u32, Vec<Endpoint>>) -> Result<Event, WireError> {
     let news = match r.u8(5) {
-        0 => return Ok(Event::Members { news: News::Failed, entries: Vec::new() }),
-        1 => News::Full,
-        2 => News::Delta,
-        3 => News::Cached,
+        0 => return Ok(Event::Endpoints { update: EndpointUpdate::Failed, endpoints: Vec::new() }),
+        1 => EndpointUpdate::Full,
+        2 => EndpointUpdate::Delta,
+        3 => EndpointUpdate::Cached,
         other => return bad(format!("Form {other} is unknown")),
     };
     match lists.get(&r.u32(1)) {
-        Some(entries) => Ok(Event::Members { news, entries: entries.clone() }),
+        Some(entries) => Ok(Event::Endpoints { update: news, endpoints: entries.clone() }),
         None => bad(format!("Sheet {} was not registered", r.u32(1))),
     }
 }
@@ -250,9 +250,9 @@
             number,
             class: ClassId(r.u16(40)),
             tenant: TenantId(r.u16(34)),
-            patience,
+            time_left: patience,
             parts: amount as u32,
-            repeat: r.u8(25) & 2 != 0,
+            is_retry: r.u8(25) & 2 != 0,
         });
     }
     if !(0.0..=u32::MAX as f64).contains(&shard) {
@@ -263,20 +263,20 @@
         number,
         shard: ShardId(shard as u32),
         weight: amount,
-        spent: 0,
-        served: false,
+        prior_attempts: 0,
+        completed: false,
     })
 }
 
 fn outcome(code: u8) -> Result<Outcome, WireError> {
     Ok(match code {
-        0 => Outcome::Served,
+        0 => Outcome::Succeeded,
         5 => Outcome::Error,
-        11 => Outcome::TurnedAway,
+        11 => Outcome::Rejected,
         104 => Outcome::Reset,
         110 => Outcome::TimedOut,
-        111 => Outcome::NoConnection,
-        114 => Outcome::NotSent,
+        111 => Outcome::ConnectFailed,
+        114 => Outcome::NeverSent,
         125 => Outcome::Cancelled,
         other => return bad(format!("StateCode {other} is unknown")),
     })
@@ -326,16 +326,16 @@
             head(8, part.0);
             r[5] = *attempt;
         }
-        Action::Answer { query, whole } => {
+        Action::Answer { query, complete } => {
             head(13, query.0);
-            r[5] = u8::from(*whole);
+            r[5] = u8::from(*complete);
         }
-        Action::Refuse { query, retry_after } => {
+        Action::Reject { query, retry_after } => {
             head(11, query.0);
             r[5..13].copy_from_slice(&retry_after.unwrap_or(0.0).to_le_bytes());
         }
         Action::Fail { query } => head(1, query.0),
-        Action::Probe { replica } => {
+        Action::HealthCheck { replica } => {
             r[0] = 3;
             put_replica(&mut r[1..7], *replica);
         }
--- a/tests/cold_fleet/world.rs
+++ b/tests/cold_fleet/world.rs
@@ -58,7 +58,7 @@
 }
 
 pub struct Node {
-    pub listed: Listed,
+    pub listed: Endpoint,
     pub born: f64,
     dead: (f64, f64),
     hung: bool,
@@ -88,14 +88,14 @@
     pub now: f64,
     next: u64,
     pub nodes: Vec<Node>,
-    changes: Vec<(f64, Listed)>,
+    changes: Vec<(f64, Endpoint)>,
     coordinators: Vec<Coordinator>,
     due: BinaryHeap<Due>,
     pub asked: f64,
     pub served: f64,
 }
 
-fn started(entry: &Listed) -> (ReplicaId, u64) {
+fn started(entry: &Endpoint) -> (ReplicaId, u64) {
     (entry.replica, entry.started.unwrap_or(0.0).to_bits())
 }
 
@@ -138,8 +138,8 @@
             let zone = ZoneId((n % 3) as u8);
             let cell = if case.nodes <= 12 { n } else { n / 3 };
             let cell = CellId((cell % self.settings.cells as usize) as u16);
-            let (replica, phase) = (ReplicaId(n as u64), Phase::Ready);
-            let listed = Listed { replica, zone, cell, phase, weight: 1.0, started: None };
+            let (replica, phase) = (ReplicaId(n as u64), EndpointState::Ready);
+            let listed = Endpoint { replica, zone, cell, state: phase, weight: 1.0, started: None };
             let (hung, failing) = (self.unit() < case.hung, self.unit() < case.failing);
             let (born, dead) = (f64::NEG_INFINITY, (f64::INFINITY, f64::INFINITY));
             let done = Default::default();
@@ -152,7 +152,7 @@
                 Way::Replaced(within) if n * cold / case.nodes != (n + 1) * cold / case.nodes => {
                     let at = COLD + within * self.unit();
                     let replica = ReplicaId(self.nodes.len() as u64);
-                    let listed = Listed { replica, started: Some(at), ..old };
+                    let listed = Endpoint { replica, started: Some(at), ..old };
                     self.nodes[n].dead.0 = at;
                     let (hung, failing, busy, dead) = (false, false, 0.0, (f64::INFINITY, f64::INFINITY));
                     let done = Default::default();
@@ -166,7 +166,7 @@
                         done,
                         sent: Vec::new(),
                     });
-                    self.changes.push((at, Listed { phase: Phase::Gone, ..old }));
+                    self.changes.push((at, Endpoint { state: EndpointState::Removed, ..old }));
                     self.changes.push((at, listed));
                 }
                 Way::ZoneBack if old.zone == ZoneId(0) => {
@@ -174,8 +174,8 @@
                     (node.dead, node.born) = ((COLD - 5.0, COLD), COLD);
                     node.listed.started = Some(COLD);
                     (node.hung, node.failing) = (false, false);
-                    self.changes.push((COLD - 5.0, Listed { phase: Phase::Gone, ..old }));
-                    self.changes.push((COLD, Listed { started: Some(COLD), ..old }));
+                    self.changes.push((COLD - 5.0, Endpoint { state: EndpointState::Removed, ..old }));
+                    self.changes.push((COLD, Endpoint { started: Some(COLD), ..old }));
                 }
                 _ => {}
             }
@@ -184,14 +184,14 @@
     }
 
     /// The list as it was at a time.
-    fn list(&self, at: f64) -> Vec<Listed> {
+    fn list(&self, at: f64) -> Vec<Endpoint> {
         let old = |n: &&Node| n.born == f64::NEG_INFINITY || n.listed.replica.0 < self.case.nodes as u64;
-        let first = self.nodes.iter().filter(old).map(|n| Listed { started: None, ..n.listed });
+        let first = self.nodes.iter().filter(old).map(|n| Endpoint { started: None, ..n.listed });
         let mut list: BTreeMap<_, _> = first.map(|l| (l.replica, l)).collect();
         for (_, entry) in self.changes.iter().take_while(|c| c.0 <= at) {
             list.insert(entry.replica, *entry);
         }
-        list.into_values().filter(|l| l.phase != Phase::Gone).collect()
+        list.into_values().filter(|l| l.state != EndpointState::Removed).collect()
     }
 
     fn later(&mut self, at: f64, to: usize, what: What) {
@@ -200,8 +200,8 @@
         self.due.push(Due(at, self.next, to, life, what));
     }
 
-    fn tell(&mut self, at: f64, to: usize, news: News, entries: Vec<Listed>) {
-        self.later(at, to, What::Event(Event::Members { news, entries }));
+    fn tell(&mut self, at: f64, to: usize, news: EndpointUpdate, entries: Vec<Endpoint>) {
+        self.later(at, to, What::Event(Event::Endpoints { update: news, endpoints: entries }));
     }
 
     fn found_coordinators(&mut self, seed: u64) {
@@ -212,7 +212,7 @@
             let subset = self.subset(seed * 1000 + n as u64);
             self.coordinators.push(Coordinator { balancer, subset, life: 0, weight, tries, out, told });
             let entries = self.list(BEGIN);
-            self.tell(BEGIN, n, News::Full, entries);
+            self.tell(BEGIN, n, EndpointUpdate::Full, entries);
             self.live(n);
         }
     }
@@ -223,7 +223,7 @@
         for (at, entry) in self.changes.clone() {
             let heard = (at + least + (most - least) * self.unit()).max(COLD + self.case.silence);
             if heard > self.now {
-                self.tell(heard, n, News::Delta, vec![entry]);
+                self.tell(heard, n, EndpointUpdate::Delta, vec![entry]);
             }
         }
         let at = self.now + 0.2 * self.unit();
@@ -243,9 +243,9 @@
             c.out.clear();
             c.told.clear();
             let (old, new) = (self.list(self.now - 3.0), self.list(self.now));
-            self.tell(self.now, n, News::Cached, old);
+            self.tell(self.now, n, EndpointUpdate::Cached, old);
             let at = self.now + 0.05 + 0.5 * self.unit();
-            self.tell(at, n, News::Full, new);
+            self.tell(at, n, EndpointUpdate::Full, new);
             self.live(n);
         }
     }
@@ -294,13 +294,21 @@
         let first = self.next as u32;
         let number = QueryNumber(first);
         let (query, class, tenant, patience) = (QueryId(first), ClassId(0), TenantId(0), 6.0);
-        events.push(Event::Query { query, number, class, tenant, patience, parts, repeat: false });
+        events.push(Event::Query {
+            query,
+            number,
+            class,
+            tenant,
+            time_left: patience,
+            parts,
+            is_retry: false,
+        });
         for p in 0..parts {
             let shard = ShardId(self.rng.next_u32() % 24);
             let weight = 1.0 / f64::from(parts);
             let part = PartId(first - 1 - p);
             self.coordinators[n].tries.insert(part, 0);
-            events.push(Event::Part { part, number, shard, weight, spent: 0, served: false });
+            events.push(Event::Part { part, number, shard, weight, prior_attempts: 0, completed: false });
         }
         self.asked += if since >= 0.0 { f64::from(parts) } else { 0.0 };
     }
@@ -313,15 +321,15 @@
                 if !c.out.remove(&(*part, *attempt)) {
                     return None;
                 }
-                if *outcome == Outcome::Served && c.tries.remove(part).is_some() && self.now >= COLD {
+                if *outcome == Outcome::Succeeded && c.tries.remove(part).is_some() && self.now >= COLD {
                     self.served += 1.0;
                 }
             }
-            Event::Members { news, entries } => {
-                c.told.extend(entries.iter().map(started));
-                return Some(Event::Members {
-                    news: *news,
-                    entries: c.subset.update(*news, entries.clone()),
+            Event::Endpoints { update, endpoints } => {
+                c.told.extend(endpoints.iter().map(started));
+                return Some(Event::Endpoints {
+                    update: *update,
+                    endpoints: c.subset.update(*update, endpoints.clone()),
                 });
             }
             _ => {}
@@ -336,7 +344,7 @@
                 self.end(n, part, attempt, (0.002, Outcome::Cancelled), ReplicaId(0))
             }
             Action::Timer { after } => self.later(self.now + after, n, What::Event(Event::Timer)),
-            Action::Probe { replica } => self.count(n, replica),
+            Action::HealthCheck { replica } => self.count(n, replica),
             _ => {}
         }
     }
@@ -353,12 +361,13 @@
 
     fn end(&mut self, n: usize, part: PartId, attempt: u8, end: (f64, Outcome), replica: ReplicaId) {
         let (after, outcome) = end;
-        let over = outcome == Outcome::Served;
+        let over = outcome == Outcome::Succeeded;
         let report = self.case.noise.filter(|_| over).map(|noise| {
             let odds = self.unit();
             self.nodes[replica.0 as usize].done.report(self.now, noise, odds)
         });
-        let event = Event::Outcome { part, attempt, replica, over, outcome, took: after, report };
+        let event =
+            Event::Outcome { part, attempt, replica, part_finished: over, outcome, elapsed: after, report };
         self.later(self.now + after, n, What::Event(event));
     }
 
@@ -373,17 +382,17 @@
         let share = self.share(replica, now);
         let node = &mut self.nodes[replica.0 as usize];
         let end = match () {
-            _ if node.dead.0 <= now && now < node.dead.1 => (0.25, Outcome::NoConnection),
+            _ if node.dead.0 <= now && now < node.dead.1 => (0.25, Outcome::ConnectFailed),
             _ if node.hung => (f64::MAX, Outcome::TimedOut),
             _ if node.failing && !lucky => (0.005, Outcome::Error),
-            _ if node.busy > now + 1.5 => (0.002, Outcome::TurnedAway),
+            _ if node.busy > now + 1.5 => (0.002, Outcome::Rejected),
             _ => {
                 node.busy = node.busy.max(now) + work / (self.case.capacity * share);
                 let done = node.busy;
                 node.done.serve(done);
                 match node.dead.0 > now && node.dead.0 < done {
                     true => (node.dead.0 - now, Outcome::Reset),
-                    false => (done - now + 0.002, Outcome::Served),
+                    false => (done - now + 0.002, Outcome::Succeeded),
                 }
             }
         };
--- a/tests/decisions/faults.rs
+++ b/tests/decisions/faults.rs
@@ -9,11 +9,19 @@
     assert!(sends(&rig.query(1)).is_empty(), "waits for room");
     let (part, replica, report) = (PartId(rig.next + 1), ReplicaId(0), None);
     let outcome = Outcome::Cancelled;
-    rig.tell(&[Event::Outcome { part, attempt: 0, replica, over: true, outcome, took: 0.0, report }]);
+    rig.tell(&[Event::Outcome {
+        part,
+        attempt: 0,
+        replica,
+        part_finished: true,
+        outcome,
+        elapsed: 0.0,
+        report,
+    }]);
     let mut later = Vec::new();
     while !rig.out.is_empty() {
         rig.now += 0.01;
-        later.extend(rig.end(0, Outcome::Served, Some(1.0)));
+        later.extend(rig.end(0, Outcome::Succeeded, Some(1.0)));
     }
     later.extend(rig.wait(0.5));
     assert!(!later.iter().any(|a| matches!(a, Action::Send { part: p, .. } if *p == part)), "{later:?}");
@@ -22,7 +30,15 @@
     rig.query(1);
     let (part, attempt, replica, _) = rig.out.remove(0);
     let outcome = Outcome::Error;
-    rig.tell(&[Event::Outcome { part, attempt, replica, over: true, outcome, took: 0.1, report: None }]);
+    rig.tell(&[Event::Outcome {
+        part,
+        attempt,
+        replica,
+        part_finished: true,
+        outcome,
+        elapsed: 0.1,
+        report: None,
+    }]);
     assert!(sends(&rig.wait(1.0)).is_empty());
 }
 
@@ -33,12 +49,12 @@
     rig.query(1);
     let (number, class, tenant, patience) = (QueryNumber(100), ClassId(0), TenantId(0), 4.0);
     let query = QueryId(777);
-    let again = Event::Query { query, number, class, tenant, patience, parts: 0, repeat: false };
+    let again = Event::Query { query, number, class, tenant, time_left: patience, parts: 0, is_retry: false };
     let actions = rig.tell(&[again]);
-    let first = actions.iter().filter(|a| matches!(a, Action::Refuse { query: QueryId(100), .. })).count();
+    let first = actions.iter().filter(|a| matches!(a, Action::Reject { query: QueryId(100), .. })).count();
     assert_eq!(first, 1, "{actions:?}");
     let actions = [actions, rig.wait(5.0)].concat();
-    let second = actions.iter().filter(|a| matches!(a, Action::Refuse { query: QueryId(777), .. })).count();
+    let second = actions.iter().filter(|a| matches!(a, Action::Reject { query: QueryId(777), .. })).count();
     assert_eq!(second, 1, "{actions:?}");
 }
 
@@ -48,13 +64,13 @@
     let mut rig = spread_rig(settings(), 20);
     assert_eq!(sends(&wide_query(&mut rig, 16)).len(), 16);
     let actions = [rig.end(0, Outcome::Reset, None), rig.end(0, Outcome::Reset, None)].concat();
-    let refused = actions.iter().filter(|a| matches!(a, Action::Refuse { .. })).count();
+    let refused = actions.iter().filter(|a| matches!(a, Action::Reject { .. })).count();
     assert_eq!(refused, 1, "replicas broke, none served: {actions:?}");
     rig.out.clear();
     rig.wait(0.1);
     assert_eq!(sends(&wide_query(&mut rig, 16)).len(), 1, "one part first");
     rig.now += 0.05;
-    assert_eq!(sends(&rig.end(0, Outcome::Served, Some(1.0))).len(), 15, "sound: the rest follows");
+    assert_eq!(sends(&rig.end(0, Outcome::Succeeded, Some(1.0))).len(), 15, "sound: the rest follows");
     rig.out.clear();
     rig.wait(4.1);
     assert_eq!(sends(&rig.query(1)).len(), 1);
@@ -75,7 +91,7 @@
                 let dropped = if paused_only { step == 0 && renewed == 0 } else { true };
                 rig.now += 0.02;
                 while !dropped && !rig.out.is_empty() {
-                    rig.end(0, Outcome::Served, Some(1.0));
+                    rig.end(0, Outcome::Succeeded, Some(1.0));
                 }
                 if dropped {
                     rig.wait(4.1);
@@ -85,7 +101,7 @@
                     let _ = wide_query(&mut rig, 8);
                     rig.now += 0.02;
                     while !rig.out.is_empty() {
-                        rig.end(0, if paused_only { Outcome::Served } else { Outcome::TimedOut }, None);
+                        rig.end(0, if paused_only { Outcome::Succeeded } else { Outcome::TimedOut }, None);
                     }
                 }
             }
@@ -107,15 +123,15 @@
         let (tenant, patience) = (TenantId(0), 4.0);
         let (part, shard, weight) = (PartId(rig.next + 1), ShardId(0), 1.0);
         rig.tell(&[
-            Event::Query { query, number, class, tenant, patience, parts: 1, repeat: false },
-            Event::Part { part, number, shard, weight, spent: 0, served: false },
+            Event::Query { query, number, class, tenant, time_left: patience, parts: 1, is_retry: false },
+            Event::Part { part, number, shard, weight, prior_attempts: 0, completed: false },
         ]);
         let bad = |r: ReplicaId| r.0 == 0 && class.0 == 1;
         let mut hits = 0;
         while let Some(o) = rig.out.last().copied() {
             rig.now += 0.01;
             hits += usize::from(o.2 .0 == 0);
-            rig.end(rig.out.len() - 1, if bad(o.2) { Outcome::Error } else { Outcome::Served }, Some(1.0));
+            rig.end(rig.out.len() - 1, if bad(o.2) { Outcome::Error } else { Outcome::Succeeded }, Some(1.0));
         }
         hits
     };
@@ -142,31 +158,39 @@
     };
     let mut all: Vec<Balancer> = (0..u64::from(n)).map(fleet).collect();
     let entries: Vec<_> = (0..3).map(|n| listed(n, 0)).collect();
-    let young = Listed { started: Some(20.0), ..listed(0, 0) };
+    let young = Endpoint { started: Some(20.0), ..listed(0, 0) };
     let (mut id, mut to_cold, mut to_warm) = (0, Vec::new(), 0u32);
     for step in 0..900u32 {
         let now = 10.0 + f64::from(step) * 0.02;
         for (i, balancer) in all.iter_mut().enumerate() {
             let mut events = vec![Event::Timer];
             if step == 0 {
-                events.push(Event::Members { news: News::Full, entries: entries.clone() });
+                events.push(Event::Endpoints { update: EndpointUpdate::Full, endpoints: entries.clone() });
             }
             if step == 500 {
-                events.push(Event::Members { news: News::Delta, entries: vec![young] });
+                events.push(Event::Endpoints { update: EndpointUpdate::Delta, endpoints: vec![young] });
             }
             let turn = (step as usize + i * 7) % 50;
             if turn == 0 {
                 id += 10;
                 let (number, query, class) = (QueryNumber(id), QueryId(id), ClassId(0));
                 let (tenant, patience) = (TenantId(0), 2.0);
-                events.push(Event::Query { query, number, class, tenant, patience, parts: 1, repeat: false });
+                events.push(Event::Query {
+                    query,
+                    number,
+                    class,
+                    tenant,
+                    time_left: patience,
+                    parts: 1,
+                    is_retry: false,
+                });
                 events.push(Event::Part {
                     part: PartId(id + 1),
                     number,
                     shard: ShardId(0),
                     weight: 1.0,
-                    spent: 0,
-                    served: false,
+                    prior_attempts: 0,
+                    completed: false,
                 });
             }
             let actions = balancer.round(now, &events);
@@ -175,8 +199,16 @@
             for action in actions {
                 let Action::Send { part, replica, .. } = action else { continue };
                 let attempt: &mut u8 = tries.entry(part).or_default();
-                let (took, over, outcome, report) = (0.01, true, Outcome::Served, None);
-                done.push(Event::Outcome { part, attempt: *attempt, replica, over, outcome, took, report });
+                let (took, over, outcome, report) = (0.01, true, Outcome::Succeeded, None);
+                done.push(Event::Outcome {
+                    part,
+                    attempt: *attempt,
+                    replica,
+                    part_finished: over,
+                    outcome,
+                    elapsed: took,
+                    report,
+                });
                 *attempt += 1;
                 match (replica.0, now >= 20.0) {
                     (0, true) => to_cold.push(now),
@@ -203,18 +235,18 @@
 fn replicas_long_gone_are_forgotten() {
     let mut rig = Rig::new(settings(), 3);
     for n in 0..50 {
-        let gone = Listed { phase: Phase::Gone, ..listed(n, 0) };
+        let gone = Endpoint { state: EndpointState::Removed, ..listed(n, 0) };
         let entries = vec![listed(n + 3, 0), gone];
-        rig.tell(&[Event::Members { news: News::Delta, entries }]);
+        rig.tell(&[Event::Endpoints { update: EndpointUpdate::Delta, endpoints: entries }]);
         rig.wait(1.0);
-        rig.serve(|_| Outcome::Served);
+        rig.serve(|_| Outcome::Succeeded);
     }
     assert!((4..=34).contains(&rig.balancer.known()), "{}", rig.balancer.known());
     // Never heard of, and gone: nothing to remember.
-    let (known, gone) = (rig.balancer.known(), Listed { phase: Phase::Gone, ..listed(99, 0) });
-    rig.tell(&[Event::Members { news: News::Delta, entries: vec![gone] }]);
+    let (known, gone) = (rig.balancer.known(), Endpoint { state: EndpointState::Removed, ..listed(99, 0) });
+    rig.tell(&[Event::Endpoints { update: EndpointUpdate::Delta, endpoints: vec![gone] }]);
     assert!(rig.balancer.known() <= known);
-    assert!(!rig.serve(|_| Outcome::Served).is_empty(), "the others serve on");
+    assert!(!rig.serve(|_| Outcome::Succeeded).is_empty(), "the others serve on");
 }
 
 /// Guards a part's few attempts against one replica that cannot be reached while the others rest.
@@ -223,7 +255,7 @@
     let mut rig = Rig::new(settings(), 1);
     rig.query(1);
     for _ in 0..3 {
-        let actions = rig.end(0, Outcome::NoConnection, None);
+        let actions = rig.end(0, Outcome::ConnectFailed, None);
         assert_eq!(sends(&actions), [], "not again at once");
         assert!(sends(&rig.wait(0.15)).is_empty());
         assert_eq!(sends(&rig.wait(0.1)).len(), 1);
@@ -243,10 +275,10 @@
     rig.out.clear();
     assert_eq!(sends(&wide_query(&mut rig, 16)).len(), 1, "one part first");
     let lost = rig.out[0].0;
-    rig.end(0, Outcome::NoConnection, None);
+    rig.end(0, Outcome::ConnectFailed, None);
     rig.wait(0.3);
     rig.out.retain(|o| o.0 == lost);
-    let mut actions = rig.end(0, Outcome::NoConnection, None);
+    let mut actions = rig.end(0, Outcome::ConnectFailed, None);
     actions.extend(rig.wait(0.3));
     let other = |a: &Action| matches!(a, Action::Send { part, .. } if *part != lost);
     assert!(actions.iter().any(other), "{actions:?}");
@@ -258,13 +290,13 @@
     assert_eq!(sends(&rig.query(5)).len(), 5);
     rig.now += 0.01;
     assert_eq!(
-        rig.end(4, Outcome::TurnedAway, None).iter().filter(|a| matches!(a, Action::Send { .. })).count(),
+        rig.end(4, Outcome::Rejected, None).iter().filter(|a| matches!(a, Action::Send { .. })).count(),
         0
     );
     // It holds four: with three and two it is left alone, though it answers; with one it is not.
     for left in [3, 2, 1] {
         rig.now += 0.01;
-        let sent = sends(&rig.end(0, Outcome::Served, None)).len();
+        let sent = sends(&rig.end(0, Outcome::Succeeded, None)).len();
         assert_eq!(sent, usize::from(left == 1), "{left} left");
     }
 }
@@ -272,14 +304,14 @@
 #[test]
 fn a_part_waits_for_a_full_replica_rather_than_go_to_an_ejected_one() {
     let mut rig = Rig::new(settings(), 2);
-    let dead = |r: ReplicaId| if r == ReplicaId(1) { Outcome::NoConnection } else { Outcome::Served };
+    let dead = |r: ReplicaId| if r == ReplicaId(1) { Outcome::ConnectFailed } else { Outcome::Succeeded };
     while !rig.serve(dead).contains(&ReplicaId(1)) {}
     // It rests no more, and is out of the draw for the best part of a second.
     rig.wait(0.25);
     rig.query(1);
     assert_eq!(rig.out.last().map(|o| o.2), Some(ReplicaId(0)));
     rig.now += 0.01;
-    let mut actions = rig.end(0, Outcome::TurnedAway, None);
+    let mut actions = rig.end(0, Outcome::Rejected, None);
     actions.extend(rig.wait(0.18));
     assert_eq!(sends(&actions), []);
     assert_eq!(sends(&rig.wait(0.04)), [ReplicaId(0)], "tried before, but not the dead one");
@@ -292,10 +324,10 @@
         rig.query(40);
         rig.wait(0.34);
         while !rig.out.is_empty() {
-            rig.end(0, Outcome::Served, None);
+            rig.end(0, Outcome::Succeeded, None);
         }
         let actions = rig.query(parts);
-        actions.iter().any(|a| matches!(a, Action::Refuse { .. }))
+        actions.iter().any(|a| matches!(a, Action::Reject { .. }))
     };
     // The mean part takes a third of the aim, the slowest of a hundred more than all of it.
     assert!(!wide(12) && !wide(24));
@@ -307,19 +339,19 @@
     let hedged = |stalled: bool| {
         let mut rig = Rig::new(Settings { cells: 12, reach: 4, ..settings() }, 0);
         let entries = (0..12).map(|n| listed(n, n as u16)).collect();
-        rig.tell(&[Event::Members { news: News::Full, entries }]);
+        rig.tell(&[Event::Endpoints { update: EndpointUpdate::Full, endpoints: entries }]);
         for _ in 0..40 {
             wide_query(&mut rig, 12);
             rig.wait(0.02);
             while !rig.out.is_empty() {
-                rig.end(0, Outcome::Served, None);
+                rig.end(0, Outcome::Succeeded, None);
             }
         }
         wide_query(&mut rig, 12);
         rig.wait(0.01);
         // Where one data node is slow the others answer; where nothing reaches us none does.
         while !stalled && rig.out.len() > 1 {
-            rig.end(0, Outcome::Served, None);
+            rig.end(0, Outcome::Succeeded, None);
         }
         sends(&rig.wait(0.045)).len()
     };
--- a/tests/decisions/health.rs
+++ b/tests/decisions/health.rs
@@ -6,19 +6,22 @@
 fn bad_then_well(bad: Outcome) -> (usize, f64) {
     let mut rig = Rig::new(settings(), 3);
     for _ in 0..20 {
-        rig.serve(|_| Outcome::Served);
+        rig.serve(|_| Outcome::Succeeded);
         rig.wait(0.05);
     }
     let mut hits = 0;
     for _ in 0..60 {
-        hits +=
-            rig.serve(|r| if r.0 == 0 { bad } else { Outcome::Served }).iter().filter(|r| r.0 == 0).count();
+        hits += rig
+            .serve(|r| if r.0 == 0 { bad } else { Outcome::Succeeded })
+            .iter()
+            .filter(|r| r.0 == 0)
+            .count();
         rig.wait(0.04);
     }
     let well = rig.now;
     let mut good = 0;
     while good < 10 && rig.now - well < 60.0 {
-        good += rig.serve(|_| Outcome::Served).iter().filter(|r| r.0 == 0).count();
+        good += rig.serve(|_| Outcome::Succeeded).iter().filter(|r| r.0 == 0).count();
         rig.wait(0.04);
     }
     (hits, rig.now - well)
@@ -42,7 +45,7 @@
 fn a_silent_replica_is_left_and_its_parts_go_elsewhere() {
     let mut rig = Rig::new(settings(), 3);
     for _ in 0..60 {
-        rig.serve(|_| Outcome::Served);
+        rig.serve(|_| Outcome::Succeeded);
     }
     let mut answered = 0;
     let mut to_silent = 0;
@@ -51,7 +54,7 @@
         for _ in 0..20 {
             actions.extend(rig.wait(0.01));
             while let Some(n) = rig.out.iter().position(|o| o.2 .0 != 0) {
-                actions.extend(rig.end(n, Outcome::Served, Some(1.0)));
+                actions.extend(rig.end(n, Outcome::Succeeded, Some(1.0)));
             }
         }
         to_silent += sends(&actions).iter().filter(|r| r.0 == 0).count();
@@ -72,7 +75,7 @@
             let now = rig.now;
             let done = |o: &(PartId, u8, ReplicaId, f64)| now - o.3 >= if o.2 .0 == 0 { 0.2 } else { 0.02 };
             while let Some(n) = rig.out.iter().position(done) {
-                actions.extend(rig.end(n, Outcome::Served, Some(1.0)));
+                actions.extend(rig.end(n, Outcome::Succeeded, Some(1.0)));
             }
         }
         to_slow += usize::from(i >= 20) * sends(&actions).iter().filter(|r| r.0 == 0).count();
@@ -91,7 +94,7 @@
             if i > 60 {
                 seen.insert(rig.out[0].2);
             }
-            rig.end(0, Outcome::Served, Some(1.0));
+            rig.end(0, Outcome::Succeeded, Some(1.0));
         }
     }
     assert_eq!(seen.len(), 4, "all still serve");
@@ -111,11 +114,11 @@
 fn a_cold_replica_gets_its_share_only_also_after_our_own_restart() {
     let cold = ColdRule { from: 0.2, ramp: 10.0, multiple: 2.0, after: 1.0 };
     let mut rig = Rig::new(Settings { cold: Some(cold), coordinators: 3, ..settings() }, 2);
-    let young = Listed { started: Some(rig.now), ..listed(0, 0) };
-    rig.tell(&[Event::Members { news: News::Cached, entries: vec![young, listed(1, 0)] }]);
+    let young = Endpoint { started: Some(rig.now), ..listed(0, 0) };
+    rig.tell(&[Event::Endpoints { update: EndpointUpdate::Cached, endpoints: vec![young, listed(1, 0)] }]);
     let mut times = Vec::new();
     for _ in 0..40 {
-        if rig.serve(|_| Outcome::Served).contains(&ReplicaId(0)) {
+        if rig.serve(|_| Outcome::Succeeded).contains(&ReplicaId(0)) {
             times.push(rig.now);
         }
         rig.wait(0.04);
--- a/tests/decisions/main.rs
+++ b/tests/decisions/main.rs
@@ -15,13 +15,13 @@
     Settings { classes: vec![class()], reports: Reports::Inline, most_tries: 4, ..Settings::default() }
 }
 
-fn listed(replica: u64, cell: u16) -> Listed {
-    Listed {
+fn listed(replica: u64, cell: u16) -> Endpoint {
+    Endpoint {
         replica: ReplicaId(replica),
         cell: CellId(cell),
-        phase: Phase::Ready,
+        state: EndpointState::Ready,
         weight: 1.0,
-        ..Listed::default()
+        ..Endpoint::default()
     }
 }
 
@@ -40,7 +40,7 @@
         let (out, tries) = Default::default();
         let mut rig = Rig { balancer, now: 10.0, next: 0, out, tries };
         let entries = (0..replicas).map(|n| listed(n, 0)).collect();
-        rig.tell(&[Event::Members { news: News::Full, entries }]);
+        rig.tell(&[Event::Endpoints { update: EndpointUpdate::Full, endpoints: entries }]);
         rig
     }
     fn tell(&mut self, events: &[Event]) -> Vec<Action> {
@@ -66,18 +66,27 @@
         self.next += 100;
         let (number, patience) = (QueryNumber(self.next), 4.0);
         let (query, class, tenant) = (QueryId(self.next), ClassId(0), TenantId(0));
-        let mut events = vec![Event::Query { query, number, class, tenant, patience, parts, repeat: false }];
+        let mut events =
+            vec![Event::Query { query, number, class, tenant, time_left: patience, parts, is_retry: false }];
         for n in 1..=parts {
             let (part, shard, weight) = (PartId(self.next + n), ShardId(0), 1.0 / f64::from(parts));
-            events.push(Event::Part { part, number, shard, weight, spent: 0, served: false });
+            events.push(Event::Part { part, number, shard, weight, prior_attempts: 0, completed: false });
         }
         self.tell(&events)
     }
     fn end(&mut self, n: usize, outcome: Outcome, queue: Option<f64>) -> Vec<Action> {
         let (part, attempt, replica, sent) = self.out.remove(n);
-        let report = queue.map(|q| Report { queue: Some(q), ..Report::default() });
-        let (took, over) = (self.now - sent, outcome == Outcome::Served);
-        self.tell(&[Event::Outcome { part, attempt, replica, over, outcome, took, report }])
+        let report = queue.map(|q| LoadReport { queue_depth: Some(q), ..LoadReport::default() });
+        let (took, over) = (self.now - sent, outcome == Outcome::Succeeded);
+        self.tell(&[Event::Outcome {
+            part,
+            attempt,
+            replica,
+            part_finished: over,
+            outcome,
+            elapsed: took,
+            report,
+        }])
     }
     /// One query of one part, each attempt ended as `how` says of its replica; who was sent to.
     fn serve(&mut self, how: impl Fn(ReplicaId) -> Outcome) -> Vec<ReplicaId> {
@@ -109,7 +118,7 @@
 fn an_idle_pair_gets_both_and_the_twin_is_cancelled() {
     let mut rig = Rig::new(settings(), 2);
     for _ in 0..30 {
-        rig.serve(|_| Outcome::Served);
+        rig.serve(|_| Outcome::Succeeded);
         rig.wait(0.1);
     }
     // Both last reported empty queues.
@@ -118,7 +127,7 @@
         rig.query(1);
         while !rig.out.is_empty() {
             rig.now += 0.01;
-            rig.end(0, Outcome::Served, Some(0.0));
+            rig.end(0, Outcome::Succeeded, Some(0.0));
         }
     }
     let mut copied = 0;
@@ -127,7 +136,7 @@
         let sent = sends(&rig.query(1));
         assert!(sent.len() <= 2 && !sent.is_empty());
         copied += usize::from(sent.len() == 2);
-        let actions = rig.end(0, Outcome::Served, Some(0.0));
+        let actions = rig.end(0, Outcome::Succeeded, Some(0.0));
         assert_eq!(answers(&actions), 1);
         if sent.len() == 2 {
             assert!(actions.iter().any(|a| matches!(a, Action::Cancel { attempt: 1, .. })));
@@ -144,12 +153,12 @@
     for _ in 0..8 {
         rig.query(1);
         let id = rig.out[0].2 .0;
-        rig.end(0, Outcome::Served, report(id));
+        rig.end(0, Outcome::Succeeded, report(id));
         rig.now += 0.05;
     }
     for _ in 0..8 {
         assert_eq!(sends(&rig.query(1)), [ReplicaId(1)]);
-        rig.end(0, Outcome::Served, Some(1.0));
+        rig.end(0, Outcome::Succeeded, Some(1.0));
         rig.now += 0.05;
     }
 }
@@ -157,7 +166,7 @@
 #[test]
 fn parts_that_arrive_together_share_a_call() {
     let mut rig = Rig::new(Settings { per_call: 4, ..settings() }, 3);
-    rig.serve(|_| Outcome::Served);
+    rig.serve(|_| Outcome::Succeeded);
     let sent = sends(&rig.query(4));
     assert!(sent.iter().all(|r| *r == sent[0]), "{sent:?}");
 }
@@ -165,14 +174,14 @@
 #[test]
 fn a_drain_acts_at_once_and_a_full_list_drops_what_it_lacks() {
     let mut rig = Rig::new(settings(), 3);
-    let drained = Listed { phase: Phase::Draining, ..listed(0, 0) };
-    rig.tell(&[Event::Members { news: News::Delta, entries: vec![drained] }]);
+    let drained = Endpoint { state: EndpointState::Draining, ..listed(0, 0) };
+    rig.tell(&[Event::Endpoints { update: EndpointUpdate::Delta, endpoints: vec![drained] }]);
     for _ in 0..20 {
-        assert!(!rig.serve(|_| Outcome::Served).contains(&ReplicaId(0)));
+        assert!(!rig.serve(|_| Outcome::Succeeded).contains(&ReplicaId(0)));
     }
-    rig.tell(&[Event::Members { news: News::Full, entries: vec![listed(2, 0)] }]);
+    rig.tell(&[Event::Endpoints { update: EndpointUpdate::Full, endpoints: vec![listed(2, 0)] }]);
     for _ in 0..20 {
-        assert!(rig.serve(|_| Outcome::Served).iter().all(|r| *r == ReplicaId(2)));
+        assert!(rig.serve(|_| Outcome::Succeeded).iter().all(|r| *r == ReplicaId(2)));
     }
 }
 
@@ -181,7 +190,7 @@
     let ask = Settings { discovery: Discovery::Ask { within: 8.0 }, ..settings() };
     let mut balancer = Balancer::new(ask, 1).expect("served");
     assert!(balancer.round(1.0, &[Event::Timer]).contains(&Action::Subscribe));
-    let failed = Event::Members { news: News::Failed, entries: Vec::new() };
+    let failed = Event::Endpoints { update: EndpointUpdate::Failed, endpoints: Vec::new() };
     let mut renewed = 0;
     for step in 0..500 {
         let actions = balancer.round(1.0 + f64::from(step) * 0.01, std::slice::from_ref(&failed));
@@ -195,7 +204,7 @@
     let mut rig = Rig::new(settings(), 1);
     rig.query(1);
     rig.now += 0.001;
-    assert!(sends(&rig.end(0, Outcome::TurnedAway, None)).is_empty());
+    assert!(sends(&rig.end(0, Outcome::Rejected, None)).is_empty());
     assert!(sends(&rig.wait(0.1)).is_empty());
     assert_eq!(sends(&rig.wait(0.3)).len(), 1);
 }
@@ -208,7 +217,7 @@
         refused = refused || sends(&rig.query(16)).is_empty();
         rig.wait(0.9);
         while !rig.out.is_empty() {
-            rig.end(0, Outcome::Served, Some(9.0));
+            rig.end(0, Outcome::Succeeded, Some(9.0));
         }
     }
     assert!(refused, "too slow for the aim");
@@ -221,7 +230,7 @@
     let mut rig = Rig::new(Settings { most_tries: 1, retry_after: Some(0.5), ..settings() }, 2);
     rig.query(1);
     let actions = rig.end(0, Outcome::Error, None);
-    assert!(actions.contains(&Action::Refuse { query: QueryId(100), retry_after: Some(0.5) }), "{actions:?}");
+    assert!(actions.contains(&Action::Reject { query: QueryId(100), retry_after: Some(0.5) }), "{actions:?}");
 }
 
 #[test]
@@ -229,9 +238,9 @@
     let class = Class { floor: 0.5, ..class() };
     let mut rig = Rig::new(Settings { classes: vec![class], most_tries: 1, ..settings() }, 2);
     rig.query(2);
-    rig.end(0, Outcome::Served, Some(1.0));
+    rig.end(0, Outcome::Succeeded, Some(1.0));
     let actions = rig.wait(1.0);
-    assert!(actions.contains(&Action::Answer { query: QueryId(100), whole: false }), "{actions:?}");
+    assert!(actions.contains(&Action::Answer { query: QueryId(100), complete: false }), "{actions:?}");
     assert!(rig.now <= 11.01);
 }
 
@@ -251,17 +260,31 @@
         rig.next += 100;
         let (number, patience) = (QueryNumber(rig.next), 2.5 - 0.003 * f64::from(i % 3));
         let (query, class, tenant) = (QueryId(rig.next), ClassId(0), TenantId(0));
-        let mut events =
-            vec![Event::Query { query, number, class, tenant, patience, parts: 2, repeat: false }];
+        let mut events = vec![Event::Query {
+            query,
+            number,
+            class,
+            tenant,
+            time_left: patience,
+            parts: 2,
+            is_retry: false,
+        }];
         for n in 1..=2 {
             let (part, shard) = (PartId(rig.next + n), ShardId(0));
-            events.push(Event::Part { part, number, shard, weight: 0.5, spent: 0, served: false });
+            events.push(Event::Part {
+                part,
+                number,
+                shard,
+                weight: 0.5,
+                prior_attempts: 0,
+                completed: false,
+            });
         }
         rig.tell(&events);
-        assert_eq!(answers(&rig.end(0, Outcome::Served, Some(1.0))), 0, "half is in, the aim far away");
+        assert_eq!(answers(&rig.end(0, Outcome::Succeeded, Some(1.0))), 0, "half is in, the aim far away");
         rig.wait(0.02);
         while !rig.out.is_empty() {
-            rig.end(0, Outcome::Served, Some(1.0));
+            rig.end(0, Outcome::Succeeded, Some(1.0));
         }
     }
 }
@@ -275,17 +298,32 @@
     for (n, (patience, repeat)) in [(4.0, false), (1.0, false), (1.0, true)].into_iter().enumerate() {
         let id = 100 * (n as u32 + 1);
         let (query, number, class, tenant) = (QueryId(id), QueryNumber(id), ClassId(0), TenantId(0));
-        let mut events = vec![Event::Query { query, number, class, tenant, patience, parts: 2, repeat }];
+        let mut events = vec![Event::Query {
+            query,
+            number,
+            class,
+            tenant,
+            time_left: patience,
+            parts: 2,
+            is_retry: repeat,
+        }];
         for part in 1..=2 {
             let (part, shard) = (PartId(id + part), ShardId(0));
-            events.push(Event::Part { part, number, shard, weight: 0.5, spent: 0, served: false });
+            events.push(Event::Part {
+                part,
+                number,
+                shard,
+                weight: 0.5,
+                prior_attempts: 0,
+                completed: false,
+            });
         }
         rig.tell(&events);
-        let early = answers(&rig.end(0, Outcome::Served, Some(1.0)));
+        let early = answers(&rig.end(0, Outcome::Succeeded, Some(1.0)));
         assert_eq!(early, usize::from(repeat), "half is in: try {n}");
         rig.wait(0.02);
         while !rig.out.is_empty() {
-            rig.end(0, Outcome::Served, Some(1.0));
+            rig.end(0, Outcome::Succeeded, Some(1.0));
         }
     }
 }
@@ -296,20 +334,21 @@
     rig.query(0);
     rig.query(2);
     let (part, replica, report) = (PartId(9999), ReplicaId(77), None);
-    let outcome = Outcome::Served;
-    let stray = Event::Outcome { part, attempt: 9, replica, over: true, outcome, took: f64::NAN, report };
-    rig.tell(&[stray, Event::Withdrawn { query: QueryId(5) }]);
-    rig.tell(&[Event::Members { news: News::Full, entries: vec![listed(1, 60000)] }]);
+    let outcome = Outcome::Succeeded;
+    let stray =
+        Event::Outcome { part, attempt: 9, replica, part_finished: true, outcome, elapsed: f64::NAN, report };
+    rig.tell(&[stray, Event::ClientDisconnected { query: QueryId(5) }]);
+    rig.tell(&[Event::Endpoints { update: EndpointUpdate::Full, endpoints: vec![listed(1, 60000)] }]);
     rig.tell(&[Event::Part {
         part,
         number: QueryNumber(8),
         shard: ShardId(u32::MAX),
         weight: f64::NAN,
-        spent: 0,
-        served: false,
+        prior_attempts: 0,
+        completed: false,
     }]);
     let actions = rig.wait(5.0);
-    assert_eq!(actions.iter().filter(|a| matches!(a, Action::Refuse { .. })).count(), 1);
+    assert_eq!(actions.iter().filter(|a| matches!(a, Action::Reject { .. })).count(), 1);
 }
 
 #[test]
@@ -327,7 +366,7 @@
 fn spread_rig(settings: Settings, cells: u32) -> Rig {
     let mut rig = Rig::new(Settings { cells, reach: 1, ..settings }, 0);
     let entries = (0..cells).map(|n| listed(u64::from(n), n as u16)).collect();
-    rig.tell(&[Event::Members { news: News::Full, entries }]);
+    rig.tell(&[Event::Endpoints { update: EndpointUpdate::Full, endpoints: entries }]);
     rig
 }
 
@@ -335,10 +374,11 @@
     rig.next += 100;
     let (number, query) = (QueryNumber(rig.next), QueryId(rig.next));
     let (class, tenant, patience) = (ClassId(0), TenantId(0), 4.0);
-    let mut events = vec![Event::Query { query, number, class, tenant, patience, parts, repeat: false }];
+    let mut events =
+        vec![Event::Query { query, number, class, tenant, time_left: patience, parts, is_retry: false }];
     for n in 1..=parts {
         let (part, shard, weight) = (PartId(rig.next + n), ShardId(n - 1), 1.0 / f64::from(parts));
-        events.push(Event::Part { part, number, shard, weight, spent: 0, served: false });
+        events.push(Event::Part { part, number, shard, weight, prior_attempts: 0, completed: false });
     }
     rig.tell(&events)
 }
--- a/tests/decisions/seldom.rs
+++ b/tests/decisions/seldom.rs
@@ -23,7 +23,7 @@
         let settings = Settings { classes: vec![class], cells: RING, reach: 4, ..settings };
         let mut rig = Rig::new(settings, 0);
         let entries = (0..RING).map(|n| listed(u64::from(n), n as u16)).collect();
-        rig.tell(&[Event::Members { news: News::Full, entries }]);
+        rig.tell(&[Event::Endpoints { update: EndpointUpdate::Full, endpoints: entries }]);
         Ring { rig, asked: 0, sent: BTreeMap::new() }
     }
 
@@ -34,10 +34,17 @@
         let (query, number) = (QueryId(first), QueryNumber(first));
         let (class, tenant) = (ClassId(0), TenantId(0));
         let mut events =
-            vec![Event::Query { query, number, class, tenant, patience: 4.0, parts: 8, repeat: false }];
+            vec![Event::Query { query, number, class, tenant, time_left: 4.0, parts: 8, is_retry: false }];
         for n in 0..8 {
             let (part, shard) = (PartId(first + 1 + n), ShardId((self.asked + 4 * n) % RING));
-            events.push(Event::Part { part, number, shard, weight: 0.125, spent: 0, served: false });
+            events.push(Event::Part {
+                part,
+                number,
+                shard,
+                weight: 0.125,
+                prior_attempts: 0,
+                completed: false,
+            });
         }
         let actions = self.rig.tell(&events);
         let mut all = sends(&actions);
@@ -49,9 +56,17 @@
             while let Some(n) = self.rig.out.iter().position(done) {
                 let (part, attempt, replica, sent) = self.rig.out.remove(n);
                 let (outcome, _) = ends(replica.0);
-                let (took, over) = (now - sent, outcome == Outcome::Served);
-                let report = Some(Report { rate: Some(40.0), ..Report::default() });
-                let end = Event::Outcome { part, attempt, replica, over, outcome, took, report };
+                let (took, over) = (now - sent, outcome == Outcome::Succeeded);
+                let report = Some(LoadReport { rate: Some(40.0), ..LoadReport::default() });
+                let end = Event::Outcome {
+                    part,
+                    attempt,
+                    replica,
+                    part_finished: over,
+                    outcome,
+                    elapsed: took,
+                    report,
+                };
                 all.extend(sends(&self.rig.tell(&[end])));
             }
         }
@@ -72,7 +87,7 @@
 
 #[test]
 fn a_slow_replica_met_seldom_gets_less_where_reports_tell_no_load() {
-    let ends: Ends = |replica| (Outcome::Served, if replica == 5 { 0.12 } else { 0.03 });
+    let ends: Ends = |replica| (Outcome::Succeeded, if replica == 5 { 0.12 } else { 0.03 });
     let share = Ring::new(settings()).share_of(5, ends);
     assert!(share < 0.4, "{share:.2} of a sound one's share");
 }
@@ -81,7 +96,7 @@
 fn a_replica_that_leaves_attempts_unanswered_gets_less() {
     let ends: Ends = |replica| match replica {
         5 => (Outcome::Cancelled, 0.08),
-        _ => (Outcome::Served, 0.03),
+        _ => (Outcome::Succeeded, 0.03),
     };
     let share = Ring::new(settings()).share_of(5, ends);
     assert!(share < 0.4, "{share:.2} of a sound one's share");
@@ -90,10 +105,10 @@
 #[test]
 fn a_query_is_not_begun_where_the_last_ones_took_most_of_their_aim() {
     let mut ring = Ring::new(settings());
-    (0..10).for_each(|_| drop(ring.ask(|_| (Outcome::Served, 0.03))));
-    assert!(sends(&ring.ask(|_| (Outcome::Served, 0.03))).len() >= 8, "it is begun");
-    (0..6).for_each(|_| drop(ring.ask(|_| (Outcome::Served, 0.95))));
-    let actions = ring.ask(|_| (Outcome::Served, 0.03));
+    (0..10).for_each(|_| drop(ring.ask(|_| (Outcome::Succeeded, 0.03))));
+    assert!(sends(&ring.ask(|_| (Outcome::Succeeded, 0.03))).len() >= 8, "it is begun");
+    (0..6).for_each(|_| drop(ring.ask(|_| (Outcome::Succeeded, 0.95))));
+    let actions = ring.ask(|_| (Outcome::Succeeded, 0.03));
     assert_eq!(sends(&actions), [], "the last ones took 0.95 of an aim of 1");
-    assert!(actions.iter().any(|a| matches!(a, Action::Refuse { .. })), "{actions:?}");
+    assert!(actions.iter().any(|a| matches!(a, Action::Reject { .. })), "{actions:?}");
 }
--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -64,12 +64,12 @@
     }
 }
 
-fn listed(n: usize, started: Option<f64>) -> Listed {
-    Listed {
+fn listed(n: usize, started: Option<f64>) -> Endpoint {
+    Endpoint {
         replica: ReplicaId(n as u64),
         zone: ZoneId((n as u64 % ZONES) as u8),
         cell: CellId(n as u16),
-        phase: Phase::Ready,
+        state: EndpointState::Ready,
         weight: 1.0,
         started,
     }
@@ -81,7 +81,7 @@
         for n in 0..coordinators {
             let mut balancer = Balancer::new(told(coordinators, nodes), 100 + n as u64).expect("served");
             let entries = (0..nodes).map(|n| listed(n, None)).collect();
-            balancer.round(10.0, &[Event::Members { news: News::Full, entries }]);
+            balancer.round(10.0, &[Event::Endpoints { update: EndpointUpdate::Full, endpoints: entries }]);
             all.push(balancer);
         }
         let (due, out, tries, asked, sends) = Default::default();
@@ -104,20 +104,20 @@
                 let Some((_, at, part, attempt, replica, how)) = self.due.pop() else { break };
                 let Some((_, sent)) = self.out.remove(&(at, part, attempt)) else { continue };
                 let outcome = [
-                    Outcome::Served,
+                    Outcome::Succeeded,
                     Outcome::Error,
                     Outcome::Cancelled,
-                    Outcome::NoConnection,
-                    Outcome::TurnedAway,
+                    Outcome::ConnectFailed,
+                    Outcome::Rejected,
                 ][usize::from(how)];
-                let (took, over) = (self.now - sent, outcome == Outcome::Served);
+                let (took, over) = (self.now - sent, outcome == Outcome::Succeeded);
                 events.entry(at).or_default().push(Event::Outcome {
                     part,
                     attempt,
                     replica,
-                    over,
+                    part_finished: over,
                     outcome,
-                    took,
+                    elapsed: took,
                     report: None,
                 });
             }
@@ -138,7 +138,8 @@
         let (number, query) = (QueryNumber(self.next), QueryId(self.next));
         self.asked.insert((at, query), (self.now, None));
         let (class, tenant, patience) = (ClassId(0), TenantId(0), 1.3);
-        let mut events = vec![Event::Query { query, number, class, tenant, patience, parts, repeat: false }];
+        let mut events =
+            vec![Event::Query { query, number, class, tenant, time_left: patience, parts, is_retry: false }];
         let first = self.rng.next_u32();
         for n in 0..parts {
             let (part, shard) = (PartId(self.next + 1 + n), ShardId(first % 120 + 7 * n));
@@ -147,8 +148,8 @@
                 number,
                 shard,
                 weight: 1.0 / f64::from(parts),
-                spent: 0,
-                served: false,
+                prior_attempts: 0,
+                completed: false,
             });
         }
         events
@@ -224,8 +225,8 @@
     // Six in ten are replaced at once; the rest bears more than before.
     let start = world.now;
     let new = |n: &usize| n % 5 < 3;
-    let entries: Vec<Listed> = (0..60).filter(new).map(|n| listed(n, Some(start))).collect();
-    let event = Event::Members { news: News::Delta, entries };
+    let entries: Vec<Endpoint> = (0..60).filter(new).map(|n| listed(n, Some(start))).collect();
+    let event = Event::Endpoints { update: EndpointUpdate::Delta, endpoints: entries };
     world.all.iter_mut().for_each(|b| drop(b.round(start, std::slice::from_ref(&event))));
     world.run(4.0, 1.0, 24);
     let since = start + 1.0;
@@ -282,8 +283,8 @@
     let mut world = World::new(100, 60);
     world.run(8.0, 0.5, 24);
     let start = world.now;
-    let entries: Vec<Listed> = (0..60).filter(|n| n % 5 < 3).map(|n| listed(n, Some(start))).collect();
-    let event = Event::Members { news: News::Delta, entries };
+    let entries: Vec<Endpoint> = (0..60).filter(|n| n % 5 < 3).map(|n| listed(n, Some(start))).collect();
+    let event = Event::Endpoints { update: EndpointUpdate::Delta, endpoints: entries };
     world.all.iter_mut().for_each(|b| drop(b.round(start, std::slice::from_ref(&event))));
     world.run(6.0, 0.5, 24);
     let mean = |cold: bool| {
--- a/tests/formats.rs
+++ b/tests/formats.rs
@@ -6,7 +6,7 @@
 use std::time::Instant;
 
 use common::frame;
-use marlgap::balancer::interface::{Phase, ShardId};
+use marlgap::balancer::interface::{EndpointState, ShardId};
 use marlgap::coordinator::Clock;
 use marlgap::net::data_nodes::frames::{self, FrameError};
 use marlgap::net::dns_sd::zone_file;
@@ -79,7 +79,10 @@
     assert_eq!(servers.len(), 1, "one has no place: {servers:?}");
     let server = &servers[0];
     assert_eq!(server.address, SocketAddr::from(([127, 0, 0, 1], 9201)), "the better priority");
-    assert_eq!((server.cell, server.phase, &server.zone[..], server.born), (3, Phase::Draining, "tema", 9));
+    assert_eq!(
+        (server.cell, server.phase, &server.zone[..], server.born),
+        (3, EndpointState::Draining, "tema", 9)
+    );
     for (from, to) in
         [("Cell=3\" \"cell=4", "x"), ("draining", "tired"), ("born_ms=9", "born_ms=x"), (" 9201", " x")]
     {
--- a/tests/golden_wire/data_nodes_lines.rs
+++ b/tests/golden_wire/data_nodes_lines.rs
@@ -6,7 +6,7 @@
 use std::time::{Duration, Instant};
 
 use async_executor::LocalExecutor;
-use marlgap::balancer::interface::{Phase, ShardId};
+use marlgap::balancer::interface::{EndpointState, ShardId};
 use marlgap::coordinator::{Call, Step, Stop, Transport};
 use marlgap::net::data_nodes::{Carried, Entry, Nodes};
 use marlgap::net::descriptors::Descriptors;
@@ -48,7 +48,7 @@
     let executor = Rc::new(LocalExecutor::new());
     let log = slog::Logger::root(slog::Discard, slog::o!());
     let nodes = Nodes::new(told, Rc::new(Descriptors::new(64)), executor.clone(), log);
-    let replica = nodes.list(&Entry { name: "n0".to_owned(), address, phase: Phase::Ready, born: 0 });
+    let replica = nodes.list(&Entry { name: "n0".to_owned(), address, phase: EndpointState::Ready, born: 0 });
     let carried = Rc::new(Carried::new("query-id".to_owned(), b"the statement".to_vec()));
     let call = Call::alone(replica, carried, ShardId(shard), step, Instant::now() + DEADLINE);
     let (hold, stop) = Stop::new();
--- a/tests/grpc_decisions.rs
+++ b/tests/grpc_decisions.rs
@@ -4,7 +4,7 @@
 use std::time::{Duration, Instant};
 
 use bytes::Bytes;
-use marlgap::balancer::interface::{Phase, ReplicaId, ShardId};
+use marlgap::balancer::interface::{EndpointState, ReplicaId, ShardId};
 use marlgap::config::operator::{FrontLimits, Operator};
 use marlgap::connection_pool::{Assign, ConnectionId, Do, Limits, Pool, Why};
 use marlgap::grpc_routing::{field, first_message, stable_hash, Field, NoShard};
@@ -147,8 +147,8 @@
         let limits = Limits { connections: 2, streams: 3, waiting: 5, ..Limits::default() };
         let mut pool = Pool::new(limits);
         let (mut now, server) = (Instant::now(), |n: u8| ReplicaId(u64::from(n % 3)));
-        (0..3).for_each(|n| pool.phase(now, server(n), Phase::Ready));
-        let mut phases = [Phase::Ready; 3];
+        (0..3).for_each(|n| pool.phase(now, server(n), EndpointState::Ready));
+        let mut phases = [EndpointState::Ready; 3];
         let mut coming: BTreeSet<ConnectionId> = BTreeSet::new();
         // What the server of each connection allows, and the calls that it carries.
         let mut up: BTreeMap<ConnectionId, (usize, usize)> = BTreeMap::new();
@@ -164,14 +164,14 @@
                         prop_assert!(*open <= (*allowed).min(3), "over the limit");
                         prop_assert!(!draining.contains(&id), "on one that drains");
                         prop_assert_eq!(homes[&id], server(a));
-                        prop_assert_eq!(phases[usize::from(a % 3)], Phase::Ready);
+                        prop_assert_eq!(phases[usize::from(a % 3)], EndpointState::Ready);
                     }
                     Assign::Open(id) => {
-                        prop_assert!(b % 7 < 5 && phases[usize::from(a % 3)] == Phase::Ready);
+                        prop_assert!(b % 7 < 5 && phases[usize::from(a % 3)] == EndpointState::Ready);
                         coming.insert(id);
                         homes.insert(id, server(a));
                     }
-                    Assign::NotReady => prop_assert!(phases[usize::from(a % 3)] != Phase::Ready),
+                    Assign::NotReady => prop_assert!(phases[usize::from(a % 3)] != EndpointState::Ready),
                     Assign::Full => prop_assert!(b % 7 >= 5),
                     Assign::Resting(until) => prop_assert!(until > now && until <= now + Duration::from_secs(5)),
                     Assign::Wait => {}
@@ -199,10 +199,10 @@
                     up.remove(&id);
                 },
                 9 => {
-                    let phase = [Phase::Ready, Phase::Draining, Phase::Gone][usize::from(b % 3)];
+                    let phase = [EndpointState::Ready, EndpointState::Draining, EndpointState::Removed][usize::from(b % 3)];
                     phases[usize::from(a % 3)] = phase;
                     pool.phase(now, server(a), phase);
-                    if phase != Phase::Ready {
+                    if phase != EndpointState::Ready {
                         draining.extend(homes.iter().filter(|(_, s)| **s == server(a)).map(|(id, _)| *id));
                     }
                 }
@@ -237,7 +237,7 @@
     let mut pool = Pool::new(Limits { connections: 2, streams: 1, ..Limits::default() });
     let (server, at) = (ReplicaId(1), |ms: u64| Duration::from_millis(ms));
     let start = Instant::now();
-    pool.phase(start, server, Phase::Ready);
+    pool.phase(start, server, EndpointState::Ready);
     let Assign::Open(first) = pool.assign(start, server, 0) else { panic!("none") };
     assert_eq!(pool.assign(start, server, 0), Assign::Wait, "one is coming up");
     pool.up(start, first, 10);
@@ -255,13 +255,13 @@
     assert_eq!(pool.assign(start + at(1200), server, 0), Assign::Take(first));
     assert_eq!(pool.tick(start + at(1600)), [Do::Close(first, Why::Silent)]);
     // A drain lets what is under way end, in time.
-    pool.phase(start + at(1700), server, Phase::Draining);
+    pool.phase(start + at(1700), server, EndpointState::Draining);
     assert_eq!(pool.assign(start + at(1700), server, 0), Assign::NotReady);
     pool.heard(start + at(1700), second);
     pool.release(start + at(1800), second);
     assert_eq!(pool.tick(start + at(1800)), [Do::Close(second, Why::Drained)]);
     // Failed connects rest for longer each time, by chance within their second half.
-    pool.phase(start, server, Phase::Ready);
+    pool.phase(start, server, EndpointState::Ready);
     let mut rests = Vec::new();
     for chance in [0.0, 0.0, 0.0, 1.0] {
         let now = start + at(60_000 * (rests.len() as u64 + 1));
--- a/tests/nodes.rs
+++ b/tests/nodes.rs
@@ -10,7 +10,7 @@
 use async_channel::Sender;
 use async_executor::{LocalExecutor, Task};
 use common::*;
-use marlgap::balancer::interface::{Outcome, Phase, ReplicaId, ShardId};
+use marlgap::balancer::interface::{EndpointState, Outcome, ReplicaId, ShardId};
 use marlgap::coordinator::{Call, Ended, Step, Stop, Transport};
 use marlgap::net::data_nodes::{Carried, Entry, Nodes};
 use marlgap::net::descriptors::Descriptors;
@@ -90,7 +90,7 @@
 }
 
 fn entry(address: SocketAddr) -> Entry {
-    Entry { name: "n0".to_owned(), address, phase: Phase::Ready, born: 0 }
+    Entry { name: "n0".to_owned(), address, phase: EndpointState::Ready, born: 0 }
 }
 
 fn send(mut stream: &TcpStream, text: &str) {
@@ -111,9 +111,9 @@
     assert!(world.executor.try_tick());
     send(&stream, "a a1.1 served 1 -\nV");
     drop(stream);
-    assert_eq!(world.outcome(served), Outcome::Served);
-    assert_eq!(world.outcome(lost), Outcome::Dropped);
-    assert_eq!(world.outcome(unsent), Outcome::NotSent);
+    assert_eq!(world.outcome(served), Outcome::Succeeded);
+    assert_eq!(world.outcome(lost), Outcome::ConnectionLost);
+    assert_eq!(world.outcome(unsent), Outcome::NeverSent);
 }
 
 /// Guards a served part on a connection that is given up as silent in the moment in which its answer lies there.
@@ -132,7 +132,7 @@
         let answers = [(&silent, "a a1.1 served 1 -\nV"), (&stream, "a a1.2 served 1 -\nV")];
         let order = if silent_first { [0, 1] } else { [1, 0] };
         order.iter().for_each(|n| send(answers[*n].0, answers[*n].1));
-        assert_eq!((world.outcome(two), world.outcome(one)), (Outcome::Served, Outcome::Served));
+        assert_eq!((world.outcome(two), world.outcome(one)), (Outcome::Succeeded, Outcome::Succeeded));
     }
 }
 
@@ -147,7 +147,7 @@
     drop(blocked.1);
     assert_eq!(async_io::block_on(world.executor.run(blocked.0)).outcome, Outcome::Cancelled);
     // What was out beside it may have run, and says nothing of its data node's life.
-    assert_eq!(world.outcome(out), Outcome::Dropped);
+    assert_eq!(world.outcome(out), Outcome::ConnectionLost);
     let mut stream = stream;
     let came = world.meet(move || {
         let mut bytes = Vec::new();
@@ -158,7 +158,7 @@
     let next = world.begin(3);
     let stream = world.accept(1);
     send(&stream, "a a1.3 served 1 -\nV");
-    assert_eq!(world.outcome(next), Outcome::Served);
+    assert_eq!(world.outcome(next), Outcome::Succeeded);
 }
 
 /// Guards the rule on the time that is told: a frame that its data node reads late would tell more than is left.
@@ -178,8 +178,8 @@
         bytes.len()
     });
     assert!(came < ENDLESS, "all of it came: {came}");
-    assert_eq!(world.outcome(stalled), Outcome::NotSent, "its last byte was never written");
-    assert_eq!(world.outcome(out), Outcome::Dropped);
+    assert_eq!(world.outcome(stalled), Outcome::NeverSent, "its last byte was never written");
+    assert_eq!(world.outcome(out), Outcome::ConnectionLost);
 }
 
 /// Guards parts that must not run twice: what has not been written whole never ran, whatever ends the connection.
@@ -192,8 +192,8 @@
     while stream.peek(&mut [0]).expect("a frame") == 0 {}
     // Only its own side: our write meets no error, it merely does not go on.
     stream.shutdown(Shutdown::Write).expect("shut down");
-    assert_eq!(world.outcome(blocked), Outcome::NotSent);
-    assert_eq!(world.outcome(out), Outcome::Dropped);
+    assert_eq!(world.outcome(blocked), Outcome::NeverSent);
+    assert_eq!(world.outcome(out), Outcome::ConnectionLost);
 }
 
 /// Guards parts that must not run twice: an answer that comes twice turns one attempt away, not the next as well.
@@ -203,19 +203,19 @@
     let first = world.begin(1);
     let stream = world.accept(1);
     send(&stream, "a a1.1 skipped 0 -\n");
-    assert_eq!(world.outcome(first), Outcome::TurnedAway);
+    assert_eq!(world.outcome(first), Outcome::Rejected);
     // The next attempt is written, and runs, when the first one's answer comes again.
     let second = world.begin(1);
     assert!(world.next(&stream).is_some_and(|f| f.starts_with("q a1.1 ")));
     send(&stream, "a a1.1 skipped 0 -\n");
-    assert_eq!(world.outcome(second), Outcome::Dropped);
+    assert_eq!(world.outcome(second), Outcome::ConnectionLost);
     // On another connection nothing can be doubled. This one ends by an answer that nobody waits for.
     send(&stream, "a zz.1 served 1 -\nV");
     assert_eq!(world.next(&stream), None);
     let third = world.begin(1);
     let stream = world.accept(1);
     send(&stream, "a a1.1 skipped 0 -\n");
-    assert_eq!(world.outcome(third), Outcome::TurnedAway);
+    assert_eq!(world.outcome(third), Outcome::Rejected);
 }
 
 /// Guards the rule on second copies: the end of an attempt that was given up is not that of the next one.
@@ -232,7 +232,7 @@
         assert!(world.next(&stream).is_some_and(|f| f.starts_with("q a1.1 ")));
         send(&stream, &format!("a a1.1 {end} 0 -\n"));
         send(&stream, "a a1.1 served 1 -\nV");
-        assert_eq!(world.outcome(second), Outcome::Served, "{end}");
+        assert_eq!(world.outcome(second), Outcome::Succeeded, "{end}");
     }
 }
 
@@ -251,13 +251,13 @@
     (1..PLACES).for_each(|n| assert_eq!(world.next(&stream), Some(format!("c a1.{}", n - 1))));
     (1..PLACES).for_each(|n| send(&stream, &format!("a a1.{} broke 0 -\n", n - 1)));
     send(&stream, "a a1.149 served 1 -\nV");
-    assert_eq!(world.outcome(kept), Outcome::Served);
+    assert_eq!(world.outcome(kept), Outcome::Succeeded);
     // It is as sound as before: the next part comes on it, or on none.
     let next = world.begin(PLACES);
     let frame = world.next(&stream);
     assert!(frame.as_ref().is_some_and(|f| f.starts_with("q a1.150 ")), "{frame:?}");
     send(&stream, "a a1.150 served 1 -\nV");
-    assert_eq!(world.outcome(next), Outcome::Served);
+    assert_eq!(world.outcome(next), Outcome::Succeeded);
 }
 
 /// Guards values: one that was cut short, with the next answer in it, is nobody's.
@@ -274,7 +274,7 @@
             .expect("written");
         let ends = [world.outcome(one), world.outcome(two)];
         assert!(
-            ends.iter().all(|o| matches!(o, Outcome::Error | Outcome::Dropped)),
+            ends.iter().all(|o| matches!(o, Outcome::Error | Outcome::ConnectionLost)),
             "cut at {cut}: {ends:?}"
         );
     }
@@ -311,7 +311,7 @@
     let one = world.begin(1);
     let stream = world.accept(1);
     send(&stream, "a a1.1 served 1 -\nV");
-    assert_eq!(world.outcome(one), Outcome::Served);
+    assert_eq!(world.outcome(one), Outcome::Succeeded);
     let rests = Instant::now();
     std::thread::sleep(Duration::from_millis(500));
     while world.executor.try_tick() {}
--- a/tests/parts.rs
+++ b/tests/parts.rs
@@ -8,7 +8,7 @@
 
 use async_executor::LocalExecutor;
 use common::*;
-use marlgap::balancer::interface::{Outcome, Phase, ReplicaId, ShardId};
+use marlgap::balancer::interface::{EndpointState, Outcome, ReplicaId, ShardId};
 use marlgap::coordinator::{Call, Step, Stop, Transport};
 use marlgap::net::data_nodes::{Carried, Entry, Nodes};
 use marlgap::net::descriptors::Descriptors;
@@ -36,7 +36,7 @@
     let executor = Rc::new(LocalExecutor::new());
     let log = slog::Logger::root(slog::Discard, slog::o!());
     let nodes = Nodes::new(deployment(address), descriptors(8), executor.clone(), log);
-    let replica = nodes.list(&Entry { name: "n0".to_owned(), address, phase: Phase::Ready, born: 0 });
+    let replica = nodes.list(&Entry { name: "n0".to_owned(), address, phase: EndpointState::Ready, born: 0 });
     let carried = Rc::new(Carried::new("a1".to_owned(), b"hi".to_vec()));
     let deadline = Instant::now() + PATIENCE;
     let begin = |shard| {
@@ -69,7 +69,7 @@
         executor.clone(),
         slog::Logger::root(slog::Discard, slog::o!()),
     );
-    let replica = nodes.list(&Entry { name: "n0".to_owned(), address, phase: Phase::Ready, born: 0 });
+    let replica = nodes.list(&Entry { name: "n0".to_owned(), address, phase: EndpointState::Ready, born: 0 });
     let carried = Rc::new(Carried::new("a1".to_owned(), b"hi".to_vec()));
     let deadline = Instant::now() + PATIENCE;
     let begin = |shard| {
@@ -95,7 +95,7 @@
         assert_eq!(last.await.outcome, Outcome::Cancelled);
         begun.push(begin(34));
         go.send(()).await.expect("heard");
-        assert_eq!(begun.remove(6).0.await.outcome, Outcome::Served);
+        assert_eq!(begun.remove(6).0.await.outcome, Outcome::Succeeded);
         let next = futures_lite::future::or(async { blocking_join(node).await }, async {
             async_io::Timer::at(deadline).await;
             String::new()
@@ -124,7 +124,7 @@
         executor.clone(),
         slog::Logger::root(slog::Discard, slog::o!()),
     );
-    let replica = nodes.list(&Entry { name: "n0".to_owned(), address, phase: Phase::Ready, born: 0 });
+    let replica = nodes.list(&Entry { name: "n0".to_owned(), address, phase: EndpointState::Ready, born: 0 });
     let carried = Rc::new(Carried::new("a1".to_owned(), b"hi".to_vec()));
     let deadline = Instant::now() + PATIENCE;
     let begin = |shard| {
@@ -141,14 +141,14 @@
         stream.write_all(&frame("a a1.3 served 1 -\nV")).expect("written");
         (one, next)
     });
-    assert_eq!(async_io::block_on(executor.run(first.0)).outcome, Outcome::Served);
+    assert_eq!(async_io::block_on(executor.run(first.0)).outcome, Outcome::Succeeded);
     // The connection is up and rests. The second part is queued, then called off.
     let second = begin(2);
     assert!(executor.try_tick());
     drop(second.1);
     assert_eq!(async_io::block_on(executor.run(second.0)).outcome, Outcome::Cancelled);
     let third = begin(3);
-    assert_eq!(async_io::block_on(executor.run(third.0)).outcome, Outcome::Served);
+    assert_eq!(async_io::block_on(executor.run(third.0)).outcome, Outcome::Succeeded);
     let (one, next) = node.join().expect("ran");
     assert!(one.is_some_and(|f| f.starts_with("q a1.1 ")));
     assert!(next.as_ref().is_some_and(|f| f.starts_with("q a1.3 ")), "{next:?}");
@@ -172,13 +172,13 @@
     });
     let servers: Vec<_> = servers.collect();
     for (n, address) in addresses.iter().enumerate() {
-        let entry = Entry { name: format!("n{n}"), address: *address, phase: Phase::Ready, born: 0 };
+        let entry = Entry { name: format!("n{n}"), address: *address, phase: EndpointState::Ready, born: 0 };
         let replica = nodes.list(&entry);
         let carried = Rc::new(Carried::new("a1".to_owned(), b"hi".to_vec()));
         let call = Call::alone(replica, carried, ShardId(0), Step::First, Instant::now() + PATIENCE);
         let (_hold, stop) = Stop::new();
         let ended = async_io::block_on(executor.run(nodes.clone().call(call, stop)));
-        assert_eq!(ended.outcome, Outcome::Served, "data node {n}");
+        assert_eq!(ended.outcome, Outcome::Succeeded, "data node {n}");
     }
     // All but the last four were closed: their stand-ins have seen the end.
     servers.into_iter().take(8).for_each(|s| s.join().expect("ran"));
@@ -209,7 +209,7 @@
         executor.clone(),
         slog::Logger::root(slog::Discard, slog::o!()),
     );
-    let replica = nodes.list(&Entry { name: "n0".to_owned(), address, phase: Phase::Ready, born: 0 });
+    let replica = nodes.list(&Entry { name: "n0".to_owned(), address, phase: EndpointState::Ready, born: 0 });
     let carried = Rc::new(Carried::new("a1".to_owned(), b"hi".to_vec()));
     let deadline = Instant::now() + PATIENCE;
     let begin = |shard| {
@@ -233,7 +233,7 @@
         assert_eq!(async_io::block_on(executor.run(attempt)).outcome, Outcome::Cancelled);
     }
     let last = begin(99);
-    assert_eq!(async_io::block_on(executor.run(last.0)).outcome, Outcome::Served);
+    assert_eq!(async_io::block_on(executor.run(last.0)).outcome, Outcome::Succeeded);
     node.join().expect("ran");
 }
 
@@ -249,7 +249,7 @@
         executor.clone(),
         slog::Logger::root(slog::Discard, slog::o!()),
     );
-    let replica = nodes.list(&Entry { name: "n0".to_owned(), address, phase: Phase::Ready, born: 0 });
+    let replica = nodes.list(&Entry { name: "n0".to_owned(), address, phase: EndpointState::Ready, born: 0 });
     let carried = Rc::new(Carried::new("a1".to_owned(), b"hi".to_vec()));
     let ask = |shard, wait| {
         let (carried, deadline) = (carried.clone(), Instant::now() + Duration::from_millis(wait));
@@ -266,7 +266,7 @@
         (first, second)
     });
     assert_eq!(ask(3, 300), Outcome::TimedOut);
-    assert_eq!(ask(4, 5000), Outcome::Served);
+    assert_eq!(ask(4, 5000), Outcome::Succeeded);
     let (first, second) = node.join().expect("ran");
     assert!(
         first.is_some_and(|f| f.starts_with("q a1.3 ")) && second.is_some_and(|f| f.starts_with("q a1.4 "))
@@ -281,7 +281,7 @@
         stream.write_all(&frame("a a1.4 nonsense 1 -\nV")).expect("written");
         assert_eq!(read_frame(&mut stream), None, "the connection is given up");
     });
-    assert_eq!(outcomes, (Outcome::Dropped, Outcome::Error));
+    assert_eq!(outcomes, (Outcome::ConnectionLost, Outcome::Error));
 }
 
 /// Guards data nodes that close a connection with parts out: only one that takes no new one has died.
@@ -291,7 +291,7 @@
         drop(stream);
         drop(listener.accept().expect("asked whether it lives"));
     });
-    assert_eq!(outcomes, (Outcome::Dropped, Outcome::Dropped));
+    assert_eq!(outcomes, (Outcome::ConnectionLost, Outcome::ConnectionLost));
     let outcomes = two_parts(|listener, stream| {
         let address = listener.local_addr().expect("bound");
         drop(listener);
@@ -309,15 +309,15 @@
     let log = slog::Logger::root(slog::Discard, slog::o!());
     let nodes = Nodes::new(deployment(address), descriptors(8), Rc::new(LocalExecutor::new()), log);
     let list = |n: u32, phase| nodes.list(&Entry { name: format!("n{n}"), address, phase, born: 0 });
-    let first: Vec<_> = (0..3).map(|n| list(n, Phase::Ready)).collect();
+    let first: Vec<_> = (0..3).map(|n| list(n, EndpointState::Ready)).collect();
     nodes.keep_only(&first[1..].iter().copied().collect());
     let now = Instant::now();
     nodes.forget(now + Duration::from_secs(10));
-    assert_eq!((nodes.known(), list(0, Phase::Gone)), (3, first[0]), "it may come back");
+    assert_eq!((nodes.known(), list(0, EndpointState::Removed)), (3, first[0]), "it may come back");
     nodes.forget(now + Duration::from_secs(60));
     assert_eq!(nodes.known(), 2);
-    assert_eq!(list(1, Phase::Ready), first[1]);
-    assert!(!first.contains(&list(0, Phase::Ready)), "a new one by now");
+    assert_eq!(list(1, EndpointState::Ready), first[1]);
+    assert!(!first.contains(&list(0, EndpointState::Ready)), "a new one by now");
 }
 
 /// Guards the rule on drains: a send that was decided on while its node was up, and then waited for a
@@ -327,12 +327,14 @@
     let listener = TcpListener::bind("127.0.0.1:0").expect("bound");
     let address = listener.local_addr().expect("bound");
     let deployment = deployment(address);
-    for (phase, born) in [(Phase::Draining, 0), (Phase::Gone, 0), (Phase::Ready, 7)] {
+    for (phase, born) in
+        [(EndpointState::Draining, 0), (EndpointState::Removed, 0), (EndpointState::Ready, 7)]
+    {
         let executor = Rc::new(LocalExecutor::new());
         let log = slog::Logger::root(slog::Discard, slog::o!());
         let nodes = Nodes::new(deployment.clone(), descriptors(8), executor.clone(), log);
         let entry = |phase, born| Entry { name: "n0".to_owned(), address, phase, born };
-        let replica = nodes.list(&entry(Phase::Ready, 0));
+        let replica = nodes.list(&entry(EndpointState::Ready, 0));
         assert_eq!(replica, ReplicaId(1));
         let carried = Rc::new(Carried::new("a1".to_owned(), b"hi".to_vec()));
         let deadline = Instant::now() + Duration::from_secs(5);
@@ -344,6 +346,6 @@
         nodes.list(&entry(phase, born));
         let ended = async_io::block_on(executor.run(attempt));
         // A new life ends its old connections: nothing was written there either, and the new process refused nothing.
-        assert_eq!(ended.outcome, Outcome::NotSent, "{phase:?} {born}");
+        assert_eq!(ended.outcome, Outcome::NeverSent, "{phase:?} {born}");
     }
 }
--- a/tests/recorded/world.rs
+++ b/tests/recorded/world.rs
@@ -39,7 +39,7 @@
 
 #[derive(Clone, Default)]
 struct Server {
-    listed: Listed,
+    listed: Endpoint,
     held: usize,
     used: f64,
     dead: f64,
@@ -79,9 +79,9 @@
         let server = |n: u64| {
             let (zone, cell) = (ZoneId((n % u64::from(plan.zones)) as u8), n / u64::from(plan.zones));
             let cell = CellId((cell % u64::from(plan.settings.cells)) as u16);
-            let (replica, phase, weight) = (ReplicaId(n), Phase::Ready, 1.0);
+            let (replica, phase, weight) = (ReplicaId(n), EndpointState::Ready, 1.0);
             Server {
-                listed: Listed { replica, zone, cell, phase, weight, started: None },
+                listed: Endpoint { replica, zone, cell, state: phase, weight, started: None },
                 ..Server::default()
             }
         };
@@ -90,7 +90,7 @@
         let (due, open, tries, out, hash, seen) = Default::default();
         let mut world = World { plan, rng, balancer, now, next, servers, due, open, tries, out, hash, seen };
         let entries = world.list();
-        world.later(0.0, Event::Members { news: News::Cached, entries });
+        world.later(0.0, Event::Endpoints { update: EndpointUpdate::Cached, endpoints: entries });
         world
     }
 
@@ -118,8 +118,8 @@
         self.due.insert((at, order), event);
     }
 
-    fn list(&self) -> Vec<Listed> {
-        self.servers.iter().map(|s| s.listed).filter(|l| l.phase != Phase::Gone).collect()
+    fn list(&self) -> Vec<Endpoint> {
+        self.servers.iter().map(|s| s.listed).filter(|l| l.state != EndpointState::Removed).collect()
     }
 
     /// One round: what befalls the world, what is due of it, and what the module does.
@@ -164,27 +164,27 @@
             return;
         }
         let (way, s) = (self.rng.next_u32() % 8, &mut self.servers[n]);
-        match (s.listed.phase, way) {
-            (Phase::Ready, 0) => return s.slow = now + lasts,
-            (Phase::Ready, 1) => return s.mute = now + lasts,
-            (Phase::Ready, 2) => return s.dead = now + lasts,
-            (Phase::Ready, 3) => (s.listed.phase, s.dead) = (Phase::Gone, f64::MAX),
-            (Phase::Ready, _) => s.listed.phase = Phase::Draining,
-            (Phase::Draining, 7) => s.listed.phase = Phase::Ready,
-            (Phase::Draining, _) => (s.listed.phase, s.dead) = (Phase::Gone, f64::MAX),
-            (Phase::Gone, 6) => {}
-            (Phase::Gone, _) => {
-                (s.listed.phase, s.listed.started, s.dead) = (Phase::Ready, Some(now - 0.1), 0.0);
+        match (s.listed.state, way) {
+            (EndpointState::Ready, 0) => return s.slow = now + lasts,
+            (EndpointState::Ready, 1) => return s.mute = now + lasts,
+            (EndpointState::Ready, 2) => return s.dead = now + lasts,
+            (EndpointState::Ready, 3) => (s.listed.state, s.dead) = (EndpointState::Removed, f64::MAX),
+            (EndpointState::Ready, _) => s.listed.state = EndpointState::Draining,
+            (EndpointState::Draining, 7) => s.listed.state = EndpointState::Ready,
+            (EndpointState::Draining, _) => (s.listed.state, s.dead) = (EndpointState::Removed, f64::MAX),
+            (EndpointState::Removed, 6) => {}
+            (EndpointState::Removed, _) => {
+                (s.listed.state, s.listed.started, s.dead) = (EndpointState::Ready, Some(now - 0.1), 0.0);
             }
         }
         let entry = s.listed;
         match way {
-            4 => self.later(0.1, Event::Members { news: News::Failed, entries: Vec::new() }),
+            4 => self.later(0.1, Event::Endpoints { update: EndpointUpdate::Failed, endpoints: Vec::new() }),
             5 => {
                 let entries = self.list();
-                self.later(0.05, Event::Members { news: News::Full, entries });
+                self.later(0.05, Event::Endpoints { update: EndpointUpdate::Full, endpoints: entries });
             }
-            _ => self.later(0.02, Event::Members { news: News::Delta, entries: vec![entry] }),
+            _ => self.later(0.02, Event::Endpoints { update: EndpointUpdate::Delta, endpoints: vec![entry] }),
         }
     }
 
@@ -207,9 +207,9 @@
             number,
             class,
             tenant,
-            patience,
+            time_left: patience,
             parts: parts as u32,
-            repeat: cut,
+            is_retry: cut,
         });
         let deadly = self.unit() < self.plan.deadly;
         self.open.insert(query, Open { number, class, second: false, deadly, parts: Vec::new() });
@@ -217,7 +217,7 @@
         self.enter(query, &shards, events);
         if self.unit() < self.plan.left {
             let after = self.unit();
-            self.later(after, Event::Withdrawn { query });
+            self.later(after, Event::ClientDisconnected { query });
         }
     }
 
@@ -228,7 +228,14 @@
             self.tries.insert(part, (query, 0));
             let open = self.open.get_mut(&query).expect("open");
             open.parts.push((part, shard));
-            events.push(Event::Part { part, number: open.number, shard, weight, spent: 0, served: false });
+            events.push(Event::Part {
+                part,
+                number: open.number,
+                shard,
+                weight,
+                prior_attempts: 0,
+                completed: false,
+            });
         }
     }
 
@@ -236,30 +243,35 @@
     /// before that.
     fn ripe(&mut self, mut event: Event) -> Option<Event> {
         match &mut event {
-            Event::Outcome { part, attempt, over, outcome, took, report, .. } => {
+            Event::Outcome { part, attempt, part_finished, outcome, elapsed, report, .. } => {
                 let (n, sent) = self.out.remove(&(*part, *attempt))?;
                 self.servers[n].held -= 1;
-                *over |= *outcome == Outcome::Served || !self.tries.contains_key(part);
-                *took = self.now - sent;
+                *part_finished |= *outcome == Outcome::Succeeded || !self.tries.contains_key(part);
+                *elapsed = self.now - sent;
                 let inline = self.plan.settings.reports == Reports::Inline;
                 *report = inline.then(|| self.report(n));
             }
-            Event::Committed { part, attempt, took, .. } => {
+            Event::ResponseStarted { part, attempt, elapsed: took, .. } => {
                 *took =
                     self.now - self.out.get(&(*part, *attempt)).filter(|_| self.tries.contains_key(part))?.1;
             }
-            Event::Withdrawn { query } => self.end(*query)?,
+            Event::ClientDisconnected { query } => self.end(*query)?,
             _ => {}
         }
         Some(event)
     }
 
     /// Every third server tells no queue, every fifth neither that nor what it holds.
-    fn report(&mut self, n: usize) -> Report {
+    fn report(&mut self, n: usize) -> LoadReport {
         let held = self.servers[n].held as f64;
         let (queue, in_flight) =
             ((n % 3 != 1).then_some((held - 1.0).max(0.0)), (n % 5 != 1).then_some(held));
-        Report { queue, in_flight, busy: Some((held / 8.0).min(1.0)), ..Report::default() }
+        LoadReport {
+            queue_depth: queue,
+            in_flight,
+            utilization: Some((held / 8.0).min(1.0)),
+            ..LoadReport::default()
+        }
     }
 
     fn end(&mut self, query: QueryId) -> Option<()> {
@@ -273,7 +285,18 @@
     fn finish(&mut self, part: PartId, attempt: u8, after: f64, outcome: Outcome) {
         let Some((n, _)) = self.out.get(&(part, attempt)) else { return };
         let (replica, over) = (self.servers[*n].listed.replica, outcome == Outcome::Error && attempt == 2);
-        self.later(after, Event::Outcome { part, attempt, replica, over, outcome, took: 0.0, report: None });
+        self.later(
+            after,
+            Event::Outcome {
+                part,
+                attempt,
+                replica,
+                part_finished: over,
+                outcome,
+                elapsed: 0.0,
+                report: None,
+            },
+        );
     }
 
     fn act(&mut self, action: Action) {
@@ -302,7 +325,7 @@
                 }
                 2
             }
-            Action::Refuse { query, .. } => {
+            Action::Reject { query, .. } => {
                 self.end(query).expect("refused once");
                 3
             }
@@ -310,9 +333,9 @@
                 self.end(query).expect("failed once");
                 4
             }
-            Action::Probe { replica } => {
+            Action::HealthCheck { replica } => {
                 let report = Some(self.report(replica.0 as usize));
-                self.later(0.01, Event::Probed { replica, ok: true, took: 0.01, report });
+                self.later(0.01, Event::HealthChecked { replica, healthy: true, elapsed: 0.01, report });
                 5
             }
             Action::CloseIdle { replica } => {
@@ -325,9 +348,9 @@
             }
             Action::Subscribe => {
                 let failed = self.unit() < 0.3;
-                let news = if failed { News::Failed } else { News::Full };
+                let news = if failed { EndpointUpdate::Failed } else { EndpointUpdate::Full };
                 let entries = if failed { Vec::new() } else { self.list() };
-                self.later(0.2, Event::Members { news, entries });
+                self.later(0.2, Event::Endpoints { update: news, endpoints: entries });
                 8
             }
         };
@@ -349,24 +372,27 @@
         let takes = self.plan.service * jitter * slow * (1.0 + 0.5 * s.held as f64);
         let outcome = match (roll / faults.max(1e-9)) as u32 {
             _ if deadly => Some((takes, Outcome::Reset)),
-            _ if s.dead > now && roll < 0.5 => Some((0.25, Outcome::NoConnection)),
-            _ if s.dead > now => Some((0.001, Outcome::NoConnection)),
+            _ if s.dead > now && roll < 0.5 => Some((0.25, Outcome::ConnectFailed)),
+            _ if s.dead > now => Some((0.001, Outcome::ConnectFailed)),
             _ if s.mute > now || reaped => None,
-            _ if s.held > self.plan.full => Some((0.002, Outcome::TurnedAway)),
-            _ if s.drops > now => Some((takes, Outcome::Dropped)),
+            _ if s.held > self.plan.full => Some((0.002, Outcome::Rejected)),
+            _ if s.drops > now => Some((takes, Outcome::ConnectionLost)),
             0 => Some((takes, Outcome::Error)),
-            1 => Some((takes, Outcome::Dropped)),
+            1 => Some((takes, Outcome::ConnectionLost)),
             2 => Some((takes, Outcome::Reset)),
-            3 => Some((0.0, Outcome::NotSent)),
+            3 => Some((0.0, Outcome::NeverSent)),
             4 => Some((1.0, Outcome::TimedOut)),
-            _ => Some((takes, Outcome::Served)),
+            _ => Some((takes, Outcome::Succeeded)),
         };
         let (after, outcome) = outcome.unwrap_or((f64::MAX, Outcome::TimedOut));
         let limit = timeout.unwrap_or(3.0);
         let mut end = if after > limit { (limit, Outcome::TimedOut) } else { (after, outcome) };
-        if end.1 == Outcome::Served && self.unit() < self.plan.streamed {
-            self.later(after, Event::Committed { part, attempt, replica: ReplicaId(n as u64), took: 0.0 });
-            end = (after + 4.0 * takes, if roll > 0.9 { Outcome::Reset } else { Outcome::Served });
+        if end.1 == Outcome::Succeeded && self.unit() < self.plan.streamed {
+            self.later(
+                after,
+                Event::ResponseStarted { part, attempt, replica: ReplicaId(n as u64), elapsed: 0.0 },
+            );
+            end = (after + 4.0 * takes, if roll > 0.9 { Outcome::Reset } else { Outcome::Succeeded });
         }
         self.finish(part, attempt, end.0, end.1);
     }
@@ -385,14 +411,14 @@
         Action::Cancel { part, attempt } => {
             format!("Cancel {{ part: PartId({}), attempt: {attempt} }}", part.0)
         }
-        Action::Answer { query, whole: complete } => {
+        Action::Answer { query, complete } => {
             format!("Answer {{ query: QueryId({}), whole: {complete} }}", query.0)
         }
-        Action::Refuse { query, retry_after } => {
+        Action::Reject { query, retry_after } => {
             format!("Refuse {{ query: QueryId({}), retry_after: {retry_after:?} }}", query.0)
         }
         Action::Fail { query } => format!("Fail {{ query: QueryId({}) }}", query.0),
-        Action::Probe { replica } => format!("Probe {{ replica: ReplicaId({}) }}", replica.0),
+        Action::HealthCheck { replica } => format!("Probe {{ replica: ReplicaId({}) }}", replica.0),
         Action::CloseIdle { replica } => format!("CloseIdle {{ replica: ReplicaId({}) }}", replica.0),
         Action::Timer { after } => format!("Timer {{ after: {after:?} }}"),
         Action::Subscribe => "Subscribe".to_owned(),
--- a/tests/round_cost/main.rs
+++ b/tests/round_cost/main.rs
@@ -60,16 +60,23 @@
         let balancer = Balancer::new(settings, 5).expect("served");
         let (cells, out) = (replicas / 4, Vec::new());
         let mut busy = Busy { balancer, now: 100.0, next: 0, parts, cells, out };
-        let entries = (0..replicas).map(|n| busy.listed(n, Phase::Ready)).collect();
-        busy.round(vec![Event::Members { news: News::Full, entries }]);
+        let entries = (0..replicas).map(|n| busy.listed(n, EndpointState::Ready)).collect();
+        busy.round(vec![Event::Endpoints { update: EndpointUpdate::Full, endpoints: entries }]);
         (0..queries).for_each(|_| busy.ask());
         assert_eq!(busy.out.len(), (queries * parts) as usize, "all parts are out");
         busy
     }
 
-    fn listed(&self, n: u32, phase: Phase) -> Listed {
+    fn listed(&self, n: u32, phase: EndpointState) -> Endpoint {
         let (replica, zone) = (ReplicaId(u64::from(n)), ZoneId((n % 3) as u8));
-        Listed { replica, zone, cell: CellId((n % self.cells) as u16), phase, weight: 1.0, started: None }
+        Endpoint {
+            replica,
+            zone,
+            cell: CellId((n % self.cells) as u16),
+            state: phase,
+            weight: 1.0,
+            started: None,
+        }
     }
 
     /// How many entries a round with these events goes through.
@@ -90,12 +97,20 @@
         self.next += 1;
         let (query, number, class) = (QueryId(self.next), QueryNumber(self.next), ClassId(0));
         let (tenant, patience, parts, repeat) = (TenantId::NONE, 100.0, self.parts, false);
-        let mut events = vec![Event::Query { query, number, class, tenant, patience, parts, repeat }];
+        let mut events =
+            vec![Event::Query { query, number, class, tenant, time_left: patience, parts, is_retry: repeat }];
         for n in 0..self.parts {
             self.next += 1;
             let (part, shard) = (PartId(self.next), ShardId(n * 7 % self.cells));
             let (weight, spent, served) = (1.0 / f64::from(self.parts), 0, false);
-            events.push(Event::Part { part, number, shard, weight, spent, served });
+            events.push(Event::Part {
+                part,
+                number,
+                shard,
+                weight,
+                prior_attempts: spent,
+                completed: served,
+            });
         }
         self.round(events);
     }
@@ -103,24 +118,36 @@
     /// A round in which the part that was sent last is served.
     fn outcome(&mut self) -> usize {
         let (part, replica) = self.out.pop().expect("a part is out");
-        let report =
-            Some(Report { queue: Some(2.0), in_flight: Some(2.0), busy: Some(0.5), ..Report::default() });
-        let (attempt, over, outcome, took) = (0, true, Outcome::Served, 0.01);
-        self.round(vec![Event::Outcome { part, attempt, replica, over, outcome, took, report }])
+        let report = Some(LoadReport {
+            queue_depth: Some(2.0),
+            in_flight: Some(2.0),
+            utilization: Some(0.5),
+            ..LoadReport::default()
+        });
+        let (attempt, over, outcome, took) = (0, true, Outcome::Succeeded, 0.01);
+        self.round(vec![Event::Outcome {
+            part,
+            attempt,
+            replica,
+            part_finished: over,
+            outcome,
+            elapsed: took,
+            report,
+        }])
     }
 
     /// A round with one changed entry of the list.
-    fn entry(&mut self, n: u32, phase: Phase) -> usize {
+    fn entry(&mut self, n: u32, phase: EndpointState) -> usize {
         let entries = vec![self.listed(n, phase)];
-        self.round(vec![Event::Members { news: News::Delta, entries }])
+        self.round(vec![Event::Endpoints { update: EndpointUpdate::Delta, endpoints: entries }])
     }
 
     /// What single rounds go through: with nothing that happened, with two outcomes of one query, with a drain,
     /// with a return. The first value of a query has it looked at, which goes through its parts.
     fn shape(&mut self) -> [usize; 5] {
         let [idle, first] = [self.round(vec![Event::Timer]), self.outcome()];
-        let [second, drain] = [self.outcome(), self.entry(3, Phase::Draining)];
-        [idle, first, second, drain, self.entry(3, Phase::Ready)]
+        let [second, drain] = [self.outcome(), self.entry(3, EndpointState::Draining)];
+        [idle, first, second, drain, self.entry(3, EndpointState::Ready)]
     }
 }
 
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -53,7 +53,7 @@
     next: u32,
     queries: BTreeMap<u32, QueryState>,
     parts: BTreeMap<u32, PartState>,
-    phases: BTreeMap<ReplicaId, Phase>,
+    phases: BTreeMap<ReplicaId, EndpointState>,
     cells: BTreeMap<ReplicaId, u16>,
     taken: Vec<f64>,
     extras: Vec<f64>,
@@ -143,24 +143,30 @@
         self.next
     }
 
-    fn list(&mut self, news: News) -> Event {
+    fn list(&mut self, news: EndpointUpdate) -> Event {
         let mut entries = Vec::new();
         let replicas = u64::from(self.settings.cells) * 3;
-        if news == News::Full {
-            self.phases.values_mut().for_each(|p| *p = Phase::Gone);
+        if news == EndpointUpdate::Full {
+            self.phases.values_mut().for_each(|p| *p = EndpointState::Removed);
         }
-        for _ in 0..if news == News::Full { replicas } else { 1 } {
+        for _ in 0..if news == EndpointUpdate::Full { replicas } else { 1 } {
             let n = self.rng.below(replicas);
-            let phase = [Phase::Ready, Phase::Ready, Phase::Ready, Phase::Draining, Phase::Gone];
-            let phase = phase[self.rng.below(if news == News::Full { 4 } else { 5 }) as usize];
+            let phase = [
+                EndpointState::Ready,
+                EndpointState::Ready,
+                EndpointState::Ready,
+                EndpointState::Draining,
+                EndpointState::Removed,
+            ];
+            let phase = phase[self.rng.below(if news == EndpointUpdate::Full { 4 } else { 5 }) as usize];
             let (replica, cell) = (ReplicaId(n), (n % u64::from(self.settings.cells)) as u16);
             self.phases.insert(replica, phase);
             self.cells.insert(replica, cell);
             let started = self.rng.chance(30).then_some(self.now);
             let zone = ZoneId((n % 2) as u8);
-            entries.push(Listed { replica, zone, cell: CellId(cell), phase, weight: 1.0, started });
+            entries.push(Endpoint { replica, zone, cell: CellId(cell), state: phase, weight: 1.0, started });
         }
-        Event::Members { news, entries }
+        Event::Endpoints { update: news, endpoints: entries }
     }
 
     fn add_part(&mut self, query: u32, weight: f64) -> Event {
@@ -171,7 +177,7 @@
         self.taken.push(self.now);
         self.queries.get_mut(&query).expect("held").parts.push(part);
         let (part, number, shard) = (PartId(part), QueryNumber(query), ShardId(shard));
-        Event::Part { part, number, shard, weight, spent: 0, served: false }
+        Event::Part { part, number, shard, weight, prior_attempts: 0, completed: false }
     }
 
     fn events(&mut self) -> Vec<Event> {
@@ -182,18 +188,22 @@
             }
         }
         if self.phases.is_empty() || self.rng.chance(2) {
-            let news = if self.phases.is_empty() || self.rng.chance(20) { News::Full } else { News::Delta };
+            let news = if self.phases.is_empty() || self.rng.chance(20) {
+                EndpointUpdate::Full
+            } else {
+                EndpointUpdate::Delta
+            };
             events.push(self.list(news));
         }
         if self.rng.chance(2) {
-            events.push(Event::Members { news: News::Failed, entries: Vec::new() });
+            events.push(Event::Endpoints { update: EndpointUpdate::Failed, endpoints: Vec::new() });
         }
         if self.rng.chance(20) {
             self.arrive(&mut events);
         }
         self.outcomes(&mut events);
         if self.rng.chance(3) {
-            events.push(Event::Withdrawn { query: QueryId(self.rng.below(50) as u32 + 1_000_000) });
+            events.push(Event::ClientDisconnected { query: QueryId(self.rng.below(50) as u32 + 1_000_000) });
         }
         events.push(Event::Timer);
         events
@@ -216,7 +226,15 @@
         let tenant = TenantId(self.rng.below(3) as u16);
         let (id, number, class) = (QueryId(query), QueryNumber(query), ClassId(class));
         let repeat = false;
-        events.push(Event::Query { query: id, number, class, tenant, patience, parts: n as u32, repeat });
+        events.push(Event::Query {
+            query: id,
+            number,
+            class,
+            tenant,
+            time_left: patience,
+            parts: n as u32,
+            is_retry: repeat,
+        });
         for _ in 0..n {
             events.push(self.add_part(query, 1.0 / n as f64));
         }
@@ -230,31 +248,33 @@
                     continue;
                 }
                 let outcome = [
-                    Outcome::Served,
-                    Outcome::Served,
-                    Outcome::Served,
+                    Outcome::Succeeded,
+                    Outcome::Succeeded,
+                    Outcome::Succeeded,
                     Outcome::Error,
-                    Outcome::TurnedAway,
+                    Outcome::Rejected,
                     Outcome::TimedOut,
-                    Outcome::NoConnection,
+                    Outcome::ConnectFailed,
                     Outcome::Reset,
                 ][self.rng.below(8) as usize];
                 let queue = self.rng.below(4) as f64;
-                let report =
-                    self.rng.chance(50).then_some(Report { queue: Some(queue), ..Report::default() });
+                let report = self
+                    .rng
+                    .chance(50)
+                    .then_some(LoadReport { queue_depth: Some(queue), ..LoadReport::default() });
                 let part = self.parts.get_mut(&id).expect("held");
                 part.tries[n].outcome = Some(outcome);
                 let part_over = part.over;
-                if outcome == Outcome::Served && !part_over {
+                if outcome == Outcome::Succeeded && !part_over {
                     part.served = true;
                 }
                 events.push(Event::Outcome {
                     part: PartId(id),
                     attempt: n as u8,
                     replica: part.tries[n].replica,
-                    over: part.over || part.served,
+                    part_finished: part.over || part.served,
                     outcome,
-                    took: self.now - part.tries[n].sent,
+                    elapsed: self.now - part.tries[n].sent,
                     report,
                 });
             }
@@ -266,13 +286,13 @@
         let part = self.parts.get_mut(&id).expect("a known part");
         let class = self.queries[&part.query].class;
         assert!(!part.over && !part.served, "nothing is sent for a part that is over");
-        assert_eq!(self.phases[&replica], Phase::Ready, "nothing goes to a draining or gone replica");
+        assert_eq!(self.phases[&replica], EndpointState::Ready, "nothing goes to a draining or gone replica");
         let cells = self.settings.cells;
         let away = (u32::from(self.cells[&replica]) + cells - part.shard % cells) % cells;
         assert!(away < self.settings.reach, "only holders get a part");
         let out = part.tries.iter().filter(|t| t.outcome.is_none()).count();
         assert!(out == 0 || self.settings.second_copies, "no second attempt beside one that is out");
-        let harmless = [Outcome::TurnedAway, Outcome::NoConnection, Outcome::NotSent];
+        let harmless = [Outcome::Rejected, Outcome::ConnectFailed, Outcome::NeverSent];
         let ran = part.tries.iter().filter(|t| t.outcome.is_none_or(|o| !harmless.contains(&o)));
         let first = ran.map(|t| t.sent).fold(f64::INFINITY, f64::min);
         match class.effect {
@@ -320,7 +340,7 @@
         assert!(!query.ended, "one final answer");
         query.ended = true;
         self.finals += 1;
-        let harmless = [Outcome::TurnedAway, Outcome::NoConnection, Outcome::NotSent];
+        let harmless = [Outcome::Rejected, Outcome::ConnectFailed, Outcome::NeverSent];
         let tries = query.parts.iter().flat_map(|p| &self.parts[p].tries);
         let ran = tries.filter(|t| t.outcome.is_none_or(|o| !harmless.contains(&o))).count();
         assert!(!(refused && ran > 0 && query.class.effect == Effect::Unsafe), "refused what may have run");
@@ -335,10 +355,10 @@
                 assert!(self.settings.cancel, "cancel is not allowed");
                 assert!(usize::from(*attempt) < self.parts[&part.0].tries.len(), "no such attempt");
             }
-            Action::Answer { query, whole } => self.answered(query.0, *whole),
-            Action::Refuse { query, .. } => self.ended(query.0, true),
+            Action::Answer { query, complete } => self.answered(query.0, *complete),
+            Action::Reject { query, .. } => self.ended(query.0, true),
             Action::Fail { query } => self.ended(query.0, false),
-            Action::Probe { .. } => assert!(self.settings.probes, "probes are not allowed"),
+            Action::HealthCheck { .. } => assert!(self.settings.probes, "probes are not allowed"),
             Action::CloseIdle { replica } => assert!(self.phases.contains_key(replica), "an unknown replica"),
             Action::Timer { after } => assert!((0.0..10.0).contains(after)),
             Action::Subscribe => assert_ne!(self.settings.discovery, Discovery::Push),
--- a/tests/scale/costs.rs
+++ b/tests/scale/costs.rs
@@ -1,5 +1,5 @@
 //! Short forms of the bench's runs, and counts that hold at any size.
-use marlgap::balancer::interface::{News, Phase};
+use marlgap::balancer::interface::{EndpointState, EndpointUpdate};
 
 use crate::hollow::{Hollow, Setup};
 use crate::listing::{change_exchange, seconds, whole_exchange};
@@ -119,8 +119,8 @@
 fn what_drains_is_sent_to_no_more() {
     let setup = Setup::of(220.0);
     let mut hollow = Hollow::new(&setup).expect("sound");
-    let draining = (0..110).map(|node| setup.entry(2 * node, Phase::Draining)).collect();
-    hollow.members(News::Delta, draining);
+    let draining = (0..110).map(|node| setup.entry(2 * node, EndpointState::Draining)).collect();
+    hollow.members(EndpointUpdate::Delta, draining);
     for _ in 0..20 {
         hollow.ask(1, 30);
         hollow.finish(30, 0.002);
--- a/tests/scale_control/version.rs
+++ b/tests/scale_control/version.rs
@@ -1,5 +1,5 @@
 //! What an answer of discovery means against the version that is held.
-use marlgap::balancer::interface::News;
+use marlgap::balancer::interface::EndpointUpdate;
 use marlgap::net::discovery::version::{call, taken, Taken};
 use marlgap::net::discovery::{DiscoveryError, List};
 
@@ -10,7 +10,7 @@
 }
 
 /// The version held afterwards, how its entries are handed on, whether it was newer, and whether versions went back.
-type Meaning = (Option<u64>, Option<News>, bool, bool);
+type Meaning = (Option<u64>, Option<EndpointUpdate>, bool, bool);
 
 fn meaning(text: &str, ours: Option<u64>, pushed: bool) -> Result<Meaning, DiscoveryError> {
     let list: List = serde_json::from_str(text).expect("a list");
@@ -20,15 +20,15 @@
 #[test]
 fn an_answer_is_taken_by_the_version_that_is_held() {
     let cases = [
-        (list(5, true, 1), None, false, (Some(5), Some(News::Full), true, false)),
-        (list(5, true, 1), Some(5), false, (Some(5), Some(News::Full), false, false)),
+        (list(5, true, 1), None, false, (Some(5), Some(EndpointUpdate::Full), true, false)),
+        (list(5, true, 1), Some(5), false, (Some(5), Some(EndpointUpdate::Full), false, false)),
         // An agent gives all that it has each time.
         (list(5, true, 1), Some(5), true, (Some(5), None, false, false)),
-        (list(6, false, 1), Some(5), false, (Some(6), Some(News::Delta), true, false)),
+        (list(6, false, 1), Some(5), false, (Some(6), Some(EndpointUpdate::Delta), true, false)),
         (list(5, false, 0), Some(5), false, (Some(5), None, false, false)),
         (list(4, false, 1), Some(5), false, (None, None, false, true)),
         // A whole list of an older version is another discovery's.
-        (list(4, true, 1), Some(5), false, (Some(4), Some(News::Full), true, false)),
+        (list(4, true, 1), Some(5), false, (Some(4), Some(EndpointUpdate::Full), true, false)),
     ];
     for (text, ours, pushed, expected) in cases {
         assert_eq!(meaning(&text, ours, pushed).expect("taken"), expected, "{text} over {ours:?}");
