--- a/tests/settings.rs
+++ b/tests/settings.rs
@@ -248,14 +248,17 @@
     let mut settings = start(&told()).expect("served").over_sockets();
     settings.coordinators = 1;
     let mut balancer = Balancer::new(settings, 1).expect("served");
-    let listed = |n| Listed {
+    let listed = |n| Endpoint {
         replica: ReplicaId(n),
         cell: CellId(n as u16),
-        phase: Phase::Ready,
+        state: EndpointState::Ready,
         weight: 1.0,
-        ..Listed::default()
+        ..Endpoint::default()
     };
-    balancer.round(1.0, &[Event::Members { news: News::Full, entries: (0..12).map(listed).collect() }]);
+    balancer.round(
+        1.0,
+        &[Event::Endpoints { update: EndpointUpdate::Full, endpoints: (0..12).map(listed).collect() }],
+    );
     let mut events = Vec::new();
     // The flood is the newer one, which otherwise goes first.
     for (n, tenant) in std::iter::repeat_n(other, 2).chain(std::iter::repeat_n(flooding, 400)).enumerate() {
@@ -266,12 +269,12 @@
             number,
             class: ClassId(2),
             tenant,
-            patience: 2.0,
+            time_left: 2.0,
             parts: 1,
-            repeat: false,
+            is_retry: false,
         });
         let (part, shard) = (PartId(1000 + n), ShardId(n % 24));
-        events.push(Event::Part { part, number, shard, weight: 1.0, spent: 0, served: false });
+        events.push(Event::Part { part, number, shard, weight: 1.0, prior_attempts: 0, completed: false });
     }
     let sent = balancer.round(2.0, &events).into_iter().filter_map(|a| match a {
         Action::Send { part, .. } => Some(part.0 - 1000),
--- a/tests/settings_effects.rs
+++ b/tests/settings_effects.rs
@@ -27,7 +27,7 @@
         self.1.notify(usize::MAX);
         ended.recv().await.unwrap_or(Outcome::Reset).into()
     }
-    fn probe(self: Rc<Self>, _: ReplicaId) -> impl Future<Output = (bool, Option<Report>)> {
+    fn probe(self: Rc<Self>, _: ReplicaId) -> impl Future<Output = (bool, Option<LoadReport>)> {
         std::future::ready((false, None))
     }
     fn close_idle(&self, _: ReplicaId) {}
@@ -54,8 +54,13 @@
     let class = Class { effect: Effect::Keyed { window: WINDOW }, aim: 0.1, ..common::class() };
     let settings = Settings { classes: vec![class], most_tries: 4, ..Settings::default() };
     let core = Core::new(settings, 1, 100, executor.clone(), holds.clone()).expect("served");
-    let listed = |n| Listed { replica: ReplicaId(n), phase: Phase::Ready, weight: 1.0, ..Listed::default() };
-    core.members(News::Full, (0..6).map(listed).collect());
+    let listed = |n| Endpoint {
+        replica: ReplicaId(n),
+        state: EndpointState::Ready,
+        weight: 1.0,
+        ..Endpoint::default()
+    };
+    core.members(EndpointUpdate::Full, (0..6).map(listed).collect());
     executor.spawn(core.clone().run()).detach();
     let taken = core.take(common::query(1, (), None)).expect("room");
     async_io::block_on(executor.run(async {
@@ -92,7 +97,7 @@
 
 #[test]
 fn an_attempt_behind_one_that_never_ran_has_its_time() {
-    for never in [Outcome::TurnedAway, Outcome::NotSent] {
+    for never in [Outcome::Rejected, Outcome::NeverSent] {
         two_attempts(Some(never), |held| assert!(!held[1].0.too_late(held[1].2 + LATER), "{never:?}"));
     }
 }
@@ -109,7 +114,7 @@
         let call = Call::alone(self.2, call.carried.clone(), call.shard, call.step.clone(), call.deadline);
         self.0.clone().call(call, stop).await
     }
-    fn probe(self: Rc<Self>, _: ReplicaId) -> impl Future<Output = (bool, Option<Report>)> {
+    fn probe(self: Rc<Self>, _: ReplicaId) -> impl Future<Output = (bool, Option<LoadReport>)> {
         std::future::ready((false, None))
     }
     fn close_idle(&self, _: ReplicaId) {}
@@ -130,11 +135,16 @@
     told.settings.reach = 1;
     let (executor, log) = (Rc::new(LocalExecutor::new()), slog::Logger::root(slog::Discard, slog::o!()));
     let nodes = Nodes::new(told.clone(), Rc::new(Descriptors::new(2)), executor.clone(), log);
-    let replica = nodes.list(&Entry { name: "n0".to_owned(), address, phase: Phase::Ready, born: 0 });
+    let replica = nodes.list(&Entry { name: "n0".to_owned(), address, phase: EndpointState::Ready, born: 0 });
     let transport = Rc::new(Second(nodes.clone(), Default::default(), replica));
     let core = Core::new(told.settings, 1, 100, executor.clone(), transport.clone()).expect("served");
-    let listed = |n| Listed { replica: ReplicaId(n), phase: Phase::Ready, weight: 1.0, ..Listed::default() };
-    core.members(News::Full, (1..7).map(listed).collect());
+    let listed = |n| Endpoint {
+        replica: ReplicaId(n),
+        state: EndpointState::Ready,
+        weight: 1.0,
+        ..Endpoint::default()
+    };
+    core.members(EndpointUpdate::Full, (1..7).map(listed).collect());
     executor.spawn(core.clone().run()).detach();
     let deadline = Instant::now() + common::PATIENCE;
     let alone = |id: &str| {
@@ -167,7 +177,10 @@
         assert_eq!(taken.outcome().await, Final::Failed);
         assert!(transport.1.get().is_some_and(|second| second > begun), "there was a second attempt");
         let behind = alone("behind");
-        assert_eq!((before.0.await.outcome, behind.0.await.outcome), (Outcome::Served, Outcome::Served));
+        assert_eq!(
+            (before.0.await.outcome, behind.0.await.outcome),
+            (Outcome::Succeeded, Outcome::Succeeded)
+        );
     }));
     assert!(node.join().expect("ran").starts_with("q behind.0 "));
 }
--- a/tests/single_copy.rs
+++ b/tests/single_copy.rs
@@ -9,7 +9,7 @@
 
 use async_executor::{LocalExecutor, Task};
 use common::*;
-use marlgap::balancer::interface::{Outcome, Phase, ReplicaId, ShardId};
+use marlgap::balancer::interface::{EndpointState, Outcome, ReplicaId, ShardId};
 use marlgap::coordinator::{Call, Ended, Step, Stop, Transport};
 use marlgap::net::data_nodes::{Carried, Entry, Nodes};
 use marlgap::net::descriptors::Descriptors;
@@ -35,7 +35,8 @@
         let executor = Rc::new(LocalExecutor::new());
         let log = slog::Logger::root(slog::Discard, slog::o!());
         let nodes = Nodes::new(told, Rc::new(Descriptors::new(64)), executor.clone(), log);
-        let replica = nodes.list(&Entry { name: "n0".to_owned(), address, phase: Phase::Ready, born: 0 });
+        let replica =
+            nodes.list(&Entry { name: "n0".to_owned(), address, phase: EndpointState::Ready, born: 0 });
         std::thread::spawn(move || node(listener));
         World { executor, nodes, replica, held: Vec::new() }
     }
@@ -96,7 +97,11 @@
 /// never hears that we closed it.
 #[test]
 fn a_part_on_a_silent_connection_is_out_until_its_time_where_it_must_run_alone() {
-    assert_eq!(silent(true), (Outcome::Dropped, false), "told at once, where a copy may run beside it");
+    assert_eq!(
+        silent(true),
+        (Outcome::ConnectionLost, false),
+        "told at once, where a copy may run beside it"
+    );
     assert_eq!(silent(false), (Outcome::TimedOut, true));
 }
 
--- a/tests/subset.rs
+++ b/tests/subset.rs
@@ -8,38 +8,38 @@
 const MOST: usize = 12;
 const CELLS: u16 = 4;
 
-fn entry(replica: u64, phase: Phase, started: u64) -> Listed {
+fn entry(replica: u64, phase: EndpointState, started: u64) -> Endpoint {
     let cell = CellId((replica % u64::from(CELLS)) as u16);
     let started = (started > 0).then_some(started as f64);
-    Listed { replica: ReplicaId(replica), zone: ZoneId(0), cell, phase, weight: 1.0, started }
+    Endpoint { replica: ReplicaId(replica), zone: ZoneId(0), cell, state: phase, weight: 1.0, started }
 }
 
 /// A whole list or changes of it, by replica.
 #[derive(Clone, Debug)]
 enum Step {
-    Whole(BTreeMap<u64, (Phase, u64)>),
-    Changes(BTreeMap<u64, (Phase, u64)>),
+    Whole(BTreeMap<u64, (EndpointState, u64)>),
+    Changes(BTreeMap<u64, (EndpointState, u64)>),
 }
 
 fn steps() -> impl Strategy<Value = Vec<Step>> {
-    let phase = prop_oneof![5 => Just(Phase::Ready), 1 => Just(Phase::Draining), 1 => Just(Phase::Gone)];
+    let phase = prop_oneof![5 => Just(EndpointState::Ready), 1 => Just(EndpointState::Draining), 1 => Just(EndpointState::Removed)];
     let entries = |most| prop::collection::btree_map(0..40u64, (phase.clone(), 0..3u64), 0..most);
     let step = prop_oneof![1 => entries(40).prop_map(Step::Whole), 4 => entries(8).prop_map(Step::Changes)];
     prop::collection::vec(step, 1..30)
 }
 
-fn listed(entries: &BTreeMap<u64, (Phase, u64)>) -> Vec<Listed> {
+fn listed(entries: &BTreeMap<u64, (EndpointState, u64)>) -> Vec<Endpoint> {
     entries.iter().map(|(id, (phase, started))| entry(*id, *phase, *started)).collect()
 }
 
 /// What somebody holds who was told these news.
-fn hold(held: &mut BTreeMap<ReplicaId, Listed>, news: News, entries: &[Listed]) {
-    if news == News::Full {
+fn hold(held: &mut BTreeMap<ReplicaId, Endpoint>, news: EndpointUpdate, entries: &[Endpoint]) {
+    if news == EndpointUpdate::Full {
         held.clear();
     }
     for entry in entries {
-        match entry.phase {
-            Phase::Gone => drop(held.remove(&entry.replica)),
+        match entry.state {
+            EndpointState::Removed => drop(held.remove(&entry.replica)),
             _ => drop(held.insert(entry.replica, *entry)),
         }
     }
@@ -55,14 +55,14 @@
         let mut chosen_before = BTreeSet::new();
         for step in steps {
             let (news, entries) = match &step {
-                Step::Whole(entries) => (News::Full, listed(entries)),
-                Step::Changes(entries) => (News::Delta, listed(entries)),
+                Step::Whole(entries) => (EndpointUpdate::Full, listed(entries)),
+                Step::Changes(entries) => (EndpointUpdate::Delta, listed(entries)),
             };
             hold(&mut all, news, &entries);
             let announced = subset.update(news, entries);
             hold(&mut ours, news, &announced);
-            let ready = |held: &BTreeMap<ReplicaId, Listed>| -> BTreeSet<ReplicaId> {
-                held.values().filter(|l| l.phase == Phase::Ready).map(|l| l.replica).collect()
+            let ready = |held: &BTreeMap<ReplicaId, Endpoint>| -> BTreeSet<ReplicaId> {
+                held.values().filter(|l| l.state == EndpointState::Ready).map(|l| l.replica).collect()
             };
             // What is held of a replica is what was listed last.
             for (id, listed) in &ours {
@@ -93,10 +93,10 @@
 
 #[test]
 fn coordinators_choose_apart_from_each_other() {
-    let list: Vec<Listed> = (0..2000).map(|n| entry(n, Phase::Ready, 0)).collect();
+    let list: Vec<Endpoint> = (0..2000).map(|n| entry(n, EndpointState::Ready, 0)).collect();
     let mut times: BTreeMap<ReplicaId, usize> = BTreeMap::new();
     for seed in 0..200 {
-        let chosen = Subset::new(seed, 200).update(News::Full, list.clone());
+        let chosen = Subset::new(seed, 200).update(EndpointUpdate::Full, list.clone());
         assert_eq!(chosen.len(), 200);
         chosen.iter().for_each(|l| *times.entry(l.replica).or_default() += 1);
     }
@@ -111,12 +111,12 @@
 /// What a change of one replica goes through, with so many listed.
 fn cost_of_a_change(listed: u64) -> usize {
     let mut subset = Subset::new(1, 200);
-    subset.update(News::Full, (0..listed).map(|n| entry(n, Phase::Ready, 0)).collect());
+    subset.update(EndpointUpdate::Full, (0..listed).map(|n| entry(n, EndpointState::Ready, 0)).collect());
     let before = subset.through;
     for n in 0..20 {
-        subset.update(News::Delta, vec![entry(n, Phase::Draining, 0)]);
-        subset.update(News::Delta, vec![entry(n, Phase::Gone, 0)]);
-        subset.update(News::Delta, vec![entry(listed + n, Phase::Ready, 7)]);
+        subset.update(EndpointUpdate::Delta, vec![entry(n, EndpointState::Draining, 0)]);
+        subset.update(EndpointUpdate::Delta, vec![entry(n, EndpointState::Removed, 0)]);
+        subset.update(EndpointUpdate::Delta, vec![entry(listed + n, EndpointState::Ready, 7)]);
     }
     subset.through - before
 }
--- a/tests/takeover.rs
+++ b/tests/takeover.rs
@@ -17,8 +17,8 @@
     Settings { classes: vec![class], most_tries: 4, ..Settings::default() }
 }
 
-fn listed(n: u64) -> Listed {
-    Listed { replica: ReplicaId(n), phase: Phase::Ready, weight: 1.0, ..Listed::default() }
+fn listed(n: u64) -> Endpoint {
+    Endpoint { replica: ReplicaId(n), state: EndpointState::Ready, weight: 1.0, ..Endpoint::default() }
 }
 
 /// A query whose parts enter with so many attempts spent, and with their value in or not; what is done at once.
@@ -29,13 +29,13 @@
         number,
         class: ClassId(0),
         tenant: TenantId(0),
-        patience: 4.0,
+        time_left: 4.0,
         parts: parts.len() as u32,
-        repeat: false,
+        is_retry: false,
     }];
     events.extend(parts.iter().zip(0..).map(|(&(spent, served), n)| {
         let (part, shard) = (PartId(100 + n), ShardId(n));
-        Event::Part { part, number, shard, weight, spent, served }
+        Event::Part { part, number, shard, weight, prior_attempts: spent, completed: served }
     }));
     balancer.round(1.0, &events)
 }
@@ -43,7 +43,7 @@
 fn balancer(class: Class) -> Balancer {
     let mut balancer = Balancer::new(settings(class), 1).expect("served");
     let entries = (0..6).map(listed).collect();
-    balancer.round(0.0, &[Event::Members { news: News::Full, entries }]);
+    balancer.round(0.0, &[Event::Endpoints { update: EndpointUpdate::Full, endpoints: entries }]);
     balancer
 }
 
@@ -57,10 +57,10 @@
 
 fn failed(part: PartId, attempt: u8, replica: ReplicaId) -> Event {
     let (over, outcome) = (false, Outcome::Error);
-    Event::Outcome { part, attempt, replica, over, outcome, took: 0.1, report: None }
+    Event::Outcome { part, attempt, replica, part_finished: over, outcome, elapsed: 0.1, report: None }
 }
 
-const REFUSED: Action = Action::Refuse { query: QueryId(9), retry_after: None };
+const REFUSED: Action = Action::Reject { query: QueryId(9), retry_after: None };
 const FAILED: Action = Action::Fail { query: QueryId(9) };
 
 #[test]
@@ -95,16 +95,17 @@
     let mut balancer = balancer(class());
     let actions = enter(&mut balancer, &[(1, true), (0, false), (0, true)]);
     let [(PartId(101), replica)] = sent(&actions)[..] else { panic!("one part alone is out: {actions:?}") };
-    let (part, attempt, over, outcome) = (PartId(101), 0, true, Outcome::Served);
-    let served = Event::Outcome { part, attempt, replica, over, outcome, took: 0.1, report: None };
-    let whole = Action::Answer { query: QueryId(9), whole: true };
+    let (part, attempt, over, outcome) = (PartId(101), 0, true, Outcome::Succeeded);
+    let served =
+        Event::Outcome { part, attempt, replica, part_finished: over, outcome, elapsed: 0.1, report: None };
+    let whole = Action::Answer { query: QueryId(9), complete: true };
     assert!(balancer.round(1.1, &[served]).contains(&whole));
     let actions = enter(&mut balancer, &[(2, true), (0, true)]);
     assert!(sent(&actions).is_empty() && actions.contains(&whole), "all in, answered at once: {actions:?}");
     // With what can't be had any more out, the rest is enough for this class.
     let mut balancer = self::balancer(Class { effect: Effect::Unsafe, floor: 0.5, ..class() });
     let actions = enter(&mut balancer, &[(1, true), (1, false)]);
-    assert!(actions.contains(&Action::Answer { query: QueryId(9), whole: false }), "{actions:?}");
+    assert!(actions.contains(&Action::Answer { query: QueryId(9), complete: false }), "{actions:?}");
 }
 
 /// A wide query that tries one part first, after a death was seen, has its try behind it with a value in.
@@ -113,8 +114,16 @@
     let mut balancer = balancer(class());
     let [(part, replica)] = sent(&enter(&mut balancer, &[(0, false)]))[..] else { panic!("sent") };
     let outcome = Outcome::Reset;
-    let reset = Event::Outcome { part, attempt: 0, replica, over: true, outcome, took: 0.1, report: None };
-    balancer.round(1.0, &[reset, Event::Withdrawn { query: QueryId(9) }]);
+    let reset = Event::Outcome {
+        part,
+        attempt: 0,
+        replica,
+        part_finished: true,
+        outcome,
+        elapsed: 0.1,
+        report: None,
+    };
+    balancer.round(1.0, &[reset, Event::ClientDisconnected { query: QueryId(9) }]);
     let parts: Vec<_> = (0..14).map(|n| (0, n == 3)).collect();
     let begun = sent(&enter(&mut balancer, &parts)).into_iter().map(|(part, _)| part);
     assert_eq!(begun.collect::<BTreeSet<_>>().len(), 13);
@@ -138,19 +147,19 @@
             self.wake.listen().await;
         }
         if stop.called_off() {
-            return Outcome::NotSent.into();
+            return Outcome::NeverSent.into();
         }
         self.notes.borrow_mut().push(format!("sent {}", call.shard.0));
         match self.serves {
             true => {
                 let served =
                     Some((Rc::from(format!("v{}", call.shard.0).as_bytes()), f64::from(call.shard.0)));
-                Ended { outcome: Outcome::Served, served, report: None }
+                Ended { outcome: Outcome::Succeeded, served, report: None }
             }
             false => Outcome::Error.into(),
         }
     }
-    async fn probe(self: Rc<Self>, _: ReplicaId) -> (bool, Option<Report>) {
+    async fn probe(self: Rc<Self>, _: ReplicaId) -> (bool, Option<LoadReport>) {
         (true, None)
     }
     fn close_idle(&self, _: ReplicaId) {}
@@ -206,7 +215,7 @@
         let (connects, wake) = (Cell::new(true), event_listener::Event::new());
         let stub = Rc::new(Stub { notes: notes.clone(), connects, wake, serves });
         let core = Core::new(settings(class), 1, 100, executor.clone(), stub.clone()).expect("served");
-        core.members(News::Full, (0..6).map(listed).collect());
+        core.members(EndpointUpdate::Full, (0..6).map(listed).collect());
         executor.spawn(core.clone().run()).detach();
         let (open, held, wake) = (Cell::new(true), Cell::new(true), Rc::default());
         let gate_notes = notes.clone();
