--- a/benches/foresight.rs
+++ b/benches/foresight.rs
@@ -6,7 +6,7 @@
 use std::rc::Rc;
 use std::time::Instant;
 
-use marlgap::balancer::interface::{Class, Effect, ReplicaId, ZoneId};
+use marlgap::balancer::interface::{Class, Idempotency, ReplicaId, ZoneId};
 use marlgap::cluster::MemberId;
 use marlgap::topology_forecast::forecast::Given;
 use marlgap::topology_forecast::{
@@ -71,16 +71,16 @@
     }
     let mut chance = Pcg64Mcg::seed_from_u64(1);
     let class = Class {
-        aim: 0.1,
+        latency_objective: 0.1,
         deadline: 2.0,
-        worth: 1.0,
-        late_worth: 0.0,
-        effect: Effect::Safe,
-        need: 1.0,
-        floor: 1.0,
-        partial: 1.0,
-        second_step: 0,
-        copies: true,
+        priority_weight: 1.0,
+        late_weight: 0.0,
+        idempotency: Idempotency::Idempotent,
+        target_coverage: 1.0,
+        min_coverage: 1.0,
+        partial_weight: 1.0,
+        second_step_parts: 0,
+        hedging: true,
     };
     println!("{QUERIES} queries of 4 tiles a member and window");
     println!("members servers   tiles | report bytes, ns an event | decode, merge, fold ms | forecast ms");
--- a/benches/round.rs
+++ b/benches/round.rs
@@ -32,24 +32,29 @@
 impl Bench {
     fn new(replicas: u64, parts: u32) -> Bench {
         let class = Class {
-            aim: 1.0,
+            latency_objective: 1.0,
             deadline: 4.0,
-            worth: 1.0,
-            late_worth: 0.3,
-            effect: Effect::Safe,
-            need: 1.0,
-            floor: 1.0,
-            partial: 0.9,
-            second_step: 0,
-            copies: true,
+            priority_weight: 1.0,
+            late_weight: 0.3,
+            idempotency: Idempotency::Idempotent,
+            target_coverage: 1.0,
+            min_coverage: 1.0,
+            partial_weight: 0.9,
+            second_step_parts: 0,
+            hedging: true,
         };
         let cells = (replicas / COPIES).max(1);
         let settings = Settings {
             classes: vec![class],
             cells: cells as u32,
-            reports: Reports::Inline,
-            round: STEP,
-            cold: Some(ColdRule { from: 0.2, ramp: 60.0, multiple: 1.5, after: 1.0 }),
+            load_reporting: LoadReporting::Inline,
+            round_interval: STEP,
+            slow_start: Some(SlowStart {
+                initial_capacity: 0.2,
+                ramp: 60.0,
+                overload_factor: 1.5,
+                overload_window: 1.0,
+            }),
             ..Settings::default()
         };
         let balancer = Balancer::new(settings, 7).expect("served");
--- a/benches/scale/hollow.rs
+++ b/benches/scale/hollow.rs
@@ -27,7 +27,7 @@
     pub data_nodes: u64,
     pub zones: u64,
     pub coordinators: u32,
-    pub cold: Option<ColdRule>,
+    pub cold: Option<SlowStart>,
 }
 
 impl Setup {
@@ -42,24 +42,24 @@
 
     fn settings(&self) -> Settings {
         let class = Class {
-            aim: AIM,
+            latency_objective: AIM,
             deadline: DEADLINE,
-            worth: 1.0,
-            late_worth: 0.5,
-            effect: Effect::Safe,
-            need: 1.0,
-            floor: 1.0,
-            partial: 1.0,
-            second_step: 0,
-            copies: true,
+            priority_weight: 1.0,
+            late_weight: 0.5,
+            idempotency: Idempotency::Idempotent,
+            target_coverage: 1.0,
+            min_coverage: 1.0,
+            partial_weight: 1.0,
+            second_step_parts: 0,
+            hedging: true,
         };
         Settings {
             classes: vec![class],
             cells: self.cells(),
             reach: REACH,
             coordinators: self.coordinators,
-            reports: Reports::Inline,
-            cold: self.cold,
+            load_reporting: LoadReporting::Inline,
+            slow_start: self.cold,
             ..Settings::default()
         }
     }
--- a/benches/scale/state.rs
+++ b/benches/scale/state.rs
@@ -1,6 +1,6 @@
 //! Memory that a coordinator keeps, counted by the allocator: the list, the module, what is open, what was lately.
 use allocation_counter::measure;
-use marlgap::balancer::interface::{ColdRule, EndpointUpdate, SettingsError};
+use marlgap::balancer::interface::{EndpointUpdate, SettingsError, SlowStart};
 use marlgap::net::discovery::List;
 
 use crate::client::{list, nowhere, Client};
@@ -19,7 +19,8 @@
 /// Seconds in which each query is answered.
 const ANSWERED: f64 = 0.004;
 /// A rule on cold data nodes, as the largest deployment of today tells it.
-const COLD: ColdRule = ColdRule { from: 0.2, ramp: 12.0, multiple: 1.5, after: 1.0 };
+const COLD: SlowStart =
+    SlowStart { initial_capacity: 0.2, ramp: 12.0, overload_factor: 1.5, overload_window: 1.0 };
 
 /// Memory that these runs need at most, in MB: what is kept of data nodes and of some seconds of queries.
 pub fn estimate_mb(options: &Options) -> u64 {
--- a/src/balancer/admission.rs
+++ b/src/balancer/admission.rs
@@ -26,9 +26,9 @@
         };
         self.recent.ask(tenant, self.now);
         // A first try, where repeats are marked, has waited for nothing: a client may simply want it soon.
-        let first_try = self.s.marks_retry && !is_retry;
+        let first_try = self.s.clients_mark_retries && !is_retry;
         let waited = self.waited(id, &class, time_left) * f64::from(u8::from(!first_try));
-        let aim = self.now + class.aim - waited;
+        let aim = self.now + class.latency_objective - waited;
         let q = Query::new(query, id, class, tenant, self.now + time_left, aim);
         self.out.push(Action::Timer { after: (time_left - self.margin).max(0.0) });
         // A number used again while its query is open: the old one still gets its answer.
@@ -58,7 +58,7 @@
         }
         self.agenda.through += self.queries.len();
         let room = |(number, q): (&QueryNumber, &Query)| match self.on_probation(q) {
-            true => q.parts.len() as f64 * q.class.need,
+            true => q.parts.len() as f64 * q.class.target_coverage,
             false => self.agenda.out_of(*number) as f64,
         };
         self.queries.iter().filter(|(_, q)| q.admitted).map(room).sum()
@@ -69,7 +69,7 @@
     pub(super) fn steer(&mut self, part: PartId, outcome: Outcome) {
         let number = self.parts.get(&part).map(|p| p.number);
         let Some(class) = number.and_then(|n| self.queries.get(&n)).map(|q| q.class) else { return };
-        let strain = self.expected(&class) / class.aim;
+        let strain = self.expected(&class) / class.latency_objective;
         let worse = outcome == Outcome::Rejected || strain > STRAIN_HIGH;
         if worse && self.now - self.pace.eased > self.pace.typical {
             self.pace.eased = self.now;
@@ -109,7 +109,7 @@
         let quota = self.s.tenants.get(usize::from(q.tenant.0)).map_or(f64::MAX, |t| t.quota);
         let share = (quota * RECENT / f64::from(self.s.coordinators.max(1))).max(2.0);
         let over = self.recent.tenants.get_mut(&q.tenant).is_some_and(|t| t.count(since) > share);
-        let parts = q.parts.len() as f64 + f64::from(q.class.second_step);
-        q.class.worth / parts.max(1.0) * if over { self.s.over_share_worth } else { 1.0 }
+        let parts = q.parts.len() as f64 + f64::from(q.class.second_step_parts);
+        q.class.priority_weight / parts.max(1.0) * if over { self.s.over_quota_weight } else { 1.0 }
     }
 }
--- a/src/balancer/attempts.rs
+++ b/src/balancer/attempts.rs
@@ -24,10 +24,10 @@
     fn may_copy(&mut self, class: &Class, pair: &[ReplicaId]) -> bool {
         let &[a, b] = pair else { return false };
         let idle = [a, b].iter().all(|id| self.idle(*id) && self.replicas[id].whole.trials == 0);
-        let safe = class.effect == Effect::Safe && class.copies && self.s.second_copies;
+        let safe = class.idempotency == Idempotency::Idempotent && class.hedging && self.s.hedging;
         let tenth = COPY_SHARE * self.recent.arrived.count(self.now - RECENT);
         let room = self.recent.copies.count(self.now - RECENT) + 1.0 < tenth;
-        safe && self.s.most_tries > 1 && idle && room && self.may_add(Why::Copy)
+        safe && self.s.max_attempts > 1 && idle && room && self.may_add(Why::Copy)
     }
 
     fn send(&mut self, part: PartId, replica: ReplicaId, why: Option<Why>) {
@@ -42,7 +42,7 @@
         }
         let (sent, paused) = (self.now, paused && !reaped);
         r.used = self.now;
-        r.sent.keep(self.now, self.s.cold.map_or(0.0, |rule| rule.after));
+        r.sent.keep(self.now, self.s.slow_start.map_or(0.0, |rule| rule.overload_window));
         r.earned -= 1.0;
         if let Some(until) = self.fleet.rooms.get_mut(&r.listed.zone).and_then(|room| room.until.as_mut()) {
             *until = self.now + between.max(EJECT);
@@ -58,7 +58,7 @@
         }
         // Where no second copy may run beside it, a late attempt must end before another can start; where it
         // cannot be called off either, its replica goes on with it whatever we wait.
-        let ends = !self.s.second_copies && self.s.cancel;
+        let ends = !self.s.hedging && self.s.cancellation;
         let timeout = ends.then_some(2.0 * HEDGE_TAIL * self.pace.tail);
         self.out.push(Action::Send { part, replica, timeout });
     }
@@ -74,13 +74,13 @@
         let ran = part.attempts.iter().filter(|a| !a.never_ran()).map(|a| a.sent);
         let first = ran.fold(f64::INFINITY, f64::min);
         let out = part.attempts.iter().any(|a| a.ended.is_none());
-        let allowed = match class.effect {
-            Effect::Safe => true,
-            Effect::Keyed { window } => self.now < first + window - END_MARGIN,
-            Effect::Unsafe => first == f64::INFINITY,
+        let allowed = match class.idempotency {
+            Idempotency::Idempotent => true,
+            Idempotency::Keyed { window } => self.now < first + window - END_MARGIN,
+            Idempotency::NonIdempotent => first == f64::INFINITY,
         };
-        let tries = part.attempts.len() < self.s.most_tries as usize;
-        allowed && !part.over && (!out || (self.s.second_copies && class.copies)) && tries
+        let tries = part.attempts.len() < self.s.max_attempts as usize;
+        allowed && !part.over && (!out || (self.s.hedging && class.hedging)) && tries
     }
 
     /// Late: nothing out any more, or all that is out has been for long or sits on a suspect replica.
@@ -88,7 +88,7 @@
         let mut out = part.attempts.iter().filter(|a| a.out());
         if part.served || !part.out() {
             // Guards against waiting for our own budget, which holds too little when a room is lost.
-            let failed = self.s.budget.is_none()
+            let failed = self.s.retry_budget.is_none()
                 && part.attempts.last().is_some_and(|a| a.ended.is_some_and(Outcome::failed));
             return (!part.served).then_some(if failed { Why::Failed } else { Why::Retry });
         }
@@ -112,7 +112,7 @@
         let crowded = busy.len() >= 2;
         let (in_class, shard) = (part.class, part.shard);
         let tried = part.attempts.iter().map(|a| a.replica).collect::<Vec<_>>();
-        let stuck = crowded && (why != Why::Retry || !self.s.cancel);
+        let stuck = crowded && (why != Why::Retry || !self.s.cancellation);
         if stuck || !self.may_repeat(class, part) || !self.may_add(why) {
             return;
         }
@@ -130,8 +130,8 @@
     /// The cap on attempts beyond a part's first, told or our own. Guards against retries and hedges that
     /// feed an overload. Our own leaves out retries of parts that failed.
     fn may_add(&mut self, why: Why) -> bool {
-        let budget = self.s.budget.unwrap_or(OWN_BUDGET);
-        let edge = 2.0 * self.s.round;
+        let budget = self.s.retry_budget.unwrap_or(OWN_BUDGET);
+        let edge = 2.0 * self.s.round_interval;
         let sent = self.recent.extras.count(self.now - budget.window - edge) + 1.0;
         let taken = self.recent.taken.count(self.now - budget.window + edge);
         // No query waits for room: spare capacity may go to copies and hedges.
@@ -191,7 +191,7 @@
             (None, Some(held)) => held >= r.out.len() as f64 + 0.5,
             (None, None) => false,
         };
-        for (part, n) in r.out.keys().copied().filter(|_| queued && self.s.cancel).collect::<Vec<_>>() {
+        for (part, n) in r.out.keys().copied().filter(|_| queued && self.s.cancellation).collect::<Vec<_>>() {
             let Some(p) = self.parts.get_mut(&part) else { continue };
             let twin = p.attempts.iter().any(|a| !a.copy && a.out());
             if let Some(a) = p.attempts.get_mut(usize::from(n)).filter(|a| a.copy && !a.cancelled && twin) {
@@ -204,7 +204,9 @@
 
     /// Call off what is out for a part, where that can be done; but for the attempt that it is committed to.
     pub(crate) fn call_off(&mut self, id: PartId, kept: Option<u8>) {
-        let Some(part) = self.parts.get_mut(&id).filter(|_| self.s.cancel || kept.is_some()) else { return };
+        let Some(part) = self.parts.get_mut(&id).filter(|_| self.s.cancellation || kept.is_some()) else {
+            return;
+        };
         for (n, a) in part.attempts.iter_mut().enumerate() {
             if a.out() && kept != Some(n as u8) {
                 a.cancelled = true;
--- a/src/balancer/bookkeeping.rs
+++ b/src/balancer/bookkeeping.rs
@@ -28,7 +28,7 @@
         let (Some(r), Some(report)) = (self.replicas.get_mut(&id), report) else { return };
         (r.report, r.heard) = (report, self.now);
         self.census.hear(id, r.load(), self.now);
-        let warm = r.cold_since(self.now, self.s.cold).is_none();
+        let warm = r.cold_since(self.now, self.s.slow_start).is_none();
         if let Some(rate) = report.rate.filter(|rate| warm && *rate > 0.0) {
             self.fleet.rates.take(rate, GAIN);
         }
@@ -149,8 +149,8 @@
     /// sent.
     fn work(&mut self, number: QueryNumber, touched: bool) {
         let Some(mut query) = self.queries.remove(&number) else { return };
-        let keyed = matches!(query.class.effect, Effect::Keyed { .. });
-        let partial = query.first.is_none() && query.class.need < 1.0;
+        let keyed = matches!(query.class.idempotency, Idempotency::Keyed { .. });
+        let partial = query.first.is_none() && query.class.target_coverage < 1.0;
         let whole = touched || keyed || partial || self.on_probation(&query);
         let waits = std::mem::take(&mut query.waits);
         let ids = if whole { query.parts.clone() } else { waits };
@@ -167,7 +167,7 @@
             self.agenda.wait(number);
         }
         if query.first.is_none()
-            && query.class.second_step > 0
+            && query.class.second_step_parts > 0
             && self.now < query.aim - HEDGE_TAIL * self.pace.tail
         {
             self.agenda.step(number, query.aim);
--- a/src/balancer/endpoints.rs
+++ b/src/balancer/endpoints.rs
@@ -18,7 +18,7 @@
                 let listed: BTreeSet<_> = entries.iter().map(|e| e.replica).collect();
                 for (id, r) in self.replicas.iter_mut().filter(|(id, _)| !listed.contains(id)) {
                     r.leave(EndpointState::Removed, self.now);
-                    self.census.list(*id, r, self.s.cold.is_some());
+                    self.census.list(*id, r, self.s.slow_start.is_some());
                 }
             }
             EndpointUpdate::Delta => {}
@@ -44,7 +44,7 @@
         self.census.place(entry.replica, replica.listed.cell, entry.cell);
         replica.leave(entry.state, self.now);
         replica.listed = *entry;
-        self.census.list(entry.replica, replica, self.s.cold.is_some());
+        self.census.list(entry.replica, replica, self.s.slow_start.is_some());
         self.moved(entry.replica, zone);
     }
 
--- a/src/balancer/interface.rs
+++ b/src/balancer/interface.rs
@@ -9,8 +9,9 @@
 //! use marlgap::Balancer;
 //!
 //! let class = Class {
-//!     aim: 0.5, deadline: 2.0, worth: 1.0, late_worth: 0.0, effect: Effect::Safe,
-//!     need: 1.0, floor: 1.0, partial: 1.0, second_step: 0, copies: true,
+//!     latency_objective: 0.5, deadline: 2.0, priority_weight: 1.0, late_weight: 0.0,
+//!     idempotency: Idempotency::Idempotent, target_coverage: 1.0, min_coverage: 1.0,
+//!     partial_weight: 1.0, second_step_parts: 0, hedging: true,
 //! };
 //! let settings = Settings { classes: vec![class], cells: 1, reach: 1, ..Settings::default() };
 //! let mut balancer = Balancer::new(settings, 42)?;
--- a/src/balancer/interface/settings.rs
+++ b/src/balancer/interface/settings.rs
@@ -3,44 +3,44 @@
 
 /// What a repeat of a part may do.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Effect {
+pub enum Idempotency {
     /// Safe to repeat.
-    Safe,
+    Idempotent,
     /// Repeats are dropped for `window` seconds from the send of the first attempt that may have run.
     Keyed { window: f64 },
     /// Must not be repeated unless every attempt is proved not to have run.
-    Unsafe,
+    NonIdempotent,
 }
 
 /// A class of query.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Class {
     /// An answer within this time has its full worth.
-    pub aim: f64,
+    pub latency_objective: f64,
     /// How long a client waits over all its tries.
     pub deadline: f64,
-    pub worth: f64,
+    pub priority_weight: f64,
     /// Share of the worth of an answer after the aim.
-    pub late_worth: f64,
-    pub effect: Effect,
+    pub late_weight: f64,
+    pub idempotency: Idempotency,
     /// Share of the first step's weight that makes a whole answer.
-    pub need: f64,
+    pub target_coverage: f64,
     /// Least share of an answer.
-    pub floor: f64,
+    pub min_coverage: f64,
     /// An answer that is not whole earns this times its share over `need`.
-    pub partial: f64,
+    pub partial_weight: f64,
     /// Parts of the second step; 0 for one step only.
-    pub second_step: u32,
+    pub second_step_parts: u32,
     /// Whether a second attempt of a part may run beside another one.
-    pub copies: bool,
+    pub hedging: bool,
 }
 
 impl Class {
     /// For how long repeats of its parts are dropped, where they must not come later.
     pub fn window(&self) -> Option<f64> {
-        match self.effect {
-            Effect::Keyed { window } => Some(window),
-            Effect::Safe | Effect::Unsafe => None,
+        match self.idempotency {
+            Idempotency::Keyed { window } => Some(window),
+            Idempotency::Idempotent | Idempotency::NonIdempotent => None,
         }
     }
 }
@@ -54,9 +54,9 @@
 
 /// How replicas report their load.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Reports {
+pub enum LoadReporting {
     Inline,
-    OnProbe,
+    OnHealthCheck,
     Off,
 }
 
@@ -72,7 +72,7 @@
 
 /// The stated budget of attempts beyond each part's first.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Budget {
+pub struct RetryBudget {
     pub free: f64,
     /// Earned by each query or part taken.
     pub share: f64,
@@ -81,15 +81,15 @@
 
 /// What a cold replica stands.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct ColdRule {
+pub struct SlowStart {
     /// Least share of its capacity at the start.
-    pub from: f64,
+    pub initial_capacity: f64,
     /// Warm after this long at the latest.
     pub ramp: f64,
     /// Falls over at more than this many times its present capacity...
-    pub multiple: f64,
+    pub overload_factor: f64,
     /// ...for this long.
-    pub after: f64,
+    pub overload_window: f64,
 }
 
 /// What a deployment tells a co-ordinator at its start.
@@ -98,28 +98,28 @@
     pub classes: Vec<Class>,
     pub tenants: Vec<Tenant>,
     /// Worth of a query over its tenant's share, as a part of its class's worth.
-    pub over_share_worth: f64,
+    pub over_quota_weight: f64,
     pub cells: u32,
     pub reach: u32,
     /// Parts that share one call at most.
-    pub per_call: u32,
+    pub max_parts_per_call: u32,
     pub zone: ZoneId,
     /// Clients mark their repeats.
-    pub marks_retry: bool,
+    pub clients_mark_retries: bool,
     /// Co-ordinators in all, this one included.
     pub coordinators: u32,
-    pub reports: Reports,
+    pub load_reporting: LoadReporting,
     pub discovery: Discovery,
-    pub cancel: bool,
-    pub probes: bool,
-    pub second_copies: bool,
+    pub cancellation: bool,
+    pub health_checks: bool,
+    pub hedging: bool,
     /// The longest retry-after that clients heed; `None` where they are not told.
     pub retry_after: Option<f64>,
-    pub most_tries: u32,
+    pub max_attempts: u32,
     /// Rounds come at most this often.
-    pub round: f64,
-    pub budget: Option<Budget>,
-    pub cold: Option<ColdRule>,
+    pub round_interval: f64,
+    pub retry_budget: Option<RetryBudget>,
+    pub slow_start: Option<SlowStart>,
 }
 
 impl Default for Settings {
@@ -127,23 +127,23 @@
         Settings {
             classes: Vec::new(),
             tenants: Vec::new(),
-            over_share_worth: 1.0,
+            over_quota_weight: 1.0,
             cells: 1,
             reach: 1,
-            per_call: 1,
+            max_parts_per_call: 1,
             zone: ZoneId(0),
-            marks_retry: false,
+            clients_mark_retries: false,
             coordinators: 1,
-            reports: Reports::Off,
+            load_reporting: LoadReporting::Off,
             discovery: Discovery::Push,
-            cancel: true,
-            probes: false,
-            second_copies: true,
+            cancellation: true,
+            health_checks: false,
+            hedging: true,
             retry_after: None,
-            most_tries: 3,
-            round: 0.0,
-            budget: None,
-            cold: None,
+            max_attempts: 3,
+            round_interval: 0.0,
+            retry_budget: None,
+            slow_start: None,
         }
     }
 }
--- a/src/balancer/latency.rs
+++ b/src/balancer/latency.rs
@@ -67,7 +67,7 @@
     /// mean part hides, and against an overload that is forgotten before our next query is here.
     pub(super) fn expected(&self, class: &Class) -> f64 {
         let seldom = if self.fleet.seldom { self.query_now() } else { 0.0 };
-        let steps = if class.second_step > 0 { STEPS_STRETCH } else { 1.0 };
+        let steps = if class.second_step_parts > 0 { STEPS_STRETCH } else { 1.0 };
         seldom.max(self.delay_now() * QUERY_STRETCH) * steps
     }
 
--- a/src/balancer/mod.rs
+++ b/src/balancer/mod.rs
@@ -26,7 +26,7 @@
 /// Seconds that 'recent' means for copies, retries, rates and tenants: long enough to average a burst.
 pub(crate) const RECENT: f64 = 5.0;
 /// Without a told budget, attempts beyond the first stay within so many, plus a share of recent arrivals.
-const OWN_BUDGET: Budget = Budget { free: 5.0, share: 0.2, window: RECENT };
+const OWN_BUDGET: RetryBudget = RetryBudget { free: 5.0, share: 0.2, window: RECENT };
 /// Seconds after which news of a replica is stale: it counts at the average queue and not as idle.
 pub(crate) const STALE: f64 = 2.0;
 /// Seconds between our sends to one replica from which on it is met too seldom to be known one by one.
@@ -68,12 +68,12 @@
     /// A co-ordinator that knows no replica yet. Settings that cannot be served are refused.
     pub fn new(settings: Settings, seed: u64) -> Result<Self, SettingsError> {
         check(&settings)?;
-        let aim = settings.classes.iter().map(|c| c.aim).fold(f64::MAX, f64::min);
+        let aim = settings.classes.iter().map(|c| c.latency_objective).fold(f64::MAX, f64::min);
         Ok(Balancer {
             rng: Pcg64Mcg::seed_from_u64(seed),
             now: 0.0,
             born: f64::NEG_INFINITY,
-            margin: END_MARGIN + 2.0 * settings.round,
+            margin: END_MARGIN + 2.0 * settings.round_interval,
             replicas: BTreeMap::new(),
             fleet: Fleet::default(),
             census: Census::default(),
@@ -106,9 +106,10 @@
         self.now = self.now.max(now);
         self.fleet.calls.clear();
         events.iter().for_each(|event| self.event(event));
-        let window = self.s.budget.unwrap_or(OWN_BUDGET).window.max(RECENT) + 2.0 * self.s.round;
+        let window =
+            self.s.retry_budget.unwrap_or(OWN_BUDGET).window.max(RECENT) + 2.0 * self.s.round_interval;
         self.recent.trim(self.now - window);
-        let (now, ramp) = (self.now, self.s.cold.map_or(0.0, |rule| rule.ramp));
+        let (now, ramp) = (self.now, self.s.slow_start.map_or(0.0, |rule| rule.ramp));
         self.census.expire(|heard| now - heard >= STALE, |start| now - start >= ramp);
         self.fleet.average = self.census.average();
         self.fleet.warm = self.census.warm().max(1) as f64;
@@ -149,7 +150,7 @@
     fn probe(&mut self) {
         let now = self.now;
         let allowed = PROBE_SHARE * self.recent.arrived.count(now - RECENT);
-        let wanted = self.s.probes && self.s.reports == Reports::OnProbe;
+        let wanted = self.s.health_checks && self.s.load_reporting == LoadReporting::OnHealthCheck;
         if !wanted || self.recent.probes.count(now - RECENT) + 1.0 > allowed {
             return;
         }
--- a/src/balancer/outlier_detection.rs
+++ b/src/balancer/outlier_detection.rs
@@ -39,7 +39,7 @@
             Outcome::Rejected => (r.rest, r.full) = (now + FULL_REST, r.out.len()),
             Outcome::Succeeded => {
                 self.recent.unanswered[usize::from(flight.paused)] *= 1.0 - GAIN;
-                if r.ready() && r.cold_since(now, self.s.cold).is_none() {
+                if r.ready() && r.cold_since(now, self.s.slow_start).is_none() {
                     self.recent.borne.add(now);
                     self.fleet.borne += 1.0;
                 }
@@ -103,7 +103,7 @@
 
     /// Guards against replicas that take work and answer nothing, whatever keeps them silent.
     pub(super) fn watch_silence(&mut self) {
-        let limit = self.now - (SILENT_TAIL * self.pace.tail).max(8.0 * self.s.round);
+        let limit = self.now - (SILENT_TAIL * self.pace.tail).max(8.0 * self.s.round_interval);
         let (late, between) = (self.now - self.pace.tail, self.between());
         for (id, sent) in self.flights.unheard(late) {
             self.fleet.hush(self.replicas[&id].listed.zone, id, sent, ROOM_LEAST);
--- a/src/balancer/query_progress.rs
+++ b/src/balancer/query_progress.rs
@@ -19,8 +19,9 @@
         let share: f64 = held.iter().filter(|p| p.served).map(|p| p.weight).sum();
         let dead = |p: &Part| !p.served && !p.out() && p.begun() && !self.may_repeat(&class, p);
         let hope: f64 = held.iter().filter(|p| !dead(p)).map(|p| p.weight).sum();
-        let (need, second) = if first { (class.need, class.second_step > 0) } else { (1.0, false) };
-        let floor = if class.floor < class.need { class.floor } else { need };
+        let (need, second) =
+            if first { (class.target_coverage, class.second_step_parts > 0) } else { (1.0, false) };
+        let floor = if class.min_coverage < class.target_coverage { class.min_coverage } else { need };
         let all = !held.is_empty() && held.iter().all(|p| p.served);
         let whole = all || (first && share >= need - ROUNDING);
         let reserve = if second { HEDGE_TAIL * self.pace.tail } else { self.margin };
@@ -31,14 +32,15 @@
         let takes = margin * wide(held.len()) * self.expected(&class);
         let hopeless = !begun && query.aim > self.now && self.now + takes > query.aim;
         let streams = held.iter().any(|p| p.over && p.out());
-        let worthless = first && self.now > query.aim && class.late_worth <= 0.0 && !streams;
+        let worthless = first && self.now > query.aim && class.late_weight <= 0.0 && !streams;
         let sent = held.iter().flat_map(|p| &p.attempts).map(Attempt::begun).fold(f64::INFINITY, f64::min);
         let done = whole || (floor < need && share >= floor - ROUNDING && share > 0.0 && due);
         let lost = over || worthless || hope < floor - ROUNDING;
         if first && sent < self.now && (done || lost) {
             // One that was given up took its aim at least; twice what is hopeless says it all.
-            let most = 2.0 / margin * class.aim;
-            let took = (self.now - sent).clamp(if done { 0.0 } else { class.aim }, most) / wide(held.len());
+            let most = 2.0 / margin * class.latency_objective;
+            let took = (self.now - sent).clamp(if done { 0.0 } else { class.latency_objective }, most)
+                / wide(held.len());
             (self.pace.query, self.pace.ended) = (0.5 * (took + self.query_now()), self.now);
         }
         if done {
@@ -59,7 +61,7 @@
     pub(super) fn give_up(&mut self, query: &Query) {
         let attempts = query.parts.iter().filter_map(|id| self.parts.get(id)).flat_map(|p| &p.attempts);
         let ran = query.first.is_some() || { attempts }.any(|a| !a.never_ran());
-        let (safe, query) = (query.class.effect == Effect::Safe || !ran, query.id);
+        let (safe, query) = (query.class.idempotency == Idempotency::Idempotent || !ran, query.id);
         let refuse = Action::Reject { query, retry_after: self.s.retry_after };
         self.out.push(if safe { refuse } else { Action::Fail { query } });
     }
@@ -88,7 +90,7 @@
         let late_ids = late.iter().map(|(id, _)| *id);
         let mut waits: Vec<_> = late_ids.filter(|id| self.parts.get(id).is_some_and(lives)).collect();
         let mut tried = covered > 0.0 || !waits.is_empty();
-        let need = if query.first.is_none() { query.class.need } else { 1.0 };
+        let need = if query.first.is_none() { query.class.target_coverage } else { 1.0 };
         for (_, id) in order {
             if (covered >= need - ROUNDING && need < 1.0) || (probation && tried) {
                 break;
--- a/src/balancer/replica_selection.rs
+++ b/src/balancer/replica_selection.rs
@@ -32,7 +32,7 @@
     }
 
     fn has_room(&self, id: ReplicaId) -> bool {
-        self.fleet.calls.get(&id).is_some_and(|n| n % self.s.per_call.max(1) != 0)
+        self.fleet.calls.get(&id).is_some_and(|n| n % self.s.max_parts_per_call.max(1) != 0)
     }
 
     /// Who may be drawn: healthy holders, else the least bad one. A cold replica with no room left is never
@@ -77,8 +77,10 @@
     pub(super) fn shorter(&self, pair: &[ReplicaId]) -> Option<ReplicaId> {
         let key = |id: &ReplicaId| {
             let r = &self.replicas[id];
-            let busy = match (self.s.reports, r.report.utilization) {
-                (Reports::Inline, busy) if !self.fleet.thin || busy.is_some() => 4.0 * busy.unwrap_or(0.0),
+            let busy = match (self.s.load_reporting, r.report.utilization) {
+                (LoadReporting::Inline, busy) if !self.fleet.thin || busy.is_some() => {
+                    4.0 * busy.unwrap_or(0.0)
+                }
                 _ => 2.0 * self.usual_time(*id) / self.pace.typical.max(1e-6),
             } as i64;
             (self.queue(*id), !self.has_room(*id), !self.due(*id), busy, r.listed.zone != self.s.zone)
@@ -89,12 +91,12 @@
     /// Each part that a warm replica serves us earns each cold one its share; none just after our start, when
     /// what our former life sent is unknown. Guards against a rush where all are told late and at once.
     pub(super) fn earn(&mut self) {
-        let (Some(rule), now, warm) = (self.s.cold, self.now, self.fleet.warm) else { return };
+        let (Some(rule), now, warm) = (self.s.slow_start, self.now, self.fleet.warm) else { return };
         let served = std::mem::take(&mut self.fleet.borne) / warm;
-        let span = RECENT.min(now - self.born).max(rule.after);
-        self.fleet.window = self.recent.borne.count(now - RECENT) / warm * rule.after / span;
+        let span = RECENT.min(now - self.born).max(rule.overload_window);
+        self.fleet.window = self.recent.borne.count(now - RECENT) / warm * rule.overload_window / span;
         let headroom = self.headroom();
-        let earns = served > 0.0 && now >= self.born + rule.after;
+        let earns = served > 0.0 && now >= self.born + rule.overload_window;
         for id in self.census.cold(earns) {
             let Some(r) = self.replicas.get_mut(&id) else { continue };
             let share = COLD_CAUTION * r.stands(now, rule) * headroom;
@@ -105,20 +107,21 @@
     /// Whether a cold replica stands another part from us: it is earned, and in our share of any window.
     /// Both are rounded at random, so that the sum of all keeps to the rule.
     fn cold_room(&mut self, id: ReplicaId) -> bool {
-        let (Some(rule), now) = (self.s.cold, self.now) else { return true };
-        let pause = if now < self.born + rule.after { 0.0 } else { self.pause() };
+        let (Some(rule), now) = (self.s.slow_start, self.now) else { return true };
+        let pause = if now < self.born + rule.overload_window { 0.0 } else { self.pause() };
         let most = COLD_CAUTION * self.headroom() * self.fleet.window;
         let Some(r) = self.replicas.get_mut(&id) else { return false };
-        let share = most * r.stands(now - rule.after / 2.0, rule);
+        let share = most * r.stands(now - rule.overload_window / 2.0, rule);
         // What it earns until our next query counts: it would be sent a pause late each time.
-        let earned = r.earned + share / rule.after * pause >= 1.0 - r.phase;
-        let room = earned && r.sent.count(now - rule.after) + 1.0 <= (share + r.phase).floor().max(1.0);
-        room || r.cold_since(now, self.s.cold).is_none()
+        let earned = r.earned + share / rule.overload_window * pause >= 1.0 - r.phase;
+        let room =
+            earned && r.sent.count(now - rule.overload_window) + 1.0 <= (share + r.phase).floor().max(1.0);
+        room || r.cold_since(now, self.s.slow_start).is_none()
     }
 
     /// A cold replica met at its turn. Guards its share where it is met seldom, from our start on: drawn by
     /// chance, it would wait as long again; later, all that restarted would spend at once what it earned.
     fn due(&self, id: ReplicaId) -> bool {
-        self.fleet.thin && self.replicas[&id].cold_since(self.now, self.s.cold).is_some()
+        self.fleet.thin && self.replicas[&id].cold_since(self.now, self.s.slow_start).is_some()
     }
 }
--- a/src/balancer/state/audit.rs
+++ b/src/balancer/state/audit.rs
@@ -12,7 +12,7 @@
 
     /// Compare every running sum and index with a fresh count; the name of the first that differs.
     pub fn audit(&self) -> Result<(), &'static str> {
-        let (now, rule) = (self.now, self.s.cold);
+        let (now, rule) = (self.now, self.s.slow_start);
         self.census.check(
             &self.replicas,
             |r| r.cold_since(now, rule).is_some(),
--- a/src/balancer/state/mod.rs
+++ b/src/balancer/state/mod.rs
@@ -137,8 +137,8 @@
     /// Whether what is in is surely too little to answer it. That is summed in another order than an answer
     /// goes by: for shares whose sum is below 1, that makes no difference near the ten-thousandth left here.
     pub fn far_from_answer(&self) -> bool {
-        let need = if self.first.is_none() { self.class.need } else { 1.0 };
-        self.brought < self.parts.len() && self.weighs < need.min(self.class.floor) - 1e-4
+        let need = if self.first.is_none() { self.class.target_coverage } else { 1.0 };
+        self.brought < self.parts.len() && self.weighs < need.min(self.class.min_coverage) - 1e-4
     }
 
     /// Whether so many replicas broke over its parts, and more than served one.
@@ -317,14 +317,14 @@
     }
 
     /// When it started, if it may still be cold: within the ramp that the rule tells.
-    pub fn cold_since(&self, now: f64, rule: Option<ColdRule>) -> Option<f64> {
+    pub fn cold_since(&self, now: f64, rule: Option<SlowStart>) -> Option<f64> {
         self.listed.started.filter(|start| rule.is_some_and(|rule| now - start < rule.ramp))
     }
 
     /// How many times what a warm one serves it stands at least, by the rule; a warm one its multiple.
-    pub fn stands(&self, at: f64, rule: ColdRule) -> f64 {
+    pub fn stands(&self, at: f64, rule: SlowStart) -> f64 {
         let age = self.listed.started.map_or(rule.ramp, |start| (at - start).clamp(0.0, rule.ramp));
-        rule.multiple * (rule.from + (1.0 - rule.from) * age / rule.ramp)
+        rule.overload_factor * (rule.initial_capacity + (1.0 - rule.initial_capacity) * age / rule.ramp)
     }
 
     /// Left alone: it is full, until half of what it held of ours is answered, or it could not be reached.
@@ -364,24 +364,30 @@
     let positive = |n: f64| n.is_finite() && n > 0.0;
     let share = |n: f64| (0.0..=1.0).contains(&n);
     let class = |c: &Class| {
-        let window = if let Effect::Keyed { window } = c.effect { window } else { 0.0 };
-        let times = positive(c.aim) && positive(c.deadline) && window.is_finite() && window >= 0.0;
-        times && share(c.need) && share(c.floor) && c.worth.is_finite()
+        let window = if let Idempotency::Keyed { window } = c.idempotency { window } else { 0.0 };
+        let times =
+            positive(c.latency_objective) && positive(c.deadline) && window.is_finite() && window >= 0.0;
+        times && share(c.target_coverage) && share(c.min_coverage) && c.priority_weight.is_finite()
     };
-    let cold = |c: &ColdRule| share(c.from) && positive(c.ramp) && positive(c.multiple) && positive(c.after);
-    let budget = |b: &Budget| positive(b.window) && b.free >= 0.0 && b.share >= 0.0;
+    let cold = |c: &SlowStart| {
+        share(c.initial_capacity)
+            && positive(c.ramp)
+            && positive(c.overload_factor)
+            && positive(c.overload_window)
+    };
+    let budget = |b: &RetryBudget| positive(b.window) && b.free >= 0.0 && b.share >= 0.0;
     let refuse = |field| Err(SettingsError { field });
     match s {
         _ if s.classes.is_empty() || !s.classes.iter().all(class) => refuse("classes"),
         _ if s.cells == 0 || s.reach == 0 => refuse("cells or reach"),
-        _ if s.most_tries == 0 => refuse("most_tries"),
-        _ if !s.round.is_finite() || s.round < 0.0 => refuse("round"),
+        _ if s.max_attempts == 0 => refuse("most_tries"),
+        _ if !s.round_interval.is_finite() || s.round_interval < 0.0 => refuse("round"),
         // Guards against queries that are all over when they come: two rounds are left for the answer.
-        _ if s.classes.iter().any(|c| 2.0 * s.round >= c.deadline) => {
+        _ if s.classes.iter().any(|c| 2.0 * s.round_interval >= c.deadline) => {
             refuse("PeriodS, over half a DeadlineS")
         }
-        _ if !s.budget.as_ref().is_none_or(budget) => refuse("budget"),
-        _ if !s.cold.as_ref().is_none_or(cold) => refuse("cold"),
+        _ if !s.retry_budget.as_ref().is_none_or(budget) => refuse("budget"),
+        _ if !s.slow_start.as_ref().is_none_or(cold) => refuse("cold"),
         _ => Ok(()),
     }
 }
--- a/src/cli/show.rs
+++ b/src/cli/show.rs
@@ -2,7 +2,7 @@
 use std::fmt::Write;
 use std::path::Path;
 
-use crate::balancer::interface::{Effect, EndpointState, ShardId};
+use crate::balancer::interface::{EndpointState, Idempotency, ShardId};
 use crate::config::operator::{Grpc, Operator, OperatorError, Source};
 use crate::config::settings::Deployment;
 use crate::grpc_routing::{As, Route, ShardFrom};
@@ -50,10 +50,10 @@
 
 fn line(told: &Deployment, route: &Route) -> String {
     let class = &told.settings.classes[usize::from(route.class.0)];
-    let effect = match class.effect {
-        Effect::Safe => "safe to repeat".to_owned(),
-        Effect::Keyed { window } => format!("repeats are dropped for {window} s"),
-        Effect::Unsafe => "not to be repeated".to_owned(),
+    let effect = match class.idempotency {
+        Idempotency::Idempotent => "safe to repeat".to_owned(),
+        Idempotency::Keyed { window } => format!("repeats are dropped for {window} s"),
+        Idempotency::NonIdempotent => "not to be repeated".to_owned(),
     };
     let way = |how: &As| if *how == As::Hash { "hash of " } else { "" };
     let shard = match &route.shard {
@@ -69,7 +69,7 @@
         route.pattern,
         route.kind,
         told.class_names[usize::from(route.class.0)],
-        if class.copies { "copies" } else { "no copies" },
+        if class.hedging { "copies" } else { "no copies" },
         class.deadline,
         if route.merge.is_some() { ", merged" } else { "" }
     )
--- a/src/config/operator/cluster.rs
+++ b/src/config/operator/cluster.rs
@@ -7,7 +7,7 @@
 use serde::Deserialize;
 
 use super::Seg;
-use crate::balancer::interface::Effect;
+use crate::balancer::interface::Idempotency;
 use crate::cluster::configuration::MOST_GUARDS;
 use crate::cluster::takeover::message::MOST_BYTES;
 use crate::cluster::takeover::{self, ClassRule, WhenFull};
@@ -183,14 +183,14 @@
             }
             *rule = Some(ClassRule {
                 // A key's window is the servers' and may be over before a successor asks.
-                repeats: class.effect == Effect::Safe,
+                repeats: class.idempotency == Idempotency::Idempotent,
                 guards: protect.guards,
                 slack_ms: (protect.slack_s * 1000.0) as u64,
                 when_full: match protect.when_full {
                     WhenFullName::Refuse => WhenFull::Refuse,
                     WhenFullName::Unprotected => WhenFull::Unprotected,
                 },
-                worth: class.worth,
+                worth: class.priority_weight,
             });
         }
         let limits = takeover::Limits {
@@ -198,7 +198,7 @@
             bytes: l.bytes,
             record: l.record,
             taken_over: l.taken_over,
-            most_tries: told.settings.most_tries.min(4) as u8,
+            most_tries: told.settings.max_attempts.min(4) as u8,
             lease: (file.lease_ms * 1000.0) as u64,
             drift: file.drift,
         };
--- a/src/config/settings.rs
+++ b/src/config/settings.rs
@@ -131,15 +131,15 @@
         _ => bad(format!("settings: FamilyInfo.{key}[{i}] is not a share from 0 to 1")),
     };
     let effect = match text(c, "Semantics").map_err(of_class)? {
-        "pure" => Effect::Safe,
+        "pure" => Idempotency::Idempotent,
         "token" => {
             number(c, "WindowS").map_err(of_class)?;
             let window = at_least(c, "WindowS", 0.0).map_err(of_class)?.unwrap_or(0.0);
             // Where not every holder drops a repeat, none is made: it might go to one that does not.
             let all = get(c, "DedupScope").is_none_or(|scope| scope == "all");
-            Effect::Keyed { window: if all { window } else { 0.0 } }
+            Idempotency::Keyed { window: if all { window } else { 0.0 } }
         }
-        "side_effect" => Effect::Unsafe,
+        "side_effect" => Idempotency::NonIdempotent,
         other => return bad(format!("settings: Semantics '{other}' is unknown (class {i})")),
     };
     let need = part("ClassNeed", 1.0)?;
@@ -149,17 +149,17 @@
     let floor = part("LeastShare", need)?;
     let path = format!("FamilyInfo.FetchParts[{i}]");
     Ok(Class {
-        aim: at("AimS")?,
+        latency_objective: at("AimS")?,
         deadline: at("DeadlineS")?,
-        worth: number(c, "Worth").map_err(of_class)?,
-        late_worth: optional(c, "LateWorth").map_err(of_class)?.unwrap_or(0.0),
-        effect,
+        priority_weight: number(c, "Worth").map_err(of_class)?,
+        late_weight: optional(c, "LateWorth").map_err(of_class)?.unwrap_or(0.0),
+        idempotency: effect,
         // No answer may hold less than the least share, a whole one neither.
-        need: need.max(floor),
-        floor,
-        partial: family("ClassPartial", 1.0)?,
-        second_step: whole(&path, family("FetchParts", 0.0)?, 0, u32::MAX)?,
-        copies: true,
+        target_coverage: need.max(floor),
+        min_coverage: floor,
+        partial_weight: family("ClassPartial", 1.0)?,
+        second_step_parts: whole(&path, family("FetchParts", 0.0)?, 0, u32::MAX)?,
+        hedging: true,
     })
 }
 
@@ -189,11 +189,11 @@
         });
     }
     let reports = match get(&v, "Reporting.How") {
-        None => Reports::Off,
+        None => LoadReporting::Off,
         Some(_) => match text(&v, "Reporting.How")? {
-            "inline" => Reports::Inline,
-            "on_probe" => Reports::OnProbe,
-            "off" => Reports::Off,
+            "inline" => LoadReporting::Inline,
+            "on_probe" => LoadReporting::OnHealthCheck,
+            "off" => LoadReporting::Off,
             other => return bad(format!("settings: Reporting.How '{other}' is unknown")),
         },
     };
@@ -210,7 +210,7 @@
         (at_least(&v, "Safety.RepeatRatio", 0.0)?, at_least(&v, "Safety.MinExtra", 0.0)?);
     let budget = match (share_told, free) {
         (None, None) => None,
-        (share, free) => Some(Budget {
+        (share, free) => Some(RetryBudget {
             free: free.unwrap_or(0.0),
             share: share.unwrap_or(0.0),
             window: above_zero(&v, "Safety.ResendSpanS")?,
@@ -218,11 +218,11 @@
     };
     let cold = match optional(&v, "Safety.TipMultiple")? {
         None => None,
-        Some(_) => Some(ColdRule {
-            from: share(&v, "Safety.ColdFrom")?,
+        Some(_) => Some(SlowStart {
+            initial_capacity: share(&v, "Safety.ColdFrom")?,
             ramp: above_zero(&v, "Safety.RampTimeS")?,
-            multiple: above_zero(&v, "Safety.TipMultiple")?,
-            after: above_zero(&v, "Safety.TipAfterS")?,
+            overload_factor: above_zero(&v, "Safety.TipMultiple")?,
+            overload_window: above_zero(&v, "Safety.TipAfterS")?,
         }),
     };
     let retry_after = match flag(&v, "Limits.RetryAfter")? {
@@ -234,25 +234,25 @@
     let settings = Settings {
         classes,
         tenants,
-        over_share_worth: at_least(&v, "OverShareWorth", 0.0)?.unwrap_or(1.0),
+        over_quota_weight: at_least(&v, "OverShareWorth", 0.0)?.unwrap_or(1.0),
         // A cell's number has 16 bits.
         cells: whole("FamilyInfo.Positions", number(&v, "FamilyInfo.Positions")?, 1, 1 << 16)?,
         reach: whole("FamilyInfo.InARow", number(&v, "FamilyInfo.InARow")?, 1, u32::MAX)?,
-        per_call: count(&v, "FamilyInfo.PerCall", u32::MAX)?.unwrap_or(1),
+        max_parts_per_call: count(&v, "FamilyInfo.PerCall", u32::MAX)?.unwrap_or(1),
         zone: ZoneId(whole("Zone", optional(&v, "Zone")?.unwrap_or(0.0), 0, u32::from(u8::MAX))? as u8),
-        marks_retry: flag(&v, "Clients.MarksRetry")?,
+        clients_mark_retries: flag(&v, "Clients.MarksRetry")?,
         coordinators: count(&v, "ReplicasOfMe", u32::MAX)?.unwrap_or(1),
-        reports,
+        load_reporting: reports,
         discovery,
-        cancel: flag(&v, "Limits.Cancel")?,
-        probes: flag(&v, "Limits.Probes")?,
-        second_copies: flag(&v, "Limits.SecondCopies")?,
+        cancellation: flag(&v, "Limits.Cancel")?,
+        health_checks: flag(&v, "Limits.Probes")?,
+        hedging: flag(&v, "Limits.SecondCopies")?,
         retry_after,
         // An attempt's number has 8 bits, and the last one stands for none.
-        most_tries: most_tries.ok_or(Unreadable("settings: Limits.MostTries is missing".into()))?,
-        round: at_least(&v, "PeriodS", 0.0)?.unwrap_or(0.0),
-        budget,
-        cold,
+        max_attempts: most_tries.ok_or(Unreadable("settings: Limits.MostTries is missing".into()))?,
+        round_interval: at_least(&v, "PeriodS", 0.0)?.unwrap_or(0.0),
+        retry_budget: budget,
+        slow_start: cold,
     };
     let sockets = Sockets {
         connect: span(&v, "Limits.ConnectTimeoutS", 0.25)?,
--- a/src/coordinator/mod.rs
+++ b/src/coordinator/mod.rs
@@ -118,7 +118,7 @@
             subscribe: async_channel::bounded(1),
             executor,
             transport,
-            most_tries: settings.most_tries,
+            most_tries: settings.max_attempts,
             classes: RefCell::new(settings.classes),
             max_open,
             listed: Cell::new(false),
--- a/src/coordinator/query.rs
+++ b/src/coordinator/query.rs
@@ -158,7 +158,7 @@
             values.extend(part.value.map(|(value, score)| (part.shard, value, score)));
         }
         let second =
-            self.classes.borrow().get(usize::from(open.class.0)).map_or(0, |c| c.second_step as usize);
+            self.classes.borrow().get(usize::from(open.class.0)).map_or(0, |c| c.second_step_parts as usize);
         let second = second.min(values.len());
         if second > 0 && !open.second {
             let from: Rc<[ShardId]> = values.iter().map(|v| v.0).collect();
--- a/src/grpc_routing/table.rs
+++ b/src/grpc_routing/table.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 
 use super::{EffectName, Kind, Merge, Route, Row, ShardFrom};
-use crate::balancer::interface::{Class, ClassId, Effect};
+use crate::balancer::interface::{Class, ClassId, Idempotency};
 use crate::config::settings::Deployment;
 
 /// What is wrong with a row.
@@ -48,26 +48,26 @@
                 return bad("class", format!("no class '{}' in settings.Classes", row.class));
             };
             let mut wanted = told.settings.classes[class];
-            let own = match wanted.effect {
-                Effect::Keyed { window } => Some(window),
+            let own = match wanted.idempotency {
+                Idempotency::Keyed { window } => Some(window),
                 _ => None,
             };
             match row.effect {
                 None if row.window_s.is_some() => return bad("window_s", "goes with effect 'keyed'".into()),
                 None => {}
-                Some(EffectName::Safe) => wanted.effect = Effect::Safe,
-                Some(EffectName::Unsafe) => wanted.effect = Effect::Unsafe,
+                Some(EffectName::Safe) => wanted.idempotency = Idempotency::Idempotent,
+                Some(EffectName::Unsafe) => wanted.idempotency = Idempotency::NonIdempotent,
                 Some(EffectName::Keyed) => match row.window_s.or(own) {
                     Some(window) if window.is_finite() && window > 0.0 => {
-                        wanted.effect = Effect::Keyed { window }
+                        wanted.idempotency = Idempotency::Keyed { window }
                     }
                     Some(_) => return bad("window_s", "must be over 0".into()),
                     None => return bad("window_s", "is missing: for how long are repeats dropped?".into()),
                 },
             }
             // A second step belongs to the platform's classes; a call has one.
-            wanted.second_step = 0;
-            wanted.copies &= row.copy;
+            wanted.second_step_parts = 0;
+            wanted.hedging &= row.copy;
             let several = matches!(row.shard, ShardFrom::Metadata { how: super::As::Number, .. });
             if row.merge.is_some() && (row.kind != Kind::Unary || !several) {
                 return bad("merge", "is for unary methods whose shard is a number in the metadata".into());
--- a/src/net/data_nodes/exchange.rs
+++ b/src/net/data_nodes/exchange.rs
@@ -101,7 +101,7 @@
     /// Whether no attempt of a part may run beside another one. Then one that we end by ourselves must be over at its
     /// data node too before the next begins: it ends with the time that it was told, or with its answer.
     fn alone(&self) -> bool {
-        !self.told.settings.second_copies
+        !self.told.settings.hedging
     }
 
     /// Its descriptor is free, unless it was closed to make way for another and has been counted out before.
@@ -189,7 +189,7 @@
         let node = nodes.get(&replica).filter(|n| n.phase == EndpointState::Ready);
         let mut queue = connection.queue.borrow_mut();
         let (mut parts, now) = (Vec::new(), Instant::now());
-        let per_call = self.told.settings.per_call.max(1) as usize;
+        let per_call = self.told.settings.max_parts_per_call.max(1) as usize;
         let at = frames::open(bytes, b'q');
         let transit = if self.alone() { TRANSIT } else { Duration::ZERO };
         let streams = self.told.sockets.streams;
--- a/src/net/data_nodes/mod.rs
+++ b/src/net/data_nodes/mod.rs
@@ -277,7 +277,7 @@
         let ended = by(call.deadline, ended.or(stopped)).await;
         let ended = ended.unwrap_or(Outcome::TimedOut.into());
         if matches!(ended.outcome, Outcome::Cancelled | Outcome::TimedOut) {
-            connection.give_up(&item, self.told.settings.cancel);
+            connection.give_up(&item, self.told.settings.cancellation);
         }
         debug!(self.log, "attempt ended"; "id" => &item.id, "replica" => call.replica.0,
             "outcome" => ?ended.outcome, "connection" => connection.number, "written" => item.permit.get().is_some());
@@ -287,7 +287,8 @@
     async fn probe(self: Rc<Self>, replica: ReplicaId) -> (bool, Option<LoadReport>) {
         let latest = Instant::now() + PROBE_WAIT;
         let Some((connection, _)) = self.connection(replica) else { return (false, None) };
-        let letter = if self.told.settings.reports == Reports::OnProbe { b'l' } else { b'p' };
+        let letter =
+            if self.told.settings.load_reporting == LoadReporting::OnHealthCheck { b'l' } else { b'p' };
         let (send, done) = async_channel::bounded(1);
         connection.push(Out::Probe(letter, send));
         by(latest, done.recv()).await.and_then(Result::ok).unwrap_or((false, None))
--- a/src/net/grpc/exchange.rs
+++ b/src/net/grpc/exchange.rs
@@ -10,7 +10,7 @@
 
 use super::replay::Replay;
 use super::status::Status;
-use crate::balancer::interface::Effect;
+use crate::balancer::interface::Idempotency;
 use crate::grpc_routing::Route;
 
 /// What comes back for the client.
@@ -35,7 +35,7 @@
     /// The client's metadata, as it goes on.
     pub metadata: HeaderMap,
     pub route: Arc<Route>,
-    pub effect: Effect,
+    pub effect: Idempotency,
     /// Several shards are asked, and their messages become one.
     pub merged: bool,
     /// Bytes of the answer that may wait for the client's task.
--- a/src/net/grpc/front.rs
+++ b/src/net/grpc/front.rs
@@ -312,7 +312,7 @@
         let weight = 1.0 / shards.len() as f64;
         let (request, reply, last) = (RefCell::new(replay), Default::default(), Default::default());
         let (request_moved, reply_moved) = Default::default();
-        let (path, route, effect) = (head.uri.path().to_owned(), route.clone(), class.effect);
+        let (path, route, effect) = (head.uri.path().to_owned(), route.clone(), class.idempotency);
         let bound = self.limits.window as usize;
         let carried = Exchange {
             path,
--- a/src/net/grpc/status.rs
+++ b/src/net/grpc/status.rs
@@ -2,7 +2,7 @@
 //! outcome says to the client. No I/O. `docs/grpc.md` shows the same table.
 use h2::Reason;
 
-use crate::balancer::interface::{Effect, Outcome};
+use crate::balancer::interface::{Idempotency, Outcome};
 use crate::coordinator::Final;
 
 macro_rules! codes {
@@ -64,11 +64,11 @@
 
     /// The outcome of the attempt that it ends. A status alone never proves that the call has not run: where it must
     /// not run twice, being turned away counts as an error that may have run.
-    pub fn outcome(self, effect: Effect) -> Outcome {
+    pub fn outcome(self, effect: Idempotency) -> Outcome {
         match self {
             c if c.answers() => Outcome::Succeeded,
             Code::DeadlineExceeded => Outcome::TimedOut,
-            Code::ResourceExhausted if effect != Effect::Unsafe => Outcome::Rejected,
+            Code::ResourceExhausted if effect != Idempotency::NonIdempotent => Outcome::Rejected,
             _ => Outcome::Error,
         }
     }
@@ -96,7 +96,7 @@
 
 /// An answer that is not gRPC's, by its HTTP status (gRPC "HTTP to gRPC Status Code Mapping"). Never an answer of
 /// the call, whatever the code: something on the way made it.
-pub fn http(status: u16, effect: Effect) -> (Code, Outcome) {
+pub fn http(status: u16, effect: Idempotency) -> (Code, Outcome) {
     let code = match status {
         400 => Code::Internal,
         401 => Code::Unauthenticated,
@@ -105,7 +105,7 @@
         429 | 502 | 503 | 504 => Code::Unavailable,
         _ => Code::Unknown,
     };
-    let full = matches!(status, 429 | 503) && effect != Effect::Unsafe;
+    let full = matches!(status, 429 | 503) && effect != Idempotency::NonIdempotent;
     (code, if full { Outcome::Rejected } else { Outcome::Error })
 }
 
--- a/src/net/opensearch/search.rs
+++ b/src/net/opensearch/search.rs
@@ -91,7 +91,7 @@
         let deadline = now.checked_add(wait).unwrap_or(now + Duration::from_secs(3600));
         let notes = Rc::new(RefCell::default());
         let opaque = opaque.to_owned();
-        let (ranked, carried) = (class_settings.second_step > 0, search.clone());
+        let (ranked, carried) = (class_settings.second_step_parts > 0, search.clone());
         let carried = Carried { search: carried, opaque, ranked, notes: Rc::clone(&notes) };
         let share = 1.0 / parts.len() as f64;
         let query = Query {
--- a/src/topology_forecast/forecast/change.rs
+++ b/src/topology_forecast/forecast/change.rs
@@ -64,9 +64,9 @@
         let (Some(rule), Some(busy), true) = (given.cold, server.busy, cold) else { continue };
         out.cold.push(Cold {
             server: server.server,
-            times: busy.times(1.0 / rule.from.max(f64::MIN_POSITIVE)),
-            multiple: rule.multiple,
-            after: rule.after,
+            times: busy.times(1.0 / rule.initial_capacity.max(f64::MIN_POSITIVE)),
+            multiple: rule.overload_factor,
+            after: rule.overload_window,
             ramp: rule.ramp,
         });
     }
--- a/src/topology_forecast/forecast/load.rs
+++ b/src/topology_forecast/forecast/load.rs
@@ -72,7 +72,7 @@
             let class = demand.classes.get(&said.class).zip(given.classes.get(usize::from(said.class)));
             let late = class.map_or(0.0, |(seen, told)| match seen.answers.count() {
                 0 => 0.0,
-                _ => seen.answers.over(told.aim * 1e6),
+                _ => seen.answers.over(told.latency_objective * 1e6),
             });
             late_over = late_over.max(late - said.late.high);
         }
--- a/src/topology_forecast/forecast/mod.rs
+++ b/src/topology_forecast/forecast/mod.rs
@@ -18,7 +18,7 @@
 pub use load::{CoordinatorLoad, Seen, ServerLoad, ZoneLoad};
 
 use super::{Coverage, Demand, Range, Topology};
-use crate::balancer::interface::{Class, ColdRule, ReplicaId, ZoneId};
+use crate::balancer::interface::{Class, ReplicaId, SlowStart, ZoneId};
 use crate::balancer::stretch;
 
 /// Unknowns of one kind that are named one by one.
@@ -32,7 +32,7 @@
 #[derive(Clone, Debug)]
 pub struct Given {
     pub classes: Vec<Class>,
-    pub cold: Option<ColdRule>,
+    pub cold: Option<SlowStart>,
     /// Servers of the base that are cold now; those that the base does not have are cold in any case.
     pub cold_now: BTreeSet<ReplicaId>,
     /// Coordinators and their zones.
@@ -259,7 +259,7 @@
             continue;
         }
         let took = seen.took.mean() * 1e-6;
-        let steps = if told.second_step > 0 { 2 } else { 1 };
+        let steps = if told.second_step_parts > 0 { 2 } else { 1 };
         let (mut now, mut then, mut all) = (0.0, 0.0, 0.0);
         for f in fan_out.iter().filter(|f| f.class == *class) {
             now += f.queries_s.mid * mean_stretch(f.parts_before, steps);
@@ -270,7 +270,7 @@
         let part = |wait: f64| (took - waited).max(0.0) + wait;
         let ratio = |wait: f64| wider * part(wait) / part(waited).max(f64::MIN_POSITIVE);
         let ratio = Range { low: ratio(waits.low), mid: ratio(waits.mid), high: ratio(waits.high) };
-        let late = |ratio: f64| seen.answers.over(told.aim * 1e6 / ratio.max(1e-3));
+        let late = |ratio: f64| seen.answers.over(told.latency_objective * 1e6 / ratio.max(1e-3));
         // Queries that meet a tile that has grown, whose part may take as much longer.
         let (share, longer) = new.grown();
         let parts = fan_out.iter().filter(|f| f.class == *class).map(|f| f.queries_s.mid * f.mean_parts.mid);
--- a/tests/cold_fleet/budget.rs
+++ b/tests/cold_fleet/budget.rs
@@ -21,21 +21,21 @@
 /// capacity, and what is put down to chance is twice its root and two.
 pub fn found(world: &World) -> Found {
     let rule = world.case.rule;
-    let full = rule.multiple * rule.after * world.case.capacity;
+    let full = rule.overload_factor * rule.overload_window * world.case.capacity;
     let (mut worst, mut at_worst, mut fall, mut sends, mut allowed) = (0.0f64, (0.0, 0.0), 0.0f64, 0, 0.0);
     for node in world.nodes.iter().filter(|n| n.born.is_finite()) {
         let end = node.born + rule.ramp;
         let seen = end.min(world.now) - node.born;
         let middle = world.share(node.listed.replica, node.born + seen / 2.0);
-        allowed += full / rule.after * middle * seen;
+        allowed += full / rule.overload_window * middle * seen;
         sends += node.sent.len();
         let mut first = 0;
         for (last, (at, _)) in node.sent.iter().enumerate() {
-            while node.sent[first].0 <= at - rule.after {
+            while node.sent[first].0 <= at - rule.overload_window {
                 first += 1;
             }
             let window = &node.sent[first..=last];
-            let budget = full * world.share(node.listed.replica, at - rule.after / 2.0);
+            let budget = full * world.share(node.listed.replica, at - rule.overload_window / 2.0);
             let bound = budget + 2.0 * budget.sqrt() + 2.0;
             let told = window.iter().filter(|s| s.1).count() as f64;
             if told / bound > worst {
--- a/tests/cold_fleet/main.rs
+++ b/tests/cold_fleet/main.rs
@@ -7,14 +7,14 @@
 mod rates;
 mod world;
 
-use marlgap::balancer::interface::{ColdRule, Reports};
+use marlgap::balancer::interface::{LoadReporting, SlowStart};
 use world::{Case, Way, World};
 
 /// The settings that the cases go by: multiple, window, least share and ramp.
-const RULES: [ColdRule; 3] = [
-    ColdRule { multiple: 2.5, after: 1.0, from: 0.15, ramp: 17.0 },
-    ColdRule { multiple: 4.0, after: 2.0, from: 0.15, ramp: 13.0 },
-    ColdRule { multiple: 1.5, after: 0.5, from: 0.1, ramp: 20.0 },
+const RULES: [SlowStart; 3] = [
+    SlowStart { overload_factor: 2.5, overload_window: 1.0, initial_capacity: 0.15, ramp: 17.0 },
+    SlowStart { overload_factor: 4.0, overload_window: 2.0, initial_capacity: 0.15, ramp: 13.0 },
+    SlowStart { overload_factor: 1.5, overload_window: 0.5, initial_capacity: 0.1, ramp: 20.0 },
 ];
 
 fn base(name: &'static str) -> Case {
@@ -34,7 +34,7 @@
         hung: 0.0,
         failing: 0.0,
         burst: 1.5,
-        reports: Reports::Off,
+        reports: LoadReporting::Off,
         among: None,
         noise: None,
     }
@@ -50,7 +50,7 @@
         let found = World::new(case.clone(), seed).run(seed);
         println!(
             "COLD {:<28} n {:>3} rule {:.1}/{:.1} load {:.1} seed {seed}: worst {:.2} at {:.1} {:.1} fall {:.2} used {:.3} served {:.3} sends {}",
-            case.name, case.coordinators, case.rule.multiple, case.rule.after, case.load, found.worst, found.at.0, found.at.1,
+            case.name, case.coordinators, case.rule.overload_factor, case.rule.overload_window, case.load, found.worst, found.at.0, found.at.1,
             found.fall, found.used, found.served, found.sends
         );
         if found.worst > 1.0 || found.fall > 1.0 {
@@ -61,7 +61,7 @@
 }
 
 /// A third replaced, at a light load, a full one and an overload.
-fn loads(coordinators: usize, rule: ColdRule) {
+fn loads(coordinators: usize, rule: SlowStart) {
     for load in [0.3, 0.7, 1.1] {
         hold(Case { coordinators, rule, load, ..base("a third replaced") }, 1);
     }
@@ -146,7 +146,7 @@
 
 #[test]
 fn probes_count() {
-    hold(Case { reports: Reports::OnProbe, ..base("probes") }, 1);
+    hold(Case { reports: LoadReporting::OnHealthCheck, ..base("probes") }, 1);
 }
 
 /// Warm data nodes report the rate that they serve, late and noisy: it bounds what a cold one stands.
@@ -155,14 +155,15 @@
     for (coordinators, rule) in [(3, RULES[0]), (30, RULES[1]), (100, RULES[0])] {
         for (load, noise) in [(0.4, 0.14), (0.7, 0.02), (1.0, 0.14)] {
             let case = Case { coordinators, rule, load, cold: 0.6, noise: Some(noise), ..base("rates") };
-            hold(Case { reports: Reports::Inline, way: Way::Replaced(7.0), ..case }, 1);
+            hold(Case { reports: LoadReporting::Inline, way: Way::Replaced(7.0), ..case }, 1);
         }
     }
 }
 
 #[test]
 fn reported_rates_under_three_hundred_coordinators() {
-    let case = Case { noise: Some(0.14), reports: Reports::Inline, way: Way::Replaced(7.0), ..full_size() };
+    let case =
+        Case { noise: Some(0.14), reports: LoadReporting::Inline, way: Way::Replaced(7.0), ..full_size() };
     hold(Case { load: 0.6, ..case.clone() }, 1);
     hold(Case { load: 1.0, ..case }, 1);
 }
--- a/tests/cold_fleet/world.rs
+++ b/tests/cold_fleet/world.rs
@@ -29,7 +29,7 @@
 #[derive(Clone)]
 pub struct Case {
     pub name: &'static str,
-    pub rule: ColdRule,
+    pub rule: SlowStart,
     pub coordinators: usize,
     pub nodes: usize,
     /// Parts a second that a warm data node serves.
@@ -50,7 +50,7 @@
     pub failing: f64,
     /// How much more comes in from three to eight seconds after the first start.
     pub burst: f64,
-    pub reports: Reports,
+    pub reports: LoadReporting,
     /// How many data nodes each coordinator works with, if not with all.
     pub among: Option<usize>,
     /// How noisy the rates are that data nodes report; none where they report nothing.
@@ -101,17 +101,17 @@
 
 impl World {
     pub fn new(case: Case, seed: u64) -> World {
-        let class = Class { aim: 3.0, deadline: 6.0, ..crate::common::class() };
+        let class = Class { latency_objective: 3.0, deadline: 6.0, ..crate::common::class() };
         let settings = Settings {
             classes: vec![class],
             cells: 12,
             reach: 4,
             coordinators: case.coordinators as u32,
-            reports: case.reports,
-            most_tries: 4,
-            round: ROUND,
-            probes: true,
-            cold: Some(case.rule),
+            load_reporting: case.reports,
+            max_attempts: 4,
+            round_interval: ROUND,
+            health_checks: true,
+            slow_start: Some(case.rule),
             ..Settings::default()
         };
         let rng = Pcg64Mcg::seed_from_u64(seed ^ 0xc01d);
@@ -404,6 +404,6 @@
     /// What share of its capacity a data node has at least.
     pub fn share(&self, replica: ReplicaId, at: f64) -> f64 {
         let (rule, born) = (self.case.rule, self.nodes[replica.0 as usize].born);
-        (rule.from + (1.0 - rule.from) * ((at - born) / rule.ramp).max(0.0)).min(1.0)
+        (rule.initial_capacity + (1.0 - rule.initial_capacity) * ((at - born) / rule.ramp).max(0.0)).min(1.0)
     }
 }
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -8,22 +8,22 @@
 use std::time::Duration;
 
 use fault_control::{Plan, PLAN_VARIABLE};
-use marlgap::balancer::interface::{Class, ClassId, Effect, ShardId, TenantId};
+use marlgap::balancer::interface::{Class, ClassId, Idempotency, ShardId, TenantId};
 use marlgap::coordinator::{Protection, Query};
 
 /// A class of a single step that needs all its parts, each safe to repeat.
 pub fn class() -> Class {
     Class {
-        aim: 1.0,
+        latency_objective: 1.0,
         deadline: 4.0,
-        worth: 1.0,
-        late_worth: 0.3,
-        effect: Effect::Safe,
-        need: 1.0,
-        floor: 1.0,
-        partial: 0.9,
-        second_step: 0,
-        copies: true,
+        priority_weight: 1.0,
+        late_weight: 0.3,
+        idempotency: Idempotency::Idempotent,
+        target_coverage: 1.0,
+        min_coverage: 1.0,
+        partial_weight: 0.9,
+        second_step_parts: 0,
+        hedging: true,
     }
 }
 
--- a/tests/decisions/faults.rs
+++ b/tests/decisions/faults.rs
@@ -4,7 +4,7 @@
 /// Guards against sends for a part whose end was told, also of a query that still waits for room.
 #[test]
 fn a_part_whose_end_was_told_is_never_sent() {
-    let mut rig = Rig::new(Settings { coordinators: 50, most_tries: 4, ..settings() }, 2);
+    let mut rig = Rig::new(Settings { coordinators: 50, max_attempts: 4, ..settings() }, 2);
     rig.query(8);
     assert!(sends(&rig.query(1)).is_empty(), "waits for room");
     let (part, replica, report) = (PartId(rig.next + 1), ReplicaId(0), None);
@@ -82,7 +82,7 @@
 #[test]
 fn first_sends_after_a_pause_that_go_unanswered_renew_the_connection() {
     let run = |paused_only: bool| {
-        let mut rig = spread_rig(Settings { most_tries: 1, ..settings() }, 8);
+        let mut rig = spread_rig(Settings { max_attempts: 1, ..settings() }, 8);
         let mut renewed = 0;
         for _ in 0..12 {
             for step in 0..2 {
@@ -150,10 +150,10 @@
 /// Guards against many co-ordinators that each allow themselves one part: all together keep the allowance.
 #[test]
 fn many_co_ordinators_together_spare_a_cold_replica() {
-    let cold = ColdRule { from: 0.2, ramp: 10.0, multiple: 2.0, after: 1.0 };
+    let cold = SlowStart { initial_capacity: 0.2, ramp: 10.0, overload_factor: 2.0, overload_window: 1.0 };
     let n = 40;
     let fleet = |seed| {
-        let settings = Settings { cold: Some(cold), coordinators: n, ..settings() };
+        let settings = Settings { slow_start: Some(cold), coordinators: n, ..settings() };
         Balancer::new(settings, seed).expect("served")
     };
     let mut all: Vec<Balancer> = (0..u64::from(n)).map(fleet).collect();
@@ -221,9 +221,11 @@
     }
     // A warm replica bears about 40 / 3 parts a second; cold it may get twice its present share of that.
     for start in &to_cold {
-        let sent = to_cold.iter().filter(|t| (*start..*start + cold.after).contains(*t)).count() as f64;
-        let capacity = cold.from + (1.0 - cold.from) * ((start + cold.after - 20.0) / cold.ramp).min(1.0);
-        let allowed = cold.multiple * capacity * f64::from(n) / 3.0;
+        let sent =
+            to_cold.iter().filter(|t| (*start..*start + cold.overload_window).contains(*t)).count() as f64;
+        let capacity = cold.initial_capacity
+            + (1.0 - cold.initial_capacity) * ((start + cold.overload_window - 20.0) / cold.ramp).min(1.0);
+        let allowed = cold.overload_factor * capacity * f64::from(n) / 3.0;
         assert!(sent <= 1.5 * allowed + 2.0, "{sent} sent from {start}, {allowed} allowed");
     }
     assert!(!to_cold.is_empty() && to_warm > 100, "{} {to_warm}", to_cold.len());
@@ -266,8 +268,8 @@
 /// all its parts, and keep the others out.
 #[test]
 fn a_query_on_probation_begins_another_part_when_the_first_is_lost() {
-    let partly = Class { floor: 0.8, partial: 0.8, ..class() };
-    let mut rig = spread_rig(Settings { classes: vec![partly], most_tries: 2, ..settings() }, 20);
+    let partly = Class { min_coverage: 0.8, partial_weight: 0.8, ..class() };
+    let mut rig = spread_rig(Settings { classes: vec![partly], max_attempts: 2, ..settings() }, 20);
     rig.query(1);
     rig.end(0, Outcome::Reset, None);
     rig.out.clear();
@@ -320,7 +322,7 @@
 #[test]
 fn a_query_of_a_hundred_parts_is_refused_where_one_of_a_few_would_still_be_in_time() {
     let wide = |parts: u32| {
-        let mut rig = Rig::new(Settings { second_copies: false, ..settings() }, 8);
+        let mut rig = Rig::new(Settings { hedging: false, ..settings() }, 8);
         rig.query(40);
         rig.wait(0.34);
         while !rig.out.is_empty() {
--- a/tests/decisions/health.rs
+++ b/tests/decisions/health.rs
@@ -112,8 +112,8 @@
 
 #[test]
 fn a_cold_replica_gets_its_share_only_also_after_our_own_restart() {
-    let cold = ColdRule { from: 0.2, ramp: 10.0, multiple: 2.0, after: 1.0 };
-    let mut rig = Rig::new(Settings { cold: Some(cold), coordinators: 3, ..settings() }, 2);
+    let cold = SlowStart { initial_capacity: 0.2, ramp: 10.0, overload_factor: 2.0, overload_window: 1.0 };
+    let mut rig = Rig::new(Settings { slow_start: Some(cold), coordinators: 3, ..settings() }, 2);
     let young = Endpoint { started: Some(rig.now), ..listed(0, 0) };
     rig.tell(&[Event::Endpoints { update: EndpointUpdate::Cached, endpoints: vec![young, listed(1, 0)] }]);
     let mut times = Vec::new();
--- a/tests/decisions/main.rs
+++ b/tests/decisions/main.rs
@@ -12,7 +12,12 @@
 use common::class;
 
 fn settings() -> Settings {
-    Settings { classes: vec![class()], reports: Reports::Inline, most_tries: 4, ..Settings::default() }
+    Settings {
+        classes: vec![class()],
+        load_reporting: LoadReporting::Inline,
+        max_attempts: 4,
+        ..Settings::default()
+    }
 }
 
 fn listed(replica: u64, cell: u16) -> Endpoint {
@@ -165,7 +170,7 @@
 
 #[test]
 fn parts_that_arrive_together_share_a_call() {
-    let mut rig = Rig::new(Settings { per_call: 4, ..settings() }, 3);
+    let mut rig = Rig::new(Settings { max_parts_per_call: 4, ..settings() }, 3);
     rig.serve(|_| Outcome::Succeeded);
     let sent = sends(&rig.query(4));
     assert!(sent.iter().all(|r| *r == sent[0]), "{sent:?}");
@@ -211,7 +216,7 @@
 
 #[test]
 fn refusals_do_not_latch_after_an_overload() {
-    let mut rig = Rig::new(Settings { most_tries: 1, ..settings() }, 2);
+    let mut rig = Rig::new(Settings { max_attempts: 1, ..settings() }, 2);
     let mut refused = false;
     for _ in 0..20 {
         refused = refused || sends(&rig.query(16)).is_empty();
@@ -227,7 +232,7 @@
 
 #[test]
 fn a_query_that_cannot_succeed_ends_at_once_with_advice() {
-    let mut rig = Rig::new(Settings { most_tries: 1, retry_after: Some(0.5), ..settings() }, 2);
+    let mut rig = Rig::new(Settings { max_attempts: 1, retry_after: Some(0.5), ..settings() }, 2);
     rig.query(1);
     let actions = rig.end(0, Outcome::Error, None);
     assert!(actions.contains(&Action::Reject { query: QueryId(100), retry_after: Some(0.5) }), "{actions:?}");
@@ -235,8 +240,8 @@
 
 #[test]
 fn a_partial_answer_goes_out_before_the_aim_and_is_not_marked_whole() {
-    let class = Class { floor: 0.5, ..class() };
-    let mut rig = Rig::new(Settings { classes: vec![class], most_tries: 1, ..settings() }, 2);
+    let class = Class { min_coverage: 0.5, ..class() };
+    let mut rig = Rig::new(Settings { classes: vec![class], max_attempts: 1, ..settings() }, 2);
     rig.query(2);
     rig.end(0, Outcome::Succeeded, Some(1.0));
     let actions = rig.wait(1.0);
@@ -246,7 +251,7 @@
 
 #[test]
 fn spare_parts_are_sent_only_when_needed() {
-    let class = Class { need: 0.5, floor: 0.5, ..class() };
+    let class = Class { target_coverage: 0.5, min_coverage: 0.5, ..class() };
     let mut rig = Rig::new(Settings { classes: vec![class], ..settings() }, 2);
     assert_eq!(sends(&rig.query(4)).len(), 2);
     assert_eq!(sends(&rig.end(0, Outcome::Error, None)).len(), 1);
@@ -254,7 +259,7 @@
 
 #[test]
 fn patience_that_jitters_by_a_tick_is_not_a_try_cut_short() {
-    let class = Class { floor: 0.5, ..class() };
+    let class = Class { min_coverage: 0.5, ..class() };
     let mut rig = Rig::new(Settings { classes: vec![class], ..settings() }, 2);
     for i in 0..10 {
         rig.next += 100;
@@ -293,8 +298,8 @@
 /// would lie in the past, and the answer would go out in part as soon as its floor is in.
 #[test]
 fn a_short_first_try_is_not_a_try_cut_short_where_repeats_are_marked() {
-    let class = Class { floor: 0.5, ..class() };
-    let mut rig = Rig::new(Settings { classes: vec![class], marks_retry: true, ..settings() }, 2);
+    let class = Class { min_coverage: 0.5, ..class() };
+    let mut rig = Rig::new(Settings { classes: vec![class], clients_mark_retries: true, ..settings() }, 2);
     for (n, (patience, repeat)) in [(4.0, false), (1.0, false), (1.0, true)].into_iter().enumerate() {
         let id = 100 * (n as u32 + 1);
         let (query, number, class, tenant) = (QueryId(id), QueryNumber(id), ClassId(0), TenantId(0));
@@ -355,11 +360,14 @@
 fn settings_that_cannot_be_served_are_refused() {
     let bad = |s: Settings| Balancer::new(s, 1).err().expect("refused").field;
     assert_eq!(bad(Settings { classes: vec![], ..settings() }), "classes");
-    assert_eq!(bad(Settings { classes: vec![Class { aim: f64::NAN, ..class() }], ..settings() }), "classes");
+    assert_eq!(
+        bad(Settings { classes: vec![Class { latency_objective: f64::NAN, ..class() }], ..settings() }),
+        "classes"
+    );
     assert_eq!(bad(Settings { classes: vec![Class { deadline: -1.0, ..class() }], ..settings() }), "classes");
     assert_eq!(bad(Settings { cells: 0, ..settings() }), "cells or reach");
-    assert_eq!(bad(Settings { most_tries: 0, ..settings() }), "most_tries");
-    assert_eq!(bad(Settings { round: f64::INFINITY, ..settings() }), "round");
+    assert_eq!(bad(Settings { max_attempts: 0, ..settings() }), "most_tries");
+    assert_eq!(bad(Settings { round_interval: f64::INFINITY, ..settings() }), "round");
 }
 
 /// Parts of a query on shards of their own, one replica each: what is sent says how far the query spread.
--- a/tests/decisions/seldom.rs
+++ b/tests/decisions/seldom.rs
@@ -19,7 +19,7 @@
 
 impl Ring {
     fn new(settings: Settings) -> Ring {
-        let class = Class { aim: 1.0, deadline: 4.0, ..class() };
+        let class = Class { latency_objective: 1.0, deadline: 4.0, ..class() };
         let settings = Settings { classes: vec![class], cells: RING, reach: 4, ..settings };
         let mut rig = Rig::new(settings, 0);
         let entries = (0..RING).map(|n| listed(u64::from(n), n as u16)).collect();
--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -46,7 +46,7 @@
 
 /// As on the bench's days at size.
 fn class() -> Class {
-    Class { aim: 0.5, deadline: 1.3, ..common::class() }
+    Class { latency_objective: 0.5, deadline: 1.3, ..common::class() }
 }
 
 fn told(coordinators: usize, nodes: usize) -> Settings {
@@ -55,11 +55,16 @@
         cells: nodes as u32,
         reach: 4,
         coordinators: coordinators as u32,
-        reports: Reports::Inline,
-        most_tries: 4,
-        marks_retry: true,
-        round: 0.001,
-        cold: Some(ColdRule { from: 0.15, ramp: 17.0, multiple: 2.5, after: 1.0 }),
+        load_reporting: LoadReporting::Inline,
+        max_attempts: 4,
+        clients_mark_retries: true,
+        round_interval: 0.001,
+        slow_start: Some(SlowStart {
+            initial_capacity: 0.15,
+            ramp: 17.0,
+            overload_factor: 2.5,
+            overload_window: 1.0,
+        }),
         ..Settings::default()
     }
 }
@@ -201,7 +206,7 @@
     fn in_time(&self, since: f64) -> f64 {
         let latest = self.now - 1.0;
         let all: Vec<_> = self.asked.values().filter(|a| a.0 >= since && a.0 < latest).collect();
-        let good = all.iter().filter(|a| a.1.is_some_and(|t| t - a.0 <= class().aim)).count();
+        let good = all.iter().filter(|a| a.1.is_some_and(|t| t - a.0 <= class().latency_objective)).count();
         good as f64 / all.len().max(1) as f64
     }
 }
--- a/tests/foresight/fleet.rs
+++ b/tests/foresight/fleet.rs
@@ -4,7 +4,7 @@
 use std::collections::{BTreeMap, VecDeque};
 use std::rc::Rc;
 
-use marlgap::balancer::interface::{Class, ColdRule, Effect, ReplicaId, ZoneId};
+use marlgap::balancer::interface::{Class, Idempotency, ReplicaId, SlowStart, ZoneId};
 use marlgap::cluster::MemberId;
 use marlgap::topology_forecast::forecast::Given;
 use marlgap::topology_forecast::{
@@ -65,20 +65,25 @@
 
 pub fn given(shape: &Shape, queues_told: bool) -> Given {
     let class = Class {
-        aim: 0.08,
+        latency_objective: 0.08,
         deadline: 2.0,
-        worth: 1.0,
-        late_worth: 0.0,
-        effect: Effect::Safe,
-        need: 1.0,
-        floor: 1.0,
-        partial: 1.0,
-        second_step: 0,
-        copies: false,
+        priority_weight: 1.0,
+        late_weight: 0.0,
+        idempotency: Idempotency::Idempotent,
+        target_coverage: 1.0,
+        min_coverage: 1.0,
+        partial_weight: 1.0,
+        second_step_parts: 0,
+        hedging: false,
     };
     Given {
         classes: vec![class],
-        cold: Some(ColdRule { from: 0.25, ramp: 10.0, multiple: 3.0, after: 2.0 }),
+        cold: Some(SlowStart {
+            initial_capacity: 0.25,
+            ramp: 10.0,
+            overload_factor: 3.0,
+            overload_window: 2.0,
+        }),
         cold_now: Default::default(),
         coordinators: { names(shape).into_iter().zip(0u8..) }.map(|(n, i)| (n, ZoneId(i % 3))).collect(),
         connections: 4,
--- a/tests/recorded.rs
+++ b/tests/recorded.rs
@@ -20,9 +20,9 @@
         classes: vec![class()],
         cells: 3,
         reach: 2,
-        reports: Reports::Inline,
-        round: 0.01,
-        most_tries: 4,
+        load_reporting: LoadReporting::Inline,
+        round_interval: 0.01,
+        max_attempts: 4,
         retry_after: Some(2.0),
         ..Settings::default()
     };
@@ -51,44 +51,50 @@
 
 /// The streams: name, the hash of all actions as recorded, and how the plan differs from the common one.
 type Stream = (&'static str, u64, fn(&mut Plan));
-const COLD: ColdRule = ColdRule { from: 0.2, ramp: 12.0, multiple: 1.5, after: 1.0 };
+const COLD: SlowStart =
+    SlowStart { initial_capacity: 0.2, ramp: 12.0, overload_factor: 1.5, overload_window: 1.0 };
 const STREAMS: &[Stream] = &[
     ("one step", 0x7cef_66c9_545b_30b3, |_| ()),
     ("a second step of one and of three", 0xfac4_2d28_c03d_4bea, |p| {
-        let (one, three) =
-            (Class { second_step: 1, ..class() }, Class { second_step: 3, floor: 0.5, ..class() });
+        let (one, three) = (
+            Class { second_step_parts: 1, ..class() },
+            Class { second_step_parts: 3, min_coverage: 0.5, ..class() },
+        );
         (p.settings.classes, p.parts) = (vec![one, three], (3, 8));
     }),
     ("partial answers, worthless late", 0x49dc_2366_c58a_0d1e, |p| {
-        let part = Class { need: 0.8, floor: 0.4, late_worth: 0.0, ..class() };
+        let part = Class { target_coverage: 0.8, min_coverage: 0.4, late_weight: 0.0, ..class() };
         (p.settings.classes, p.parts, p.churn, p.faults) = (vec![part], (5, 10), 2.0, 0.03);
     }),
     ("unsafe, keyed and safe classes", 0xda92_c0a4_8b51_0c12, |p| {
-        let keyed = Class { effect: Effect::Keyed { window: 0.8 }, ..class() };
-        let alone = Class { copies: false, ..class() };
-        p.settings.classes = vec![class(), keyed, Class { effect: Effect::Unsafe, ..class() }, alone];
+        let keyed = Class { idempotency: Idempotency::Keyed { window: 0.8 }, ..class() };
+        let alone = Class { hedging: false, ..class() };
+        p.settings.classes =
+            vec![class(), keyed, Class { idempotency: Idempotency::NonIdempotent, ..class() }, alone];
         (p.churn, p.faults) = (2.0, 0.02);
     }),
     ("cold rule", 0x7b82_8998_6eaf_6382, |p| {
-        (p.settings.cold, p.settings.coordinators, p.churn, p.servers) = (Some(COLD), 3, 3.0, 24)
+        (p.settings.slow_start, p.settings.coordinators, p.churn, p.servers) = (Some(COLD), 3, 3.0, 24)
     }),
     ("told budget, overload", 0xefd8_c3f3_78d2_08b0, |p| {
-        p.settings.budget = Some(Budget { free: 2.0, share: 0.1, window: 3.0 });
+        p.settings.retry_budget = Some(RetryBudget { free: 2.0, share: 0.1, window: 3.0 });
         (p.queries, p.burst, p.full, p.settings.retry_after) = (60.0, 4.0, 6, None);
     }),
     ("tenants, overload", 0x8b9d_c93c_5a75_6bfc, |p| {
         p.settings.tenants = vec![Tenant { quota: 5.0 }, Tenant { quota: 40.0 }, Tenant { quota: f64::MAX }];
-        (p.settings.over_share_worth, p.queries, p.burst, p.service) = (0.2, 60.0, 5.0, 0.08);
-        (p.settings.classes, p.settings.round) = (vec![class(), Class { worth: 3.0, ..class() }], 0.005);
+        (p.settings.over_quota_weight, p.queries, p.burst, p.service) = (0.2, 60.0, 5.0, 0.08);
+        (p.settings.classes, p.settings.round_interval) =
+            (vec![class(), Class { priority_weight: 3.0, ..class() }], 0.005);
     }),
     ("probes", 0xd561_1d0a_dfa5_6c83, |p| {
-        (p.settings.reports, p.settings.probes, p.queries) = (Reports::OnProbe, true, 60.0)
+        (p.settings.load_reporting, p.settings.health_checks, p.queries) =
+            (LoadReporting::OnHealthCheck, true, 60.0)
     }),
     ("asked for the list", 0x1077_bd74_ce89_7132, |p| {
         (p.settings.discovery, p.churn) = (Discovery::Ask { within: 10.0 }, 4.0)
     }),
     ("no reports", 0xd41b_3122_6e94_8eb7, |p| {
-        (p.settings.reports, p.settings.coordinators) = (Reports::Off, 2)
+        (p.settings.load_reporting, p.settings.coordinators) = (LoadReporting::Off, 2)
     }),
     ("zones lost", 0xed62_c53d_ae2e_4cbd, |p| {
         (p.servers, p.zones, p.rooms, p.queries, p.settings.zone) = (80, 16, 0.3, 90.0, ZoneId(3));
@@ -96,22 +102,22 @@
     }),
     ("seldom met", 0xf6d6_77f6_7014_f862, |p| {
         (p.servers, p.zones, p.queries, p.settings.cells, p.settings.reach) = (400, 4, 15.0, 40, 2);
-        (p.churn, p.rooms, p.settings.cold, p.settings.round) = (12.0, 0.1, Some(COLD), 0.02);
+        (p.churn, p.rooms, p.settings.slow_start, p.settings.round_interval) = (12.0, 0.1, Some(COLD), 0.02);
     }),
     ("wide queries, deaths", 0x3fe8_543b_cc0d_3014, |p| {
         (p.parts, p.deadly, p.queries, p.servers, p.settings.cells) = ((1, 40), 0.03, 8.0, 36, 9);
     }),
-    ("drains and returns", 0xc2fc_813a_24c3_9d1b, |p| (p.churn, p.settings.round) = (12.0, 0.03)),
+    ("drains and returns", 0xc2fc_813a_24c3_9d1b, |p| (p.churn, p.settings.round_interval) = (12.0, 0.03)),
     ("left by clients, numbers used again, shared calls", 0xb613_ea3e_7823_b57c, |p| {
-        (p.left, p.reused, p.settings.per_call, p.parts) = (0.2, 0.05, 4, (6, 16));
-        p.settings.marks_retry = true;
+        (p.left, p.reused, p.settings.max_parts_per_call, p.parts) = (0.2, 0.05, 4, (6, 16));
+        p.settings.clients_mark_retries = true;
     }),
     ("streamed", 0x3d72_2496_52d4_e77a, |p| (p.streamed, p.churn, p.faults) = (0.4, 2.0, 0.02)),
     ("nothing called off, one attempt at a time", 0xf000_db2f_0057_658f, |p| {
-        (p.settings.cancel, p.settings.second_copies, p.churn, p.faults) = (false, false, 2.0, 0.02);
+        (p.settings.cancellation, p.settings.hedging, p.churn, p.faults) = (false, false, 2.0, 0.02);
     }),
     ("two tries, nothing called off", 0x75c3_0691_57f1_6488, |p| {
-        (p.settings.cancel, p.settings.most_tries, p.churn) = (false, 2, 3.0)
+        (p.settings.cancellation, p.settings.max_attempts, p.churn) = (false, 2, 3.0)
     }),
     ("idle connections dropped unseen", 0x2fb9_942b_3cae_dc1d, |p| {
         (p.reaps, p.queries, p.servers, p.churn) = (true, 10.0, 24, 0.0)
@@ -123,14 +129,14 @@
     }),
     ("connections that break", 0x5010_a858_c4f1_bf75, |p| (p.drops, p.churn, p.queries) = (0.4, 0.0, 60.0)),
     ("patience that varies, wide queries, slow", 0x84df_614d_7c5c_ad3f, |p| {
-        let hurried = Class { aim: 0.4, deadline: 0.6, late_worth: 0.0, ..class() };
+        let hurried = Class { latency_objective: 0.4, deadline: 0.6, late_weight: 0.0, ..class() };
         (p.settings.classes, p.jitter, p.parts, p.service) = (vec![hurried], 0.2, (1, 60), 0.05);
         (p.servers, p.settings.cells, p.full, p.burst) = (60, 12, 40, 4.0);
     }),
     ("seldom met and slow", 0xd851_0c0a_e28c_ec11, |p| {
-        let hurried = Class { aim: 0.35, late_worth: 0.0, ..class() };
+        let hurried = Class { latency_objective: 0.35, late_weight: 0.0, ..class() };
         (p.settings.classes, p.servers, p.queries, p.parts) = (vec![hurried], 400, 3.0, (1, 40));
-        (p.settings.cells, p.service, p.churn, p.settings.round) = (40, 0.1, 30.0, 0.02);
+        (p.settings.cells, p.service, p.churn, p.settings.round_interval) = (40, 0.1, 30.0, 0.02);
     }),
 ];
 
--- a/tests/recorded/plans.rs
+++ b/tests/recorded/plans.rs
@@ -6,7 +6,8 @@
 use super::class;
 use super::world::Plan;
 
-pub const COLD: ColdRule = ColdRule { from: 0.2, ramp: 6.0, multiple: 1.5, after: 1.0 };
+pub const COLD: SlowStart =
+    SlowStart { initial_capacity: 0.2, ramp: 6.0, overload_factor: 1.5, overload_window: 1.0 };
 
 /// Half the parts of a wide query at a thousand servers, a hundred cells of ten.
 pub fn base() -> Plan {
@@ -14,9 +15,9 @@
         classes: vec![class()],
         cells: 100,
         reach: 2,
-        reports: Reports::Inline,
-        round: 0.01,
-        most_tries: 4,
+        load_reporting: LoadReporting::Inline,
+        round_interval: 0.01,
+        max_attempts: 4,
         retry_after: Some(2.0),
         ..Settings::default()
     };
@@ -68,50 +69,50 @@
     plan.zones = often([1.0, 2.0, 4.0, 16.0]) as u8;
     plan.parts = (1, often([1.0, 4.0, 20.0, 60.0]) as u64);
     let settings = &mut plan.settings;
-    settings.round = often([0.005, 0.01, 0.02, 0.03]);
+    settings.round_interval = often([0.005, 0.01, 0.02, 0.03]);
     settings.cells = often([1.0, 3.0, 6.0, 12.0]) as u32;
     settings.reach = often([1.0, 2.0, 2.0, 3.0]) as u32;
-    settings.per_call = often([1.0, 1.0, 1.0, 4.0]) as u32;
+    settings.max_parts_per_call = often([1.0, 1.0, 1.0, 4.0]) as u32;
     settings.coordinators = often([1.0, 1.0, 2.0, 5.0]) as u32;
-    settings.most_tries = often([1.0, 2.0, 4.0, 6.0]) as u32;
-    settings.marks_retry = often([0.0, 0.0, 0.0, 1.0]) > 0.0;
-    settings.cancel = often([0.0, 1.0, 1.0, 1.0]) > 0.0;
-    settings.second_copies = often([0.0, 1.0, 1.0, 1.0]) > 0.0;
-    settings.probes = often([0.0, 1.0, 1.0, 1.0]) > 0.0;
+    settings.max_attempts = often([1.0, 2.0, 4.0, 6.0]) as u32;
+    settings.clients_mark_retries = often([0.0, 0.0, 0.0, 1.0]) > 0.0;
+    settings.cancellation = often([0.0, 1.0, 1.0, 1.0]) > 0.0;
+    settings.hedging = often([0.0, 1.0, 1.0, 1.0]) > 0.0;
+    settings.health_checks = often([0.0, 1.0, 1.0, 1.0]) > 0.0;
     settings.retry_after = Some(2.0).filter(|_| often([0.0, 1.0, 1.0, 1.0]) > 0.0);
     settings.zone = ZoneId(often([0.0, 0.0, 1.0, 3.0]) as u8);
-    settings.reports = match often([0.0, 0.0, 1.0, 2.0]) as u32 {
-        0 => Reports::Inline,
-        1 => Reports::OnProbe,
-        _ => Reports::Off,
+    settings.load_reporting = match often([0.0, 0.0, 1.0, 2.0]) as u32 {
+        0 => LoadReporting::Inline,
+        1 => LoadReporting::OnHealthCheck,
+        _ => LoadReporting::Off,
     };
     let ramp = often([0.0, 0.0, 3.0, 12.0]);
-    settings.cold = (ramp > 0.0).then_some(ColdRule { ramp, ..COLD });
+    settings.slow_start = (ramp > 0.0).then_some(SlowStart { ramp, ..COLD });
     let free = often([-1.0, -1.0, 2.0, 10.0]);
-    settings.budget =
-        (free >= 0.0).then_some(Budget { free, share: 0.1, window: often([1.0, 3.0, 5.0, 9.0]) });
+    settings.retry_budget =
+        (free >= 0.0).then_some(RetryBudget { free, share: 0.1, window: often([1.0, 3.0, 5.0, 9.0]) });
     if often([0.0, 0.0, 0.0, 1.0]) > 0.0 {
         settings.discovery = Discovery::Ask { within: 10.0 };
     }
     let kinds = 1 + often([0.0, 0.0, 1.0, 2.0]) as usize;
     settings.classes = (0..kinds)
         .map(|_| Class {
-            need: often([0.7, 1.0, 1.0, 1.0]),
-            floor: often([0.3, 0.6, 1.0, 1.0]),
-            aim: often([0.3, 0.6, 1.0, 1.0]),
-            late_worth: often([0.0, 0.3, 0.3, 0.3]),
-            second_step: often([0.0, 0.0, 1.0, 3.0]) as u32,
-            copies: often([0.0, 1.0, 1.0, 1.0]) > 0.0,
-            effect: match often([0.0, 0.0, 0.0, 1.0]) as u32 {
-                0 => Effect::Safe,
-                _ => Effect::Keyed { window: 0.8 },
+            target_coverage: often([0.7, 1.0, 1.0, 1.0]),
+            min_coverage: often([0.3, 0.6, 1.0, 1.0]),
+            latency_objective: often([0.3, 0.6, 1.0, 1.0]),
+            late_weight: often([0.0, 0.3, 0.3, 0.3]),
+            second_step_parts: often([0.0, 0.0, 1.0, 3.0]) as u32,
+            hedging: often([0.0, 1.0, 1.0, 1.0]) > 0.0,
+            idempotency: match often([0.0, 0.0, 0.0, 1.0]) as u32 {
+                0 => Idempotency::Idempotent,
+                _ => Idempotency::Keyed { window: 0.8 },
             },
             ..class()
         })
         .collect();
     if often([0.0, 0.0, 0.0, 1.0]) > 0.0 {
         settings.tenants = vec![Tenant { quota: 2.0 }, Tenant { quota: 20.0 }];
-        settings.over_share_worth = 0.2;
+        settings.over_quota_weight = 0.2;
     }
     plan
 }
--- a/tests/recorded/world.rs
+++ b/tests/recorded/world.rs
@@ -100,7 +100,7 @@
 
     /// Whether something happens that does so at this rate a second.
     fn comes(&mut self, rate: f64) -> bool {
-        self.unit() < rate * self.plan.settings.round
+        self.unit() < rate * self.plan.settings.round_interval
     }
 
     fn below(&mut self, n: usize) -> usize {
@@ -124,7 +124,7 @@
 
     /// One round: what befalls the world, what is due of it, and what the module does.
     pub fn round(&mut self) {
-        self.now += self.plan.settings.round;
+        self.now += self.plan.settings.round_interval;
         self.befall();
         let mut events = Vec::new();
         while let Some((at, event)) = self.due.pop_first() {
@@ -200,8 +200,11 @@
         let patience = kind.deadline * if cut { 0.4 } else { 1.0 };
         let varies = if self.plan.jitter > 0.0 { self.plan.jitter * self.unit() } else { 0.0 };
         let (patience, (least, most)) = (patience * (1.0 - varies), self.plan.parts);
-        let parts =
-            if kind.effect == Effect::Unsafe { 1 } else { least + self.rng.next_u64() % (most - least + 1) };
+        let parts = if kind.idempotency == Idempotency::NonIdempotent {
+            1
+        } else {
+            least + self.rng.next_u64() % (most - least + 1)
+        };
         events.push(Event::Query {
             query,
             number,
@@ -248,7 +251,7 @@
                 self.servers[n].held -= 1;
                 *part_finished |= *outcome == Outcome::Succeeded || !self.tries.contains_key(part);
                 *elapsed = self.now - sent;
-                let inline = self.plan.settings.reports == Reports::Inline;
+                let inline = self.plan.settings.load_reporting == LoadReporting::Inline;
                 *report = inline.then(|| self.report(n));
             }
             Event::ResponseStarted { part, attempt, elapsed: took, .. } => {
@@ -311,7 +314,7 @@
             }
             Action::Answer { query, .. } => {
                 let open = self.open.get_mut(&query).expect("answered once");
-                let step = self.plan.settings.classes[usize::from(open.class.0)].second_step as usize;
+                let step = self.plan.settings.classes[usize::from(open.class.0)].second_step_parts as usize;
                 let best: Vec<_> = open.parts.iter().map(|p| p.1).take(step).collect();
                 if open.second || best.is_empty() {
                     self.end(query);
--- a/tests/recorded_large.rs
+++ b/tests/recorded_large.rs
@@ -17,28 +17,36 @@
 /// Name, rounds, the hash of all actions as recorded, and how the plan differs from the common one.
 type Stream = (&'static str, u32, u64, fn(&mut Plan));
 const LARGE: &[Stream] = &[
-    ("wide, cold rule", 1000, 0xdc49_dc18_c172_bfd8, |p| p.settings.cold = Some(COLD)),
+    ("wide, cold rule", 1000, 0xdc49_dc18_c172_bfd8, |p| p.settings.slow_start = Some(COLD)),
     ("wide, nothing goes wrong", 600, 0x87c0_264a_48c6_07c7, |p| (p.churn, p.faults) = (0.0, 0.0)),
     ("partial, second step, probes, zones lost", 800, 0x51a6_c769_b271_eb7a, |p| {
-        let part = Class { need: 0.9, floor: 0.5, late_worth: 0.0, second_step: 10, ..class() };
-        (p.settings.classes, p.settings.reports, p.settings.probes) = (vec![part], Reports::OnProbe, true);
+        let part = Class {
+            target_coverage: 0.9,
+            min_coverage: 0.5,
+            late_weight: 0.0,
+            second_step_parts: 10,
+            ..class()
+        };
+        (p.settings.classes, p.settings.load_reporting, p.settings.health_checks) =
+            (vec![part], LoadReporting::OnHealthCheck, true);
         (p.rooms, p.zones) = (0.3, 25);
     }),
     ("eleven thousand, no reports, asked for the list", 500, 0x2ef1_d205_6ed8_d44d, |p| {
         (p.servers, p.settings.cells, p.zones, p.churn, p.queries) = (11_000, 410, 16, 60.0, 4.0);
-        (p.settings.reports, p.settings.discovery) = (Reports::Off, Discovery::Ask { within: 10.0 });
+        (p.settings.load_reporting, p.settings.discovery) =
+            (LoadReporting::Off, Discovery::Ask { within: 10.0 });
     }),
     ("eleven thousand, cold rule, stalls", 500, 0xc1fc_dafd_33d5_39ef, |p| {
         (p.servers, p.settings.cells, p.zones, p.churn, p.queries) = (11_000, 410, 16, 60.0, 4.0);
-        (p.settings.cold, p.stalls) = (Some(COLD), 0.2);
+        (p.settings.slow_start, p.stalls) = (Some(COLD), 0.2);
     }),
     ("overload, tenants, told budget", 800, 0xfd2e_56a0_374b_6516, |p| {
         p.settings.tenants = vec![Tenant { quota: 1.0 }, Tenant { quota: 4.0 }, Tenant { quota: f64::MAX }];
-        p.settings.budget = Some(Budget { free: 2.0, share: 0.1, window: 3.0 });
-        (p.settings.over_share_worth, p.queries, p.burst, p.service) = (0.2, 12.0, 4.0, 0.1);
+        p.settings.retry_budget = Some(RetryBudget { free: 2.0, share: 0.1, window: 3.0 });
+        (p.settings.over_quota_weight, p.queries, p.burst, p.service) = (0.2, 12.0, 4.0, 0.1);
     }),
     ("deadly, streamed, left, numbers used again", 800, 0x8065_38ae_a67c_43bd, |p| {
-        let keyed = Class { effect: Effect::Keyed { window: 0.8 }, ..class() };
+        let keyed = Class { idempotency: Idempotency::Keyed { window: 0.8 }, ..class() };
         (p.settings.classes, p.deadly, p.streamed, p.left) = (vec![keyed, class()], 0.1, 0.2, 0.2);
         (p.reused, p.drops, p.churn) = (0.1, 0.5, 20.0);
     }),
--- a/tests/round_cost/main.rs
+++ b/tests/round_cost/main.rs
@@ -47,14 +47,14 @@
 
 impl Busy {
     fn new(replicas: u32, queries: u32, parts: u32) -> Busy {
-        let class = Class { aim: 50.0, deadline: 100.0, copies: false, ..class() };
+        let class = Class { latency_objective: 50.0, deadline: 100.0, hedging: false, ..class() };
         let settings = Settings {
             classes: vec![class],
             cells: replicas / 4,
-            reports: Reports::Inline,
-            round: 0.001,
-            most_tries: 1,
-            cold: Some(plans::COLD),
+            load_reporting: LoadReporting::Inline,
+            round_interval: 0.001,
+            max_attempts: 1,
+            slow_start: Some(plans::COLD),
             ..Settings::default()
         };
         let balancer = Balancer::new(settings, 5).expect("served");
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -67,51 +67,57 @@
         let two_step = rng.chance(40);
         let floor = if rng.chance(50) { 0.4 } else { 1.0 };
         Class {
-            aim: 0.3 + rng.unit(),
+            latency_objective: 0.3 + rng.unit(),
             deadline: 2.0,
-            worth: 1.0 + rng.unit(),
-            late_worth: if rng.chance(50) { 0.0 } else { 0.3 },
-            effect: match (i + rng.below(3)) % 3 {
-                0 => Effect::Safe,
-                1 => Effect::Keyed { window: 0.4 + rng.unit() },
-                _ => Effect::Unsafe,
+            priority_weight: 1.0 + rng.unit(),
+            late_weight: if rng.chance(50) { 0.0 } else { 0.3 },
+            idempotency: match (i + rng.below(3)) % 3 {
+                0 => Idempotency::Idempotent,
+                1 => Idempotency::Keyed { window: 0.4 + rng.unit() },
+                _ => Idempotency::NonIdempotent,
             },
-            need: if floor >= 1.0 && rng.chance(30) { 0.67 } else { 1.0 },
-            floor: if rng.chance(50) { floor } else { floor.min(0.67) },
-            partial: 0.9,
-            second_step: if two_step { 3 } else { 0 },
-            copies: true,
+            target_coverage: if floor >= 1.0 && rng.chance(30) { 0.67 } else { 1.0 },
+            min_coverage: if rng.chance(50) { floor } else { floor.min(0.67) },
+            partial_weight: 0.9,
+            second_step_parts: if two_step { 3 } else { 0 },
+            hedging: true,
         }
     });
     let mut classes: Vec<Class> = classes.collect();
     for class in &mut classes {
-        class.floor = class.floor.min(class.need);
+        class.min_coverage = class.min_coverage.min(class.target_coverage);
     }
     let cells = 1 + rng.below(5) as u32;
     Settings {
         classes,
         tenants: if rng.chance(50) { vec![Tenant { quota: 2.0 }; 2] } else { Vec::new() },
-        over_share_worth: 0.2,
+        over_quota_weight: 0.2,
         cells,
         reach: 1 + rng.below(u64::from(cells.min(3))) as u32,
-        per_call: 1 + rng.below(4) as u32,
+        max_parts_per_call: 1 + rng.below(4) as u32,
         zone: ZoneId(0),
-        marks_retry: false,
+        clients_mark_retries: false,
         coordinators: 1 + rng.below(3) as u32,
-        reports: [Reports::Inline, Reports::OnProbe, Reports::Off][rng.below(3) as usize],
+        load_reporting: [LoadReporting::Inline, LoadReporting::OnHealthCheck, LoadReporting::Off]
+            [rng.below(3) as usize],
         discovery: if rng.chance(50) { Discovery::Push } else { Discovery::Ask { within: 4.0 } },
-        cancel: rng.chance(60),
-        probes: rng.chance(60),
-        second_copies: rng.chance(60),
+        cancellation: rng.chance(60),
+        health_checks: rng.chance(60),
+        hedging: rng.chance(60),
         retry_after: rng.chance(50).then_some(0.5),
-        most_tries: 1 + rng.below(4) as u32,
-        round: 0.005,
-        budget: rng.chance(60).then(|| Budget {
+        max_attempts: 1 + rng.below(4) as u32,
+        round_interval: 0.005,
+        retry_budget: rng.chance(60).then(|| RetryBudget {
             free: rng.below(4) as f64,
             share: rng.below(3) as f64 / 10.0,
             window: 1.0 + rng.unit(),
         }),
-        cold: rng.chance(50).then_some(ColdRule { from: 0.2, ramp: 3.0, multiple: 2.0, after: 0.5 }),
+        slow_start: rng.chance(50).then_some(SlowStart {
+            initial_capacity: 0.2,
+            ramp: 3.0,
+            overload_factor: 2.0,
+            overload_window: 0.5,
+        }),
     }
 }
 
@@ -291,20 +297,22 @@
         let away = (u32::from(self.cells[&replica]) + cells - part.shard % cells) % cells;
         assert!(away < self.settings.reach, "only holders get a part");
         let out = part.tries.iter().filter(|t| t.outcome.is_none()).count();
-        assert!(out == 0 || self.settings.second_copies, "no second attempt beside one that is out");
+        assert!(out == 0 || self.settings.hedging, "no second attempt beside one that is out");
         let harmless = [Outcome::Rejected, Outcome::ConnectFailed, Outcome::NeverSent];
         let ran = part.tries.iter().filter(|t| t.outcome.is_none_or(|o| !harmless.contains(&o)));
         let first = ran.map(|t| t.sent).fold(f64::INFINITY, f64::min);
-        match class.effect {
-            Effect::Safe => {}
-            Effect::Keyed { window } => assert!(self.now <= first + window, "keyed repeat out of its window"),
-            Effect::Unsafe => assert_eq!(first, f64::INFINITY, "unsafe repeat"),
+        match class.idempotency {
+            Idempotency::Idempotent => {}
+            Idempotency::Keyed { window } => {
+                assert!(self.now <= first + window, "keyed repeat out of its window")
+            }
+            Idempotency::NonIdempotent => assert_eq!(first, f64::INFINITY, "unsafe repeat"),
         }
         part.tries.push(Try { replica, sent: self.now, outcome: None });
-        assert!(part.tries.len() <= self.settings.most_tries as usize, "too many tries");
+        assert!(part.tries.len() <= self.settings.max_attempts as usize, "too many tries");
         if part.tries.len() > 1 {
             self.extras.push(self.now);
-            if let Some(b) = self.settings.budget {
+            if let Some(b) = self.settings.retry_budget {
                 let within =
                     |times: &[f64]| times.iter().filter(|t| **t > self.now - b.window).count() as f64;
                 let allowed = b.free + b.share * within(&self.taken);
@@ -320,12 +328,12 @@
         let parts: Vec<_> = query.parts.iter().map(|p| &self.parts[p]).filter(|p| !p.over).collect();
         let share: f64 = parts.iter().filter(|p| p.served).map(|p| p.weight).sum();
         let second = query.first_whole.is_some();
-        let need = if second { 1.0 } else { class.need };
-        let floor = if class.floor < class.need { class.floor } else { need };
+        let need = if second { 1.0 } else { class.target_coverage };
+        let floor = if class.min_coverage < class.target_coverage { class.min_coverage } else { need };
         assert!(share >= floor - 1e-4, "an answer of {share} under the floor {floor}");
         assert!(!whole || (share >= need - 1e-4 && query.first_whole.unwrap_or(true)), "not whole");
         let parts = query.parts.clone();
-        if class.second_step > 0 && !second {
+        if class.second_step_parts > 0 && !second {
             query.first_whole = Some(whole);
             self.second.push(id);
         } else {
@@ -343,7 +351,10 @@
         let harmless = [Outcome::Rejected, Outcome::ConnectFailed, Outcome::NeverSent];
         let tries = query.parts.iter().flat_map(|p| &self.parts[p].tries);
         let ran = tries.filter(|t| t.outcome.is_none_or(|o| !harmless.contains(&o))).count();
-        assert!(!(refused && ran > 0 && query.class.effect == Effect::Unsafe), "refused what may have run");
+        assert!(
+            !(refused && ran > 0 && query.class.idempotency == Idempotency::NonIdempotent),
+            "refused what may have run"
+        );
         let parts = query.parts.clone();
         parts.iter().for_each(|p| self.parts.get_mut(p).expect("held").over = true);
     }
@@ -352,13 +363,13 @@
         match action {
             Action::Send { part, replica, .. } => self.sent(part.0, *replica),
             Action::Cancel { part, attempt } => {
-                assert!(self.settings.cancel, "cancel is not allowed");
+                assert!(self.settings.cancellation, "cancel is not allowed");
                 assert!(usize::from(*attempt) < self.parts[&part.0].tries.len(), "no such attempt");
             }
             Action::Answer { query, complete } => self.answered(query.0, *complete),
             Action::Reject { query, .. } => self.ended(query.0, true),
             Action::Fail { query } => self.ended(query.0, false),
-            Action::HealthCheck { .. } => assert!(self.settings.probes, "probes are not allowed"),
+            Action::HealthCheck { .. } => assert!(self.settings.health_checks, "probes are not allowed"),
             Action::CloseIdle { replica } => assert!(self.phases.contains_key(replica), "an unknown replica"),
             Action::Timer { after } => assert!((0.0..10.0).contains(after)),
             Action::Subscribe => assert_ne!(self.settings.discovery, Discovery::Push),
--- a/tests/settings.rs
+++ b/tests/settings.rs
@@ -194,22 +194,22 @@
 fn what_is_served_means_what_it_says() {
     let served = |pointer, value| start(&with(pointer, value)).expect("served");
     assert_eq!(
-        served("/Limits/MostTries", Some(json!(1000))).settings.most_tries,
+        served("/Limits/MostTries", Some(json!(1000))).settings.max_attempts,
         255,
         "what an attempt's number holds"
     );
     assert_eq!(served("/Limits/MaxRetryAfterS", Some(json!(0))).settings.retry_after, None, "no guidance");
     assert_eq!(served("/Limits/RetryAfter", Some(json!(false))).settings.retry_after, None);
     let class = |told: &Deployment, n: usize| told.settings.classes[n];
-    assert_eq!(class(&served("/Limits/Cancel", None), 1).effect, Effect::Keyed { window: 0.3 });
+    assert_eq!(class(&served("/Limits/Cancel", None), 1).idempotency, Idempotency::Keyed { window: 0.3 });
     // A repeat may go to any holder: where only some drop it, there is none.
     let zone = served("/Classes/1/DedupScope", Some(json!("zone")));
-    assert_eq!(class(&zone, 1).effect, Effect::Keyed { window: 0.0 });
+    assert_eq!(class(&zone, 1).idempotency, Idempotency::Keyed { window: 0.0 });
     // No answer holds less than the least share.
     let least = served("/FamilyInfo/LeastShare/1", Some(json!(0.8)));
-    assert_eq!((class(&least, 1).need, class(&least, 1).floor), (0.8, 0.8));
+    assert_eq!((class(&least, 1).target_coverage, class(&least, 1).min_coverage), (0.8, 0.8));
     // Either figure of the budget alone is one.
-    let alone = served("/Safety/RepeatRatio", None).settings.budget.expect("a budget");
+    let alone = served("/Safety/RepeatRatio", None).settings.retry_budget.expect("a budget");
     assert_eq!((alone.share, alone.free), (0.0, 3.0));
     assert_eq!(served("/Tenants", None).over_sockets().tenants, Vec::new());
     let pushed = served("/Discovery", Some(json!("push")));
--- a/tests/settings_effects.rs
+++ b/tests/settings_effects.rs
@@ -51,8 +51,12 @@
 /// A part of such a class; its first attempt has come to this end, or is out until a second one is beside it.
 fn two_attempts(first: Option<Outcome>, check: impl FnOnce(&[Held])) {
     let (executor, holds) = (Rc::new(LocalExecutor::new()), Rc::new(Holds::default()));
-    let class = Class { effect: Effect::Keyed { window: WINDOW }, aim: 0.1, ..common::class() };
-    let settings = Settings { classes: vec![class], most_tries: 4, ..Settings::default() };
+    let class = Class {
+        idempotency: Idempotency::Keyed { window: WINDOW },
+        latency_objective: 0.1,
+        ..common::class()
+    };
+    let settings = Settings { classes: vec![class], max_attempts: 4, ..Settings::default() };
     let core = Core::new(settings, 1, 100, executor.clone(), holds.clone()).expect("served");
     let listed = |n| Endpoint {
         replica: ReplicaId(n),
@@ -131,7 +135,8 @@
     let mut told =
         marlgap::config::settings::parse(config["settings"].to_string().as_bytes()).expect("settings");
     told.sockets.streams = 1;
-    told.settings.classes[0] = Class { effect: Effect::Keyed { window: WINDOW }, ..common::class() };
+    told.settings.classes[0] =
+        Class { idempotency: Idempotency::Keyed { window: WINDOW }, ..common::class() };
     told.settings.reach = 1;
     let (executor, log) = (Rc::new(LocalExecutor::new()), slog::Logger::root(slog::Discard, slog::o!()));
     let nodes = Nodes::new(told.clone(), Rc::new(Descriptors::new(2)), executor.clone(), log);
--- a/tests/single_copy.rs
+++ b/tests/single_copy.rs
@@ -31,7 +31,7 @@
         let config: serde_json::Value = serde_json::from_str(&config).expect("JSON");
         let mut told =
             marlgap::config::settings::parse(config["settings"].to_string().as_bytes()).expect("settings");
-        told.settings.second_copies = copies;
+        told.settings.hedging = copies;
         let executor = Rc::new(LocalExecutor::new());
         let log = slog::Logger::root(slog::Discard, slog::o!());
         let nodes = Nodes::new(told, Rc::new(Descriptors::new(64)), executor.clone(), log);
--- a/tests/takeover.rs
+++ b/tests/takeover.rs
@@ -14,7 +14,7 @@
 use marlgap::Balancer;
 
 fn settings(class: Class) -> Settings {
-    Settings { classes: vec![class], most_tries: 4, ..Settings::default() }
+    Settings { classes: vec![class], max_attempts: 4, ..Settings::default() }
 }
 
 fn listed(n: u64) -> Endpoint {
@@ -81,8 +81,8 @@
 
 #[test]
 fn a_part_that_must_not_run_twice_is_never_sent_after_an_attempt_that_may_have_run() {
-    for effect in [Effect::Unsafe, Effect::Keyed { window: 60.0 }] {
-        let mut balancer = balancer(Class { effect, ..class() });
+    for effect in [Idempotency::NonIdempotent, Idempotency::Keyed { window: 60.0 }] {
+        let mut balancer = balancer(Class { idempotency: effect, ..class() });
         let actions = enter(&mut balancer, &[(1, false), (0, false)]);
         assert!(sent(&actions).is_empty() && actions.contains(&FAILED), "{actions:?}");
         let actions = enter(&mut balancer, &[(0, false)]);
@@ -103,7 +103,8 @@
     let actions = enter(&mut balancer, &[(2, true), (0, true)]);
     assert!(sent(&actions).is_empty() && actions.contains(&whole), "all in, answered at once: {actions:?}");
     // With what can't be had any more out, the rest is enough for this class.
-    let mut balancer = self::balancer(Class { effect: Effect::Unsafe, floor: 0.5, ..class() });
+    let mut balancer =
+        self::balancer(Class { idempotency: Idempotency::NonIdempotent, min_coverage: 0.5, ..class() });
     let actions = enter(&mut balancer, &[(1, true), (1, false)]);
     assert!(actions.contains(&Action::Answer { query: QueryId(9), complete: false }), "{actions:?}");
 }
@@ -276,7 +277,7 @@
 
 #[test]
 fn a_lost_hold_calls_off_what_waits_for_its_connect() {
-    let rig = Rig::new(Class { effect: Effect::Unsafe, ..class() }, true);
+    let rig = Rig::new(Class { idempotency: Idempotency::NonIdempotent, ..class() }, true);
     rig.stub.connects.set(false);
     let taken = rig.take(1, &[]);
     rig.settle();
@@ -307,7 +308,7 @@
 
 #[test]
 fn a_part_that_must_not_run_twice_goes_on_only_from_attempts_that_never_ran() {
-    let class = Class { effect: Effect::Unsafe, ..class() };
+    let class = Class { idempotency: Idempotency::NonIdempotent, ..class() };
     let rig = Rig::new(class, true);
     let taken = rig.take(1, &[(0, 0, earlier(1, 0, None))]);
     assert_eq!((rig.run(taken.outcome()), rig.noted()), (Final::Failed, Vec::new()));
@@ -325,7 +326,7 @@
     assert_eq!(rig.run(taken.outcome()), Final::Answered { whole: true, values });
     assert_eq!(rig.noted(), ["asked 0 1 0", "sent 1", "value 0 1 v1 1"]);
     // Of two steps, all but the last value: the second begins at the best of the first.
-    let rig = Rig::new(Class { second_step: 2, ..class() }, true);
+    let rig = Rig::new(Class { second_step_parts: 2, ..class() }, true);
     let old = || earlier(1, 0, Some("old"));
     let parts: BTreeMap<_, _> = [((0, 0), old()), ((0, 1), old()), ((1, 0), old())].into();
     let parts: Vec<_> = parts.into_iter().map(|((step, shard), e)| (step, shard, e)).collect();
