--- a/benches/scale/client.rs
+++ b/benches/scale/client.rs
@@ -7,7 +7,7 @@
 use futures_lite::FutureExt;
 use marlgap::balancer::interface::EndpointUpdate;
 use marlgap::config::settings::{self, Deployment, Unreadable};
-use marlgap::coordinator::Core;
+use marlgap::coordinator::Coordinator;
 use marlgap::net::data_nodes::Nodes;
 use marlgap::net::descriptors::Descriptors;
 use marlgap::net::discovery::{Discovery, List};
@@ -70,7 +70,7 @@
 /// A coordinator's discovery client and what it feeds.
 pub struct Client {
     pub discovery: Discovery,
-    core: Rc<Core<Nodes>>,
+    core: Rc<Coordinator<Nodes>>,
     executor: Rc<LocalExecutor<'static>>,
 }
 
@@ -82,8 +82,9 @@
         let executor = Rc::new(LocalExecutor::new());
         let descriptors = Rc::new(Descriptors::new(DESCRIPTORS));
         let nodes = Nodes::new(told.clone(), descriptors, executor.clone(), log.clone());
-        let core = Core::new(told.over_sockets(), SEED, told.max_open, executor.clone(), nodes.clone())
-            .expect("the bench's own settings are sound");
+        let core =
+            Coordinator::new(told.over_sockets(), SEED, told.max_open, executor.clone(), nodes.clone())
+                .expect("the bench's own settings are sound");
         let how = (told.settings.discovery, told.zones);
         // No configuration moves it.
         let (_, moves) = async_channel::bounded(1);
@@ -100,7 +101,7 @@
 
     /// Data nodes that the module knows.
     pub fn known(&self) -> usize {
-        self.core.known()
+        self.core.known_replicas()
     }
 }
 
--- a/benches/scale/sockets.rs
+++ b/benches/scale/sockets.rs
@@ -7,8 +7,8 @@
 use allocation_counter::measure;
 use async_executor::LocalExecutor;
 use marlgap::balancer::interface::{EndpointState, Outcome, ShardId};
-use marlgap::coordinator::{Call, Step, Stop, Transport};
-use marlgap::net::data_nodes::{Carried, Entry, Nodes};
+use marlgap::coordinator::{Call, CancellationToken, Step, Transport};
+use marlgap::net::data_nodes::{Entry, Nodes, RequestContext};
 use marlgap::net::descriptors::Descriptors;
 
 use crate::client::deployment;
@@ -101,13 +101,13 @@
     let nodes = Nodes::new(told, room, executor.clone(), log);
     let entry = |n: usize| Entry { name: format!("n{n}"), address, phase: EndpointState::Ready, born: 0 };
     let replicas: Vec<_> = (0..connections).map(|n| nodes.list(&entry(n))).collect();
-    let carried = Rc::new(Carried::new("a1".to_owned(), vec![b's'; statement]));
+    let carried = Rc::new(RequestContext::new("a1".to_owned(), vec![b's'; statement]));
     let mut served = 0;
     let info = measure(|| {
         for replica in &replicas {
             let deadline = Instant::now() + PATIENCE;
             let call = Call::alone(*replica, carried.clone(), ShardId(0), Step::First, deadline);
-            let (_hold, stop) = Stop::new();
+            let (_hold, stop) = CancellationToken::new();
             let ended = async_io::block_on(executor.run(nodes.clone().call(call, stop)));
             served += usize::from(ended.outcome == Outcome::Succeeded);
         }
--- a/src/coordinator/attempt.rs
+++ b/src/coordinator/attempt.rs
@@ -8,30 +8,30 @@
 use async_io::Timer;
 use futures_lite::FutureExt;
 
-use super::{after, Core, Gate, Part, Repeats, State, Step, Value};
+use super::{after, AttemptGate, Coordinator, Part, RetryWindow, State, Step, Value};
 use crate::balancer::interface::*;
 
 /// One attempt of one part.
 pub struct Call<T: Transport> {
     pub replica: ReplicaId,
-    pub carried: Rc<T::Carried>,
+    pub context: Rc<T::RequestContext>,
     pub shard: ShardId,
     pub step: Step,
     pub deadline: Instant,
     /// Whose it is, and which attempt of which part, sent when.
-    of: Option<(Rc<Core<T>>, PartId, u8, Instant)>,
+    of: Option<(Rc<Coordinator<T>>, PartId, u8, Instant)>,
 }
 
 impl<T: Transport> Call<T> {
     /// A call of no core, as a transport is tried with alone: it is the only attempt of its part.
     pub fn alone(
         replica: ReplicaId,
-        carried: Rc<T::Carried>,
+        carried: Rc<T::RequestContext>,
         shard: ShardId,
         step: Step,
         deadline: Instant,
     ) -> Call<T> {
-        Call { replica, carried, shard, step, deadline, of: None }
+        Call { replica, context: carried, shard, step, deadline, of: None }
     }
 
     /// Commit the part to this attempt, before the first of its value goes to the client: its other attempts are
@@ -51,23 +51,23 @@
 
 /// Resolves when an attempt is called off.
 #[derive(Clone)]
-pub struct Stop {
+pub struct CancellationToken {
     come: Receiver<Infallible>,
     /// That of a protected query.
-    gate: Option<Rc<dyn Gate>>,
+    gate: Option<Rc<dyn AttemptGate>>,
     /// Where a repeat must not come late: the part's attempts, and which of them this one is.
-    repeats: Option<(Rc<Repeats>, u8)>,
+    repeats: Option<(Rc<RetryWindow>, u8)>,
 }
 
-impl Stop {
+impl CancellationToken {
     /// A stop, and what to drop for it to come.
-    pub fn new() -> (Sender<Infallible>, Stop) {
+    pub fn new() -> (Sender<Infallible>, CancellationToken) {
         let (send, stopped) = async_channel::bounded(1);
-        (send, Stop { come: stopped, gate: None, repeats: None })
+        (send, CancellationToken { come: stopped, gate: None, repeats: None })
     }
 
     /// Whether it has come, or the query is not ours to send for: for the last look before a write.
-    pub fn called_off(&self) -> bool {
+    pub fn is_cancelled(&self) -> bool {
         self.come.is_closed() || self.gate.as_ref().is_some_and(|gate| !gate.holds())
     }
 
@@ -85,40 +85,41 @@
 
 /// How an attempt ended, and what came with it.
 #[derive(Debug)]
-pub struct Ended {
+pub struct AttemptResult {
     pub outcome: Outcome,
     /// The part's value and its score, if it was served.
     pub served: Option<(Value, f64)>,
     pub report: Option<LoadReport>,
 }
 
-impl From<Outcome> for Ended {
+impl From<Outcome> for AttemptResult {
     fn from(outcome: Outcome) -> Self {
-        Ended { outcome, served: None, report: None }
+        AttemptResult { outcome, served: None, report: None }
     }
 }
 
 /// Carries attempts to replicas. Each call resolves once, with the outcome of that attempt.
 pub trait Transport: Sized + 'static {
-    type Carried: 'static;
-    fn call(self: Rc<Self>, call: Call<Self>, stop: Stop) -> impl Future<Output = Ended>;
+    type RequestContext: 'static;
+    fn call(self: Rc<Self>, call: Call<Self>, stop: CancellationToken)
+        -> impl Future<Output = AttemptResult>;
     /// Whether the replica answered, and its report.
     fn probe(self: Rc<Self>, replica: ReplicaId) -> impl Future<Output = (bool, Option<LoadReport>)>;
     fn close_idle(&self, replica: ReplicaId);
 }
 
-impl<T: Transport> Core<T> {
+impl<T: Transport> Coordinator<T> {
     /// Start an attempt; whatever becomes of it, its one outcome is fed back, also after its query's end.
     pub(super) fn send(
         self: &Rc<Self>,
-        state: &mut State<T::Carried>,
+        state: &mut State<T::RequestContext>,
         now: Instant,
         part: PartId,
         replica: ReplicaId,
         timeout: Option<f64>,
     ) {
         let held = state.parts.get_mut(&part).and_then(|p| Some((state.open.get(&p.query)?, p)));
-        let Some((open, held)) = held.filter(|(_, p)| u32::from(p.attempts) < self.most_tries) else {
+        let Some((open, held)) = held.filter(|(_, p)| u32::from(p.attempts) < self.max_attempts) else {
             let (attempt, outcome) = (u8::MAX, Outcome::NeverSent);
             let over = true;
             state.events.push(Event::Outcome {
@@ -134,12 +135,12 @@
         };
         let attempt = held.attempts;
         held.attempts += 1;
-        self.count(|c| c.sends += 1);
+        self.count(|c| c.attempts += 1);
         let deadline = timeout.map_or(open.deadline, |t| after(now, t).min(open.deadline));
         let (carried, step) = (open.carried.clone(), held.step.clone());
         let of = Some((self.clone(), part, attempt, now));
-        let call = Call { replica, carried, shard: held.shard, step, deadline, of };
-        let (stop, mut stopped) = Stop::new();
+        let call = Call { replica, context: carried, shard: held.shard, step, deadline, of };
+        let (stop, mut stopped) = CancellationToken::new();
         if let Some(repeats) = &held.repeats {
             repeats.decided(attempt, now);
             stopped.repeats = Some((repeats.clone(), attempt));
@@ -162,7 +163,13 @@
 
     /// The life of an attempt of a protected query. Invariant: nothing of it reaches the transport before its gate has
     /// granted its number, or once the gate holds the query no more.
-    async fn gated(self: Rc<Self>, gate: Rc<dyn Gate>, number: u8, mut call: Call<T>, stop: Stop) {
+    async fn gated(
+        self: Rc<Self>,
+        gate: Rc<dyn AttemptGate>,
+        number: u8,
+        mut call: Call<T>,
+        stop: CancellationToken,
+    ) {
         let Some((_, part, attempt, sent)) = &mut call.of else { return };
         let (part, attempt, replica) = (*part, *attempt, call.replica);
         let (step, shard, deadline) = (call.step.number(), call.shard, call.deadline);
@@ -179,7 +186,7 @@
         // What waited for its grant says nothing of its replica: the time of its response counts from here.
         *sent = Instant::now();
         let sent = *sent;
-        let ended = match granted && !stop.called_off() {
+        let ended = match granted && !stop.is_cancelled() {
             true => self.transport.clone().call(call, stop).await,
             false => Outcome::NeverSent.into(),
         };
@@ -212,7 +219,7 @@
         true
     }
 
-    fn ended(&self, id: PartId, attempt: u8, replica: ReplicaId, sent: Instant, ended: Ended) {
+    fn ended(&self, id: PartId, attempt: u8, replica: ReplicaId, sent: Instant, ended: AttemptResult) {
         let mut state = self.state.borrow_mut();
         state.stops.remove(&(id, attempt));
         let part = state.parts.get_mut(&id);
@@ -226,7 +233,7 @@
         drop(state);
         let (outcome, report) = (ended.outcome, ended.report);
         let took = sent.elapsed().as_secs_f64();
-        self.tell(Event::Outcome {
+        self.enqueue(Event::Outcome {
             part: id,
             attempt,
             replica,
--- a/src/coordinator/gate.rs
+++ b/src/coordinator/gate.rs
@@ -9,13 +9,13 @@
 use crate::balancer::interface::ShardId;
 
 /// Resolves once a gate has decided.
-pub type Granting = Pin<Box<dyn Future<Output = bool>>>;
+pub type PendingGrant = Pin<Box<dyn Future<Output = bool>>>;
 
 /// What may be sent of one query. Its methods are called while the core is in the midst of its work: they take note,
 /// and do not call the core.
-pub trait Gate {
+pub trait AttemptGate {
     /// Whether this attempt of a part may be made, numbered from 0 over all owners of the query. `false`: never.
-    fn may_send(&self, step: u8, shard: ShardId, attempt: u8) -> Granting;
+    fn may_send(&self, step: u8, shard: ShardId, attempt: u8) -> PendingGrant;
     /// Whether the query is ours at this moment: for the last look before a byte.
     fn holds(&self) -> bool;
     /// One more attempt that was granted is proved never to have run.
@@ -28,7 +28,7 @@
 
 /// What an earlier owner left of a part.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Earlier {
+pub struct PriorProgress {
     /// Attempts that it was granted: each may have been made...
     pub granted: u8,
     /// ...but for so many of them, which are proved never to have run.
@@ -38,13 +38,13 @@
 }
 
 /// Makes a query a protected one.
-pub struct Protection {
-    pub gate: Rc<dyn Gate>,
+pub struct TakeoverProtection {
+    pub gate: Rc<dyn AttemptGate>,
     /// By step (0 or 1) and shard; empty for a query that begins here.
-    pub earlier: BTreeMap<(u8, ShardId), Earlier>,
+    pub earlier: BTreeMap<(u8, ShardId), PriorProgress>,
 }
 
-impl Earlier {
+impl PriorProgress {
     /// What counts as made: it may have run, and nobody proved that it did not.
     pub(super) fn spent(&self) -> u8 {
         self.granted.saturating_sub(self.cleared)
--- a/src/coordinator/mod.rs
+++ b/src/coordinator/mod.rs
@@ -21,11 +21,11 @@
 
 use crate::balancer::interface::*;
 use crate::Balancer;
-pub use attempt::{Call, Ended, Stop, Transport};
+pub use attempt::{AttemptResult, Call, CancellationToken, Transport};
 pub use clock::{after, Clock};
-pub use gate::{Earlier, Gate, Granting, Protection};
-pub use query::{Final, Query, Step, Taken, Value};
-use retry_window::Repeats;
+pub use gate::{AttemptGate, PendingGrant, PriorProgress, TakeoverProtection};
+pub use query::{Query, QueryHandle, QueryOutcome, Step, Value};
+use retry_window::RetryWindow;
 
 struct Part {
     query: QueryId,
@@ -39,10 +39,10 @@
     /// The attempt whose value has begun to go to the client.
     committed: Option<u8>,
     /// Where repeats are dropped for a while only: its attempts that may have run.
-    repeats: Option<Rc<Repeats>>,
+    repeats: Option<Rc<RetryWindow>>,
 }
 
-struct Open<C> {
+struct OpenQuery<C> {
     number: QueryNumber,
     class: ClassId,
     deadline: Instant,
@@ -51,15 +51,15 @@
     second: bool,
     /// For how long repeats of its parts are dropped, where they must not come later.
     window: Option<f64>,
-    protection: Option<Protection>,
-    done: Sender<Final>,
+    protection: Option<TakeoverProtection>,
+    done: Sender<QueryOutcome>,
 }
 
 struct State<C> {
     balancer: Balancer,
     events: Vec<Event>,
     timers: BinaryHeap<Reverse<Instant>>,
-    open: BTreeMap<QueryId, Open<C>>,
+    open: BTreeMap<QueryId, OpenQuery<C>>,
     parts: BTreeMap<PartId, Part>,
     stops: BTreeMap<(PartId, u8), Sender<Infallible>>,
     next: u32,
@@ -68,31 +68,31 @@
 /// What happened so far, for the log.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Counts {
-    pub taken: u64,
-    pub whole: u64,
+    pub received: u64,
+    pub complete: u64,
     pub partial: u64,
-    pub refused: u64,
+    pub rejected: u64,
     pub failed: u64,
-    pub withdrawn: u64,
-    pub full: u64,
-    pub sends: u64,
+    pub client_disconnected: u64,
+    pub over_capacity: u64,
+    pub attempts: u64,
 }
 
-pub struct Core<T: Transport> {
-    state: RefCell<State<T::Carried>>,
+pub struct Coordinator<T: Transport> {
+    state: RefCell<State<T::RequestContext>>,
     counts: Cell<Counts>,
     clock: Clock,
     wake: event_listener::Event,
     subscribe: (Sender<()>, Receiver<()>),
     executor: Rc<LocalExecutor<'static>>,
     transport: Rc<T>,
-    most_tries: u32,
+    max_attempts: u32,
     classes: RefCell<Vec<Class>>,
     max_open: usize,
     listed: Cell<bool>,
 }
 
-impl<T: Transport> Core<T> {
+impl<T: Transport> Coordinator<T> {
     pub fn new(
         settings: Settings,
         seed: u64,
@@ -110,7 +110,7 @@
             stops: BTreeMap::new(),
             next: 0,
         };
-        Ok(Rc::new(Core {
+        Ok(Rc::new(Coordinator {
             state: RefCell::new(state),
             counts: Cell::default(),
             clock: Clock::new(),
@@ -118,7 +118,7 @@
             subscribe: async_channel::bounded(1),
             executor,
             transport,
-            most_tries: settings.max_attempts,
+            max_attempts: settings.max_attempts,
             classes: RefCell::new(settings.classes),
             max_open,
             listed: Cell::new(false),
@@ -141,7 +141,7 @@
     }
 
     /// Replicas that the module remembers.
-    pub fn known(&self) -> usize {
+    pub fn known_replicas(&self) -> usize {
         self.state.borrow().balancer.known()
     }
 
@@ -151,13 +151,13 @@
     }
 
     /// Parts of those, as they count toward `max_open`.
-    pub fn held(&self) -> usize {
+    pub fn open_parts(&self) -> usize {
         self.state.borrow().parts.len()
     }
 
     /// Whether the next query would be refused for want of room.
-    pub fn full(&self) -> bool {
-        self.state.borrow().full(self.max_open)
+    pub fn is_full(&self) -> bool {
+        self.state.borrow().is_full(self.max_open)
     }
 
     /// Whether queries are to come: some list of replicas has gone through a round, or is waited for no longer.
@@ -166,7 +166,7 @@
     }
 
     /// Wait for a list of replicas no longer.
-    pub fn go_on(&self) {
+    pub fn stop_waiting_for_endpoints(&self) {
         self.listed.set(true);
     }
 
@@ -176,7 +176,7 @@
     }
 
     /// News of the list of replicas.
-    pub fn members(&self, news: EndpointUpdate, entries: Vec<Endpoint>) {
+    pub fn update_endpoints(&self, news: EndpointUpdate, entries: Vec<Endpoint>) {
         self.state.borrow_mut().events.push(Event::Endpoints { update: news, endpoints: entries });
         self.wake.notify(1);
     }
@@ -217,30 +217,30 @@
         let listed = |e: &Event| matches!(e, Event::Endpoints { endpoints, .. } if !endpoints.is_empty());
         self.listed.set(self.listed.get() || events.iter().any(listed));
         for action in state.balancer.round(self.clock.at(now), &events) {
-            self.act(state, now, action);
+            self.apply(state, now, action);
         }
     }
 
-    fn act(self: &Rc<Self>, state: &mut State<T::Carried>, now: Instant, action: Action) {
+    fn apply(self: &Rc<Self>, state: &mut State<T::RequestContext>, now: Instant, action: Action) {
         match action {
             Action::Send { part, replica, timeout } => self.send(state, now, part, replica, timeout),
             // Its attempt resolves as called off, unless another outcome is already on its way.
             Action::Cancel { part, attempt } => drop(state.stops.remove(&(part, attempt))),
             Action::Answer { query, complete } => self.answer(state, query, complete),
             Action::Reject { query, retry_after } => {
-                self.count(|c| c.refused += 1);
-                state.end(query, Final::Refused { retry_after });
+                self.count(|c| c.rejected += 1);
+                state.end(query, QueryOutcome::Rejected { retry_after });
             }
             Action::Fail { query } => {
                 self.count(|c| c.failed += 1);
-                state.end(query, Final::Failed);
+                state.end(query, QueryOutcome::Failed);
             }
             Action::HealthCheck { replica } => {
                 let (core, transport) = (self.clone(), self.transport.clone());
                 let probe = async move {
                     let (ok, report) = transport.probe(replica).await;
                     let took = now.elapsed().as_secs_f64();
-                    core.tell(Event::HealthChecked { replica, healthy: ok, elapsed: took, report });
+                    core.enqueue(Event::HealthChecked { replica, healthy: ok, elapsed: took, report });
                 };
                 self.executor.spawn(probe).detach();
             }
@@ -250,7 +250,7 @@
         }
     }
 
-    fn tell(&self, event: Event) {
+    fn enqueue(&self, event: Event) {
         self.state.borrow_mut().events.push(event);
         self.wake.notify(1);
     }
@@ -263,7 +263,7 @@
 }
 
 impl<C> State<C> {
-    fn full(&self, max_open: usize) -> bool {
+    fn is_full(&self, max_open: usize) -> bool {
         self.open.len() + self.parts.len() >= max_open
     }
 
@@ -272,7 +272,7 @@
         self.next
     }
 
-    fn enter(&mut self, query: QueryId, open: &mut Open<C>, step: Step, parts: &[(ShardId, f64)]) {
+    fn enter(&mut self, query: QueryId, open: &mut OpenQuery<C>, step: Step, parts: &[(ShardId, f64)]) {
         for &(shard, weight) in parts {
             let part = PartId(self.id());
             open.parts.push(part);
@@ -281,7 +281,7 @@
             let value = earlier.and_then(|e| e.value.clone());
             let (number, served) = (open.number, value.is_some());
             let (step, attempts, committed) = (step.clone(), spent, None);
-            let repeats = open.window.map(Repeats::within);
+            let repeats = open.window.map(RetryWindow::within);
             let held = Part { query, shard, step, value, attempts, cleared, committed, repeats };
             self.parts.insert(part, held);
             self.events.push(Event::Part {
@@ -303,7 +303,7 @@
         Some(part)
     }
 
-    fn end(&mut self, id: QueryId, outcome: Final) {
+    fn end(&mut self, id: QueryId, outcome: QueryOutcome) {
         if let Some(open) = self.open.remove(&id) {
             open.parts.iter().for_each(|p| drop(self.leave(*p)));
             drop(open.done.try_send(outcome));
--- a/src/coordinator/query.rs
+++ b/src/coordinator/query.rs
@@ -6,7 +6,7 @@
 use async_io::Timer;
 use futures_lite::FutureExt;
 
-use super::{Core, Open, Protection, State, Transport};
+use super::{Coordinator, OpenQuery, State, TakeoverProtection, Transport};
 use crate::balancer::interface::*;
 
 /// A query as a front hands it in; `carried` is what the transport needs of it.
@@ -14,11 +14,11 @@
     pub class: ClassId,
     pub tenant: TenantId,
     pub deadline: Instant,
-    pub repeat: bool,
+    pub is_retry: bool,
     pub parts: Vec<(ShardId, f64)>,
-    pub carried: C,
+    pub context: C,
     /// `None`: nobody else guards it, and what is sent of it is the module's matter alone.
-    pub protection: Option<Protection>,
+    pub protection: Option<TakeoverProtection>,
 }
 
 /// The value of a part, as a replica gave it.
@@ -26,18 +26,18 @@
 
 /// The final outcome of a query.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Final {
+pub enum QueryOutcome {
     Answered {
-        whole: bool,
+        complete: bool,
         values: Vec<(ShardId, Value)>,
     },
     /// Trying again is harmless, best after so many seconds.
-    Refused {
+    Rejected {
         retry_after: Option<f64>,
     },
     Failed,
     /// Its time ran out before the module ended it.
-    Overdue,
+    DeadlineExceeded,
 }
 
 /// Which step of its query a part belongs to.
@@ -59,37 +59,37 @@
 }
 
 /// A query that was taken. Dropping it before its final outcome withdraws it.
-pub struct Taken<T: Transport> {
-    core: Weak<Core<T>>,
+pub struct QueryHandle<T: Transport> {
+    core: Weak<Coordinator<T>>,
     query: QueryId,
     deadline: Instant,
-    carried: Rc<T::Carried>,
-    done: Receiver<Final>,
+    context: Rc<T::RequestContext>,
+    done: Receiver<QueryOutcome>,
 }
 
-impl<T: Transport> Taken<T> {
+impl<T: Transport> QueryHandle<T> {
     /// When its client's time is up.
     pub fn deadline(&self) -> Instant {
         self.deadline
     }
 
     /// What the front handed in, while the query is open; for a front that streams.
-    pub fn carried(&self) -> Rc<T::Carried> {
-        self.carried.clone()
+    pub fn carried(&self) -> Rc<T::RequestContext> {
+        self.context.clone()
     }
 
     /// The final outcome. Guards against a query that the module forgets: it ends with its time.
-    pub async fn outcome(&self) -> Final {
-        let ended = async { self.done.recv().await.unwrap_or(Final::Failed) };
+    pub async fn outcome(&self) -> QueryOutcome {
+        let ended = async { self.done.recv().await.unwrap_or(QueryOutcome::Failed) };
         let overdue = async {
             Timer::at(self.deadline).await;
-            Final::Overdue
+            QueryOutcome::DeadlineExceeded
         };
         ended.or(overdue).await
     }
 }
 
-impl<T: Transport> Drop for Taken<T> {
+impl<T: Transport> Drop for QueryHandle<T> {
     fn drop(&mut self) {
         if let Some(core) = self.core.upgrade() {
             core.withdraw(self.query);
@@ -97,15 +97,15 @@
     }
 }
 
-impl<T: Transport> Core<T> {
+impl<T: Transport> Coordinator<T> {
     /// Take a query; all its parts enter in one round. `None`: as many queries and parts are open as may be.
-    pub fn take(self: &Rc<Self>, query: Query<T::Carried>) -> Option<Taken<T>> {
+    pub fn take(self: &Rc<Self>, query: Query<T::RequestContext>) -> Option<QueryHandle<T>> {
         let state = &mut *self.state.borrow_mut();
-        self.count(|c| c.taken += 1);
+        self.count(|c| c.received += 1);
         // Full at that count, as in the simulator. Guards against turning away a query that merely would
         // reach it: of three long queries, the limit's least, the third. Parts of ended queries hold no room.
-        if state.full(self.max_open) {
-            self.count(|c| c.full += 1);
+        if state.is_full(self.max_open) {
+            self.count(|c| c.over_capacity += 1);
             return None;
         }
         let now = Instant::now();
@@ -118,13 +118,13 @@
             tenant: query.tenant,
             time_left: query.deadline.saturating_duration_since(now).as_secs_f64(),
             parts: query.parts.len() as u32,
-            is_retry: query.repeat,
+            is_retry: query.is_retry,
         });
-        let mut open = Open {
+        let mut open = OpenQuery {
             number,
             class: query.class,
             deadline: query.deadline,
-            carried: Rc::new(query.carried),
+            carried: Rc::new(query.context),
             parts: Vec::new(),
             second: false,
             window: self.classes.borrow().get(usize::from(query.class.0)).and_then(Class::window),
@@ -135,7 +135,13 @@
         let carried = open.carried.clone();
         state.open.insert(id, open);
         self.wake.notify(1);
-        Some(Taken { core: Rc::downgrade(self), query: id, deadline: query.deadline, carried, done })
+        Some(QueryHandle {
+            core: Rc::downgrade(self),
+            query: id,
+            deadline: query.deadline,
+            context: carried,
+            done,
+        })
     }
 
     fn withdraw(&self, id: QueryId) {
@@ -143,14 +149,14 @@
         if let Some(open) = state.open.remove(&id) {
             open.parts.iter().for_each(|p| drop(state.leave(*p)));
             state.events.push(Event::ClientDisconnected { query: id });
-            self.count(|c| c.withdrawn += 1);
+            self.count(|c| c.client_disconnected += 1);
             self.wake.notify(1);
         }
     }
 
     /// End the query with what is in, or, at the first answer of a class of two steps, begin the second at
     /// the best shards that are in.
-    pub(super) fn answer(&self, state: &mut State<T::Carried>, id: QueryId, whole: bool) {
+    pub(super) fn answer(&self, state: &mut State<T::RequestContext>, id: QueryId, whole: bool) {
         let Some(mut open) = state.open.remove(&id) else { return };
         let parts = std::mem::take(&mut open.parts);
         let mut values = Vec::new();
@@ -173,9 +179,9 @@
             self.wake.notify(1);
             return;
         }
-        self.count(|c| if whole { c.whole += 1 } else { c.partial += 1 });
+        self.count(|c| if whole { c.complete += 1 } else { c.partial += 1 });
         let values = values.into_iter().map(|(shard, value, _)| (shard, value)).collect();
         // Only a front that has gone away is not there to take it.
-        drop(open.done.try_send(Final::Answered { whole, values }));
+        drop(open.done.try_send(QueryOutcome::Answered { complete: whole, values }));
     }
 }
--- a/src/coordinator/retry_window.rs
+++ b/src/coordinator/retry_window.rs
@@ -9,15 +9,15 @@
 const MARGIN: Duration = Duration::from_millis(10);
 
 /// The attempts of a part that are not proved never to have run.
-pub struct Repeats {
+pub struct RetryWindow {
     window: Duration,
     begun: RefCell<Vec<(u8, Instant)>>,
 }
 
-impl Repeats {
-    pub fn within(window: f64) -> Rc<Repeats> {
+impl RetryWindow {
+    pub fn within(window: f64) -> Rc<RetryWindow> {
         let window = Duration::try_from_secs_f64(window).unwrap_or(Duration::MAX).saturating_sub(MARGIN);
-        Rc::new(Repeats { window, begun: RefCell::default() })
+        Rc::new(RetryWindow { window, begun: RefCell::default() })
     }
 
     pub fn decided(&self, attempt: u8, now: Instant) {
--- a/src/main.rs
+++ b/src/main.rs
@@ -18,7 +18,7 @@
 use marlgap::cli::{self, Cli, Command};
 use marlgap::config::operator::{Operator, OperatorError};
 use marlgap::config::platform::{self, Config, ConfigError, LEAST_SHARED, RESERVED};
-use marlgap::coordinator::{Core, Transport};
+use marlgap::coordinator::{Coordinator, Transport};
 use marlgap::net::cluster::Fleet;
 use marlgap::net::data_nodes::Nodes;
 use marlgap::net::descriptors::Descriptors;
@@ -99,7 +99,7 @@
         let descriptors = Rc::new(Descriptors::new(all));
         let nodes = Nodes::new((*told).clone(), descriptors.clone(), executor.clone(), log.clone());
         let settings = told.over_sockets();
-        let core = Core::new(settings, config.seed, told.max_open, executor.clone(), nodes.clone())
+        let core = Coordinator::new(settings, config.seed, told.max_open, executor.clone(), nodes.clone())
             .map_err(ConfigError::Settings)?;
         let how = (told.settings.discovery, told.zones.clone());
         let discovery =
@@ -248,10 +248,10 @@
     socket::listen(address).await.map_err(|e| ConfigError::Listen(address, e))
 }
 
-async fn count<T: Transport>(core: Rc<Core<T>>, front: &'static str, log: Logger) {
+async fn count<T: Transport>(core: Rc<Coordinator<T>>, front: &'static str, log: Logger) {
     loop {
         Timer::at(Instant::now() + COUNTS_EVERY).await;
-        info!(log, "counts"; "front" => front, "so far" => ?core.counts(), "open" => core.open(), "replicas" => core.known(),
+        info!(log, "counts"; "front" => front, "so far" => ?core.counts(), "open" => core.open(), "replicas" => core.known_replicas(),
             "permits" => ?invariants::counts());
     }
 }
--- a/src/net/cluster/accept.rs
+++ b/src/net/cluster/accept.rs
@@ -125,7 +125,7 @@
     loop {
         let mut handled = 0;
         while let Some((frame, length)) = frames::parse(buffer.unread(), driver.most_frame())? {
-            if replaced.called_off() {
+            if replaced.is_cancelled() {
                 return Ok(());
             }
             buffer.consume(length);
--- a/src/net/cluster/driver.rs
+++ b/src/net/cluster/driver.rs
@@ -21,7 +21,7 @@
 use crate::cluster::takeover::{Act, Ask, Counts, Key, May, Reply, Token, Works};
 use crate::cluster::{Configuration, Member, MemberId, Micros};
 use crate::config::operator::OperatorFleet;
-use crate::coordinator::Stop;
+use crate::coordinator::CancellationToken;
 use crate::net::Ration;
 
 /// The connection that a member's frames are read from: the newest one alone.
@@ -183,8 +183,8 @@
     }
 
     /// Its frames come over a new connection from now on; the stop reports when yet another one takes its place.
-    pub fn reads(&self, id: &MemberId) -> Stop {
-        let (send, stop) = Stop::new();
+    pub fn reads(&self, id: &MemberId) -> CancellationToken {
+        let (send, stop) = CancellationToken::new();
         let latest = self.latest_lives.borrow().get(&id.name) == Some(&id.incarnation);
         if latest {
             self.readers.borrow_mut().insert(id.name.clone(), (id.incarnation, send));
--- a/src/net/data_nodes/connection.rs
+++ b/src/net/data_nodes/connection.rs
@@ -7,9 +7,9 @@
 use async_channel::{Receiver, Sender};
 use event_listener::Event as Wake;
 
-use super::Carried;
+use super::RequestContext;
 use crate::balancer::interface::*;
-use crate::coordinator::{Ended, Stop};
+use crate::coordinator::{AttemptResult, CancellationToken};
 use crate::send_policy::Permit;
 
 /// For how long behind its time a given-up part may still hold its place.
@@ -20,7 +20,7 @@
 
 /// Where the answer to a probe goes: whether the data node answered, and its report.
 pub type Probe = Sender<(bool, Option<LoadReport>)>;
-pub type Ending = (Sender<Ended>, Receiver<Ended>);
+pub type Ending = (Sender<AttemptResult>, Receiver<AttemptResult>);
 
 /// A part on a connection.
 pub struct Item {
@@ -28,11 +28,11 @@
     pub shard: ShardId,
     /// What its list holds beside its time.
     pub extra: String,
-    pub carried: Rc<Carried>,
+    pub carried: Rc<RequestContext>,
     pub deadline: Instant,
     /// Which life of the data node it was meant for.
     pub life: u64,
-    pub stop: Stop,
+    pub stop: CancellationToken,
     pub end: Ending,
     /// What it was written by.
     pub permit: Cell<Option<Permit>>,
--- a/src/net/data_nodes/exchange.rs
+++ b/src/net/data_nodes/exchange.rs
@@ -10,7 +10,7 @@
 use super::Nodes;
 use crate::balancer::interface::*;
 use crate::config::settings;
-use crate::coordinator::Ended;
+use crate::coordinator::AttemptResult;
 use crate::net::buffer::Buffer;
 use crate::net::by;
 use crate::net::data_nodes::frames::{self, Frame};
@@ -210,7 +210,7 @@
                         now,
                         deadline: item.deadline,
                         transit,
-                        called_off: item.stop.called_off(),
+                        called_off: item.stop.is_cancelled(),
                         replica_ready: node.is_some_and(|n| n.life == item.life),
                         window_over: item.stop.too_late(now),
                     };
@@ -350,7 +350,7 @@
                     // The one before may have come twice: this proves nothing.
                     frames::End::Skipped => (Outcome::ConnectionLost, None),
                 };
-                drop(item.end.0.try_send(Ended { outcome, served, report }));
+                drop(item.end.0.try_send(AttemptResult { outcome, served, report }));
             }
             Frame::Probe { served } => {
                 let Some(done) = connection.probes.borrow_mut().pop_front() else { return false };
--- a/src/net/data_nodes/mod.rs
+++ b/src/net/data_nodes/mod.rs
@@ -18,7 +18,7 @@
 use super::Ration;
 use crate::balancer::interface::*;
 use crate::config::settings::Deployment;
-use crate::coordinator::{Call, Ended, Step, Stop, Transport};
+use crate::coordinator::{AttemptResult, Call, CancellationToken, Step, Transport};
 use crate::send_policy;
 use connection::{Connection, Item, Out};
 
@@ -37,16 +37,16 @@
 const PROBE_WAIT: Duration = Duration::from_millis(250);
 
 /// What a data node needs of a query.
-pub struct Carried {
+pub struct RequestContext {
     pub id: String,
     pub statement: Vec<u8>,
     /// Parts that were turned away, and on which connection. At most as many as attempts.
     turned_away: RefCell<Vec<(String, u64)>>,
 }
 
-impl Carried {
-    pub fn new(id: String, statement: Vec<u8>) -> Carried {
-        Carried { id, statement, turned_away: RefCell::default() }
+impl RequestContext {
+    pub fn new(id: String, statement: Vec<u8>) -> RequestContext {
+        RequestContext { id, statement, turned_away: RefCell::default() }
     }
 
     /// Note that a part was turned away there; `false` if it was so before. Guards parts that must not run twice: an
@@ -249,19 +249,19 @@
 }
 
 impl Transport for Nodes {
-    type Carried = Carried;
+    type RequestContext = RequestContext;
 
     /// The life of one attempt: a place on a connection, the write, and the one thing that ends it.
-    async fn call(self: Rc<Self>, call: Call<Self>, stop: Stop) -> Ended {
+    async fn call(self: Rc<Self>, call: Call<Self>, stop: CancellationToken) -> AttemptResult {
         let Some((connection, life)) = self.connection(call.replica) else {
             return Outcome::NeverSent.into();
         };
         let second = if call.step == Step::First { "" } else { ".b" };
         let item = Rc::new(Item {
-            id: format!("{}.{}{second}", call.carried.id, call.shard.0),
+            id: format!("{}.{}{second}", call.context.id, call.shard.0),
             shard: call.shard,
             extra: listed(&call.step),
-            carried: call.carried,
+            carried: call.context,
             deadline: call.deadline,
             life,
             stop: stop.clone(),
--- a/src/net/discovery/mod.rs
+++ b/src/net/discovery/mod.rs
@@ -21,7 +21,7 @@
 use super::socket::{self, ConnectError, Stream};
 use super::{by, Ration};
 use crate::balancer::interface::{self, CellId, Endpoint, EndpointState, EndpointUpdate, ZoneId};
-use crate::coordinator::{Clock, Core};
+use crate::coordinator::{Clock, Coordinator};
 use crate::send_policy::{self, StartNotice};
 use crate::subsetting::{self, Subset};
 pub use list::{DiscoveryError, Host, List};
@@ -35,7 +35,7 @@
     address: Cell<SocketAddr>,
     /// Where it is from now on, each time a new configuration says so.
     moves: Receiver<SocketAddr>,
-    core: Rc<Core<Nodes>>,
+    core: Rc<Coordinator<Nodes>>,
     nodes: Rc<Nodes>,
     zones: Vec<String>,
     terms: Terms,
@@ -55,7 +55,7 @@
     pub fn new(
         address: SocketAddr,
         moves: Receiver<SocketAddr>,
-        core: Rc<Core<Nodes>>,
+        core: Rc<Coordinator<Nodes>>,
         nodes: Rc<Nodes>,
         told: (interface::Discovery, Vec<String>),
         seed: u64,
@@ -78,7 +78,7 @@
             "entries" => entries.len());
         self.nodes.forget(Instant::now());
         let entries = self.subset.borrow_mut().update(news, entries);
-        self.core.members(news, entries);
+        self.core.update_endpoints(news, entries);
     }
 
     fn entry(&self, host: &Host, clock: &Clock) -> Option<Endpoint> {
@@ -120,7 +120,7 @@
             if !self.core.ready() {
                 warn!(self.log, "no list from discovery yet"; "known" => known.map(|k| k.hosts.len()));
                 known.iter().for_each(|k| self.apply(k, EndpointUpdate::Cached));
-                self.core.go_on();
+                self.core.stop_waiting_for_endpoints();
             }
             std::future::pending().await
         };
@@ -172,7 +172,7 @@
                         "seq" => seq);
                     // Asked for before this end: it was begun already.
                     while subscriptions.try_recv().is_ok() {}
-                    self.core.members(EndpointUpdate::Failed, Vec::new());
+                    self.core.update_endpoints(EndpointUpdate::Failed, Vec::new());
                     latest = Some(Instant::now() + PAUSE);
                 }
             }
--- a/src/net/dns_sd/watcher.rs
+++ b/src/net/dns_sd/watcher.rs
@@ -12,7 +12,7 @@
 use super::zone_file::{self, RecordsError, Server};
 use crate::balancer::interface::*;
 use crate::config::operator::Source;
-use crate::coordinator::{Clock, Core, Transport};
+use crate::coordinator::{Clock, Coordinator, Transport};
 
 /// Time between looks at the records: well under the time that a drain may take to be kept.
 const LOOK: Duration = Duration::from_millis(100);
@@ -123,7 +123,7 @@
 
 /// The records, read again whenever they change.
 pub struct Watch<T: Follows> {
-    core: Rc<Core<T>>,
+    core: Rc<Coordinator<T>>,
     servers: Rc<T>,
     zones: Vec<String>,
     source: Source,
@@ -135,7 +135,7 @@
 impl<T: Follows> Watch<T> {
     /// Begin with the records as they are: bad ones at the start end it there.
     pub fn begin(
-        core: Rc<Core<T>>,
+        core: Rc<Coordinator<T>>,
         servers: Rc<T>,
         zones: Vec<String>,
         source: Source,
@@ -157,7 +157,7 @@
         let servers = zone_file::parse(&text, &self.source.service).map_err(SourceError::Records)?;
         let entries = self.servers.list(&servers, &self.zones, &self.core.clock());
         info!(self.log, "list of servers"; "front" => self.front, "entries" => entries.len());
-        self.core.members(EndpointUpdate::Full, entries);
+        self.core.update_endpoints(EndpointUpdate::Full, entries);
         self.seen = text;
         Ok(())
     }
--- a/src/net/grpc/attempt.rs
+++ b/src/net/grpc/attempt.rs
@@ -20,7 +20,7 @@
 use super::wire::{self, Framer};
 use crate::balancer::interface::Outcome;
 use crate::connection_pool::Why;
-use crate::coordinator::{Call, Ended, Stop};
+use crate::coordinator::{AttemptResult, Call, CancellationToken};
 use crate::net::invariants;
 use crate::send_policy::SendConditions;
 
@@ -42,8 +42,12 @@
 }
 
 impl Servers {
-    pub(super) async fn attempt(self: &Rc<Self>, call: &Call<Self>, stop: &Stop) -> Ended {
-        let exchange = call.carried.clone();
+    pub(super) async fn attempt(
+        self: &Rc<Self>,
+        call: &Call<Self>,
+        stop: &CancellationToken,
+    ) -> AttemptResult {
+        let exchange = call.context.clone();
         let ended = match self.place(call.replica).await {
             Err(outcome) => Err(Broken::new(Code::Unavailable, "no connection", outcome)),
             Ok(place) => self.on(place, call, stop, &exchange).await,
@@ -68,9 +72,9 @@
         &self,
         mut place: Place,
         call: &Call<Self>,
-        stop: &Stop,
+        stop: &CancellationToken,
         exchange: &Rc<Exchange>,
-    ) -> Result<Ended, Broken> {
+    ) -> Result<AttemptResult, Broken> {
         // The last look before the write: guards against a call that waited for a connection while its server began
         // to drain, went away or began a new life, and against one that nobody wants any more.
         let now = Instant::now();
@@ -79,7 +83,7 @@
             now,
             deadline: call.deadline,
             transit: Duration::ZERO,
-            called_off: stop.called_off(),
+            called_off: stop.is_cancelled(),
             replica_ready: ready.is_some(),
             window_over: stop.too_late(now),
         };
@@ -159,7 +163,7 @@
         call: &Call<Self>,
         exchange: &Rc<Exchange>,
         answer: Response<RecvStream>,
-    ) -> Result<Ended, Broken> {
+    ) -> Result<AttemptResult, Broken> {
         let (head, mut body) = answer.into_parts();
         let route = &exchange.route;
         if head.status != 200 {
@@ -215,7 +219,7 @@
         trailers: Option<HeaderMap>,
         merged: Option<Bytes>,
         streamed: bool,
-    ) -> Result<Ended, Broken> {
+    ) -> Result<AttemptResult, Broken> {
         let missing =
             || Broken::new(Code::Unknown, "an answer without a status that can be read", Outcome::Error);
         let trailers = trailers.ok_or_else(missing)?;
@@ -276,8 +280,8 @@
     }
 }
 
-fn served(value: &[u8]) -> Ended {
-    Ended { outcome: Outcome::Succeeded, served: Some((Rc::from(value), 0.0)), report: None }
+fn served(value: &[u8]) -> AttemptResult {
+    AttemptResult { outcome: Outcome::Succeeded, served: Some((Rc::from(value), 0.0)), report: None }
 }
 
 /// Wait for some room in the stream's window.
--- a/src/net/grpc/front.rs
+++ b/src/net/grpc/front.rs
@@ -36,7 +36,7 @@
 use crate::balancer::interface::TenantId;
 use crate::config::operator::FrontLimits;
 use crate::config::settings::Deployment;
-use crate::coordinator::{Core, Final, Query};
+use crate::coordinator::{Coordinator, Query, QueryOutcome};
 use crate::grpc_routing::{self, Route, Routes};
 use crate::net::http_server::{Client, Closing};
 use crate::net::{by, Ration};
@@ -54,7 +54,7 @@
 }
 
 pub struct Front {
-    pub core: Rc<Core<Servers>>,
+    pub core: Rc<Coordinator<Servers>>,
     pub servers: Rc<Servers>,
     pub table: ArcSwap<Table>,
     pub limits: FrontLimits,
@@ -329,11 +329,12 @@
         };
         let (tenant, repeat) = (TenantId::NONE, head.headers.contains_key("grpc-previous-rpc-attempts"));
         let (class, parts) = (carried.route.class, shards.iter().map(|s| (*s, weight)).collect());
-        let query = Query { class, tenant, deadline, repeat, parts, carried, protection: None };
+        let query =
+            Query { class, tenant, deadline, is_retry: repeat, parts, context: carried, protection: None };
         let Some(taken) = self.core.take(query) else {
             if let Some(spared) = self.said.refused.line() {
                 info!(self.log, "refused"; "why" => "as much is open as may be", "path" => head.uri.path(),
-                    "open" => self.core.open(), "held" => self.core.held(), "spared" => spared);
+                    "open" => self.core.open(), "held" => self.core.open_parts(), "spared" => spared);
             }
             let retry_after = table.told.settings.retry_after;
             let status = Status::new(Code::ResourceExhausted, "as much is open as may be");
@@ -364,14 +365,14 @@
         }
         drop(taken);
         let out_of_time = ended.is_none() || Instant::now() + ENDING >= deadline;
-        let outcome = final_outcome.take().unwrap_or(Final::Overdue);
+        let outcome = final_outcome.take().unwrap_or(QueryOutcome::DeadlineExceeded);
         let own = exchange.reply.borrow_mut().end.take().filter(|_| ended.is_some());
         let trailers = match (own, &outcome) {
             (Some(trailers), _) => trailers,
-            (None, Final::Answered { whole, values }) if exchange.merged => {
-                match client.merged(&shards, values, *whole, deadline).await {
+            (None, QueryOutcome::Answered { complete, values }) if exchange.merged => {
+                match client.merged(&shards, values, *complete, deadline).await {
                     Some(trailers) => trailers,
-                    None => wire::trailers(&status::ended(&Final::Overdue, None, true, true)),
+                    None => wire::trailers(&status::ended(&QueryOutcome::DeadlineExceeded, None, true, true)),
                 }
             }
             (None, outcome) => {
--- a/src/net/grpc/mod.rs
+++ b/src/net/grpc/mod.rs
@@ -28,7 +28,7 @@
 use super::http_server::Closing;
 use super::StartError;
 use crate::config::operator::Grpc;
-use crate::coordinator::Core;
+use crate::coordinator::Coordinator;
 
 /// A core of its own for this front, on the same code and rules, and the front itself.
 pub fn start(
@@ -43,7 +43,7 @@
     let (executor_of, log_of) = (executor.clone(), log.clone());
     let servers = Servers::new(told.sockets, pool, limits.clone(), descriptors, seed, executor_of, log_of);
     let settings = told.settings.clone();
-    let core = Core::new(settings, seed, told.max_open, executor.clone(), servers.clone())
+    let core = Coordinator::new(settings, seed, told.max_open, executor.clone(), servers.clone())
         .map_err(StartError::Settings)?;
     let (core_of, servers_of, zones) = (core.clone(), servers.clone(), told.zones.clone());
     let watch = Watch::begin(core_of, servers_of, zones, source, "gRPC", log.clone());
--- a/src/net/grpc/servers.rs
+++ b/src/net/grpc/servers.rs
@@ -23,7 +23,7 @@
 use crate::config::operator::FrontLimits;
 use crate::config::settings::Sockets;
 use crate::connection_pool::{Assign, ConnectionId, Do, Limits, Pool, Why};
-use crate::coordinator::{Call, Clock, Ended, Stop, Transport};
+use crate::coordinator::{AttemptResult, Call, CancellationToken, Clock, Transport};
 use crate::net::dns_sd::watcher::{Book, Change, Follows};
 use crate::net::dns_sd::zone_file::Server;
 use crate::net::socket::{self, Stream};
@@ -355,10 +355,10 @@
 }
 
 impl Transport for Servers {
-    type Carried = Exchange;
+    type RequestContext = Exchange;
 
     /// The life of one attempt; dropping it resets its stream with CANCEL.
-    async fn call(self: Rc<Self>, call: Call<Self>, stop: Stop) -> Ended {
+    async fn call(self: Rc<Self>, call: Call<Self>, stop: CancellationToken) -> AttemptResult {
         let stopped = async {
             stop.wait().await;
             Outcome::Cancelled.into()
--- a/src/net/grpc/status.rs
+++ b/src/net/grpc/status.rs
@@ -3,7 +3,7 @@
 use h2::Reason;
 
 use crate::balancer::interface::{Idempotency, Outcome};
-use crate::coordinator::Final;
+use crate::coordinator::QueryOutcome;
 
 macro_rules! codes {
     ($($name:ident = $number:literal, $text:literal;)*) => {
@@ -126,21 +126,23 @@
 
 /// The client's status for a final outcome that is no answer. `last` is what the last failed attempt showed,
 /// `begun` whether some of the answer has gone to the client: then trying again is not told to be harmless.
-pub fn ended(outcome: &Final, last: Option<&Status>, begun: bool, out_of_time: bool) -> Status {
+pub fn ended(outcome: &QueryOutcome, last: Option<&Status>, begun: bool, out_of_time: bool) -> Status {
     let why = |said: &str| match last {
         Some(last) => format!("{said}; last attempt: {} {}", last.code.name(), last.message),
         None => said.to_owned(),
     };
     match outcome {
         _ if out_of_time => Status::new(Code::DeadlineExceeded, why("out of time")),
-        Final::Overdue => Status::new(Code::DeadlineExceeded, why("out of time")),
+        QueryOutcome::DeadlineExceeded => Status::new(Code::DeadlineExceeded, why("out of time")),
         _ if begun => Status::new(Code::Unavailable, why("the stream broke behind its first message")),
-        Final::Refused { retry_after } => {
+        QueryOutcome::Rejected { retry_after } => {
             Status { retry_after: *retry_after, ..Status::new(Code::Unavailable, why("refused")) }
         }
         // Only what cannot be put together ends here as answered.
-        Final::Answered { .. } => Status::new(Code::Internal, why("the answers could not be put together")),
-        Final::Failed => {
+        QueryOutcome::Answered { .. } => {
+            Status::new(Code::Internal, why("the answers could not be put together"))
+        }
+        QueryOutcome::Failed => {
             let code = last.map_or(Code::Unavailable, |l| l.code);
             Status::new(if code.answers() { Code::Unavailable } else { code }, why("failed"))
         }
--- a/src/net/opensearch/mod.rs
+++ b/src/net/opensearch/mod.rs
@@ -18,7 +18,7 @@
 use super::http_server::Closing;
 use super::StartError;
 use crate::config::operator::QueryApi;
-use crate::coordinator::Core;
+use crate::coordinator::Coordinator;
 
 /// A core of its own for this front, on the same code and rules, and the front itself.
 pub fn start(
@@ -32,7 +32,7 @@
     let QueryApi { source, indices, shards, told: deployment, .. } = setup;
     let servers = Servers::new(deployment.sockets, descriptors, log.clone());
     let settings = deployment.settings.clone();
-    let core = Core::new(settings, seed, deployment.max_open, executor.clone(), servers.clone())
+    let core = Coordinator::new(settings, seed, deployment.max_open, executor.clone(), servers.clone())
         .map_err(StartError::Settings)?;
     let (core_of, zones) = (core.clone(), deployment.zones.clone());
     let watch = Watch::begin(core_of, servers, zones, source, "query API", log.clone());
--- a/src/net/opensearch/protected.rs
+++ b/src/net/opensearch/protected.rs
@@ -14,7 +14,7 @@
 use super::servers::Notes;
 use crate::balancer::interface::ShardId;
 use crate::cluster::takeover::{Ask, Key, Part, Record, Reply};
-use crate::coordinator::{Earlier, Gate, Granting, Protection, Value};
+use crate::coordinator::{AttemptGate, PendingGrant, PriorProgress, TakeoverProtection, Value};
 use crate::net::buffer::Buffer;
 use crate::net::by;
 use crate::net::cluster::{Execute, Fleet, Hold};
@@ -114,7 +114,7 @@
         // What an earlier owner may have sent has begun.
         ready.notes.borrow_mut().begun = earlier.values().any(|e| e.granted > e.cleared);
         let gate = Rc::new(Held { hold: hold.clone(), notes: ready.notes.clone() });
-        ready.query.protection = Some(Protection { gate, earlier });
+        ready.query.protection = Some(TakeoverProtection { gate, earlier });
         let Ready { search, notes, parts, begun, deadline, query } = ready;
         match self.core.take(query) {
             None => self.refused("too many searches are open"),
@@ -143,12 +143,12 @@
 }
 
 /// What an earlier owner left, as the core counts it.
-fn earlier(parts: &[Part]) -> BTreeMap<(u8, ShardId), Earlier> {
+fn earlier(parts: &[Part]) -> BTreeMap<(u8, ShardId), PriorProgress> {
     // More than a byte holds is more than any part may be tried.
     let byte = |n: u32| u8::try_from(n).unwrap_or(u8::MAX);
     let part = |p: &Part| {
         let value = p.value.as_ref().map(|v| (Rc::from(&v[..]), p.score));
-        let earlier = Earlier { granted: byte(p.granted), cleared: byte(p.cleared), value };
+        let earlier = PriorProgress { granted: byte(p.granted), cleared: byte(p.cleared), value };
         ((byte(p.step), ShardId(p.shard)), earlier)
     };
     parts.iter().map(part).collect()
@@ -160,8 +160,8 @@
     notes: Rc<RefCell<Notes>>,
 }
 
-impl Gate for Held {
-    fn may_send(&self, step: u8, shard: ShardId, attempt: u8) -> Granting {
+impl AttemptGate for Held {
+    fn may_send(&self, step: u8, shard: ShardId, attempt: u8) -> PendingGrant {
         let hold = self.hold.clone();
         Box::pin(async move { hold.may_send(step, shard.0, attempt).await })
     }
--- a/src/net/opensearch/search.rs
+++ b/src/net/opensearch/search.rs
@@ -10,10 +10,10 @@
 
 use super::merge::{self, Failure, MissingShards};
 use super::query::{self, BadQuery, Search};
-use super::servers::{Carried, Notes, Servers};
+use super::servers::{Notes, RequestContext, Servers};
 use crate::balancer::interface::*;
 use crate::config::settings::Deployment;
-use crate::coordinator::{Core, Final, Query};
+use crate::coordinator::{Coordinator, Query, QueryOutcome};
 use crate::net::cluster::Fleet;
 use crate::net::http::Answer;
 use crate::net::http_server::Closing;
@@ -23,7 +23,7 @@
 const END: Duration = Duration::from_millis(60);
 
 pub struct Front {
-    pub core: Rc<Core<Servers>>,
+    pub core: Rc<Coordinator<Servers>>,
     pub deployment: Rc<Deployment>,
     /// The index of each class, in the order of the classes, where it has one.
     pub indices: Vec<Option<String>>,
@@ -48,7 +48,7 @@
     pub parts: Vec<ShardId>,
     pub begun: Instant,
     pub deadline: Instant,
-    pub query: Query<Carried>,
+    pub query: Query<RequestContext>,
 }
 
 impl Front {
@@ -92,15 +92,15 @@
         let notes = Rc::new(RefCell::default());
         let opaque = opaque.to_owned();
         let (ranked, carried) = (class_settings.second_step_parts > 0, search.clone());
-        let carried = Carried { search: carried, opaque, ranked, notes: Rc::clone(&notes) };
+        let carried = RequestContext { search: carried, opaque, ranked, notes: Rc::clone(&notes) };
         let share = 1.0 / parts.len() as f64;
         let query = Query {
             class: ClassId(class as u16),
             tenant: TenantId::NONE,
             deadline,
-            repeat: false,
+            is_retry: false,
             parts: parts.iter().map(|s| (*s, share)).collect(),
-            carried,
+            context: carried,
             protection: None,
         };
         Ok(Ready { search, notes, parts, begun: now, deadline, query })
@@ -110,15 +110,15 @@
     pub(super) fn ended(
         &self,
         search: &Search,
-        outcome: &Final,
+        outcome: &QueryOutcome,
         notes: &Notes,
         parts: &[ShardId],
         begun: Instant,
         deadline: Instant,
     ) -> Answer {
         match outcome {
-            Final::Answered { whole, values } => {
-                self.answered(search, values, &missing_shards(parts, values, notes, *whole), begun)
+            QueryOutcome::Answered { complete, values } => {
+                self.answered(search, values, &missing_shards(parts, values, notes, *complete), begun)
             }
             _ => self.unanswered(search, outcome, notes, parts, deadline),
         }
@@ -138,16 +138,16 @@
     fn unanswered(
         &self,
         search: &Search,
-        outcome: &Final,
+        outcome: &QueryOutcome,
         notes: &Notes,
         parts: &[ShardId],
         deadline: Instant,
     ) -> Answer {
         let failures: Vec<_> =
             parts.iter().filter_map(|s| Some((*s, notes.failures.get(s)?.clone()))).collect();
-        let late = matches!(outcome, Final::Overdue) || Instant::now() + END >= deadline;
+        let late = matches!(outcome, QueryOutcome::DeadlineExceeded) || Instant::now() + END >= deadline;
         let retry_after = match outcome {
-            Final::Refused { retry_after } => *retry_after,
+            QueryOutcome::Rejected { retry_after } => *retry_after,
             _ => None,
         };
         let answer = match failures.first() {
--- a/src/net/opensearch/servers.rs
+++ b/src/net/opensearch/servers.rs
@@ -13,7 +13,7 @@
 use super::query::Search;
 use crate::balancer::interface::*;
 use crate::config::settings::Sockets;
-use crate::coordinator::{Call, Clock, Ended, Step, Stop, Transport};
+use crate::coordinator::{AttemptResult, Call, CancellationToken, Clock, Step, Transport};
 use crate::net::buffer::Buffer;
 use crate::net::by;
 use crate::net::dns_sd::watcher::{Book, Change, Follows};
@@ -38,7 +38,7 @@
     pub first: Option<Rc<[ShardId]>>,
 }
 
-pub struct Carried {
+pub struct RequestContext {
     pub search: Rc<Search>,
     pub opaque: String,
     /// Whether the class has two steps: the first only ranks.
@@ -114,7 +114,7 @@
     }
 
     /// One request on one connection, from its place to the last byte of its answer.
-    async fn ask(self: &Rc<Self>, call: &Call<Servers>, stop: &Stop) -> Ended {
+    async fn ask(self: &Rc<Self>, call: &Call<Servers>, stop: &CancellationToken) -> AttemptResult {
         let Some((address, life)) = self.ready(call.replica) else { return Outcome::NeverSent.into() };
         let mut place = match self.connection(call.replica, address).await {
             Ok(place) => place,
@@ -127,7 +127,7 @@
             now,
             deadline: call.deadline,
             transit: Duration::ZERO,
-            called_off: stop.called_off(),
+            called_off: stop.is_cancelled(),
             replica_ready: self.ready(call.replica) == Some((address, life)),
             window_over: stop.too_late(now),
         };
@@ -139,7 +139,7 @@
         if stream.write_all(&request).await.is_err() {
             return self.failed(call, Outcome::ConnectFailed, (503, "connect_exception", "connection broke"));
         }
-        call.carried.notes.borrow_mut().begun = true;
+        call.context.notes.borrow_mut().begun = true;
         let mut buffer = Buffer::default();
         match http::read(stream, &mut buffer, Kind::Answer, MOST_ANSWER).await {
             Ok(message) => {
@@ -156,7 +156,7 @@
         }
     }
 
-    fn classify(&self, call: &Call<Servers>, message: &Message, buffer: &Buffer) -> Ended {
+    fn classify(&self, call: &Call<Servers>, message: &Message, buffer: &Buffer) -> AttemptResult {
         let body = message.body(buffer);
         if message.status != 200 {
             let error: serde_json::Value = serde_json::from_slice(&body).unwrap_or_default();
@@ -165,25 +165,25 @@
             let outcome = if message.status == 429 { Outcome::Rejected } else { Outcome::Error };
             return self.failed(call, outcome, (message.status, &text("type"), &text("reason")));
         }
-        let search = &call.carried.search;
-        let ranking = call.carried.ranked && call.step == Step::First;
+        let search = &call.context.search;
+        let ranking = call.context.ranked && call.step == Step::First;
         match merge::check(&body, !search.sort.is_empty() && !ranking, search.sort.len()) {
             Ok(score) => {
-                call.carried.notes.borrow_mut().failures.remove(&call.shard);
+                call.context.notes.borrow_mut().failures.remove(&call.shard);
                 // Copied: the value outlives the buffer, until its query is answered.
                 let served = Some((Rc::from(&*body), score));
-                Ended { outcome: Outcome::Succeeded, served, report: None }
+                AttemptResult { outcome: Outcome::Succeeded, served, report: None }
             }
             Err((status, kind, reason)) => self.failed(call, Outcome::Error, (status, &kind, &reason)),
         }
     }
 
-    fn failed(&self, call: &Call<Servers>, outcome: Outcome, why: (u16, &str, &str)) -> Ended {
+    fn failed(&self, call: &Call<Servers>, outcome: Outcome, why: (u16, &str, &str)) -> AttemptResult {
         let (status, kind, reason) = why;
         let node = self.book.borrow().get(call.replica).map(|k| k.server.name.clone()).unwrap_or_default();
         debug!(self.log, "shard failed"; "shard" => call.shard.0, "server" => &node, "type" => kind, "reason" => reason);
         let failure = Failure { node, status, kind: kind.to_owned(), reason: reason.to_owned() };
-        call.carried.notes.borrow_mut().failures.insert(call.shard, failure);
+        call.context.notes.borrow_mut().failures.insert(call.shard, failure);
         outcome.into()
     }
 
@@ -227,7 +227,7 @@
 }
 
 fn request(call: &Call<Servers>, address: SocketAddr, permit: Permit) -> Vec<u8> {
-    let Carried { search, opaque, ranked, .. } = &*call.carried;
+    let RequestContext { search, opaque, ranked, .. } = &*call.context;
     let left = permit.told_ms().max(1);
     let body = if *ranked && call.step == Step::First { &search.ranking } else { &search.body };
     format!(
@@ -243,11 +243,11 @@
 }
 
 impl Transport for Servers {
-    type Carried = Carried;
+    type RequestContext = RequestContext;
 
-    async fn call(self: Rc<Self>, call: Call<Self>, stop: Stop) -> Ended {
+    async fn call(self: Rc<Self>, call: Call<Self>, stop: CancellationToken) -> AttemptResult {
         if let Step::Second { from, .. } = &call.step {
-            call.carried.notes.borrow_mut().first = Some(from.clone());
+            call.context.notes.borrow_mut().first = Some(from.clone());
         }
         let stopped = async {
             stop.wait().await;
--- a/src/net/platform_api.rs
+++ b/src/net/platform_api.rs
@@ -11,13 +11,13 @@
 use slog::{info, warn, Logger};
 
 use super::buffer::Buffer;
-use super::data_nodes::{Carried, Nodes};
+use super::data_nodes::{Nodes, RequestContext};
 use super::http::{Answer, HttpError, Message};
 use super::http_server::{Client, Closing};
 use super::Ration;
 use crate::balancer::interface::*;
 use crate::config::settings::Deployment;
-use crate::coordinator::{Core, Final, Query};
+use crate::coordinator::{Coordinator, Query, QueryOutcome};
 
 /// The longest wait that a client may ask for; longer ones are cut to it.
 const LONGEST: Duration = Duration::from_secs(3600);
@@ -64,7 +64,7 @@
 }
 
 pub struct Front {
-    pub core: Rc<Core<Nodes>>,
+    pub core: Rc<Coordinator<Nodes>>,
     pub told: Rc<Deployment>,
     pub closing: Rc<Closing>,
     /// The ids of the queries that are open.
@@ -143,36 +143,36 @@
     /// The answer to a query; `Err` where its client left before, or floods us, and nothing more is done for it.
     async fn outcome(
         &self,
-        query: Query<Carried>,
+        query: Query<RequestContext>,
         client: &mut Client,
         message: &Message,
         begun: Instant,
     ) -> Result<Answer, HttpError> {
         let query = Query { deadline: self.closing.cut(query.deadline), ..query };
         let class = message.header(client.buffer(), "Req-Kind").unwrap_or_default().to_owned();
-        let id = query.carried.id.clone();
+        let id = query.context.id.clone();
         let Some(taken) = self.core.take(query) else {
             if let Some(spared) = self.said.refused.line() {
                 info!(self.log, "refused"; "why" => "as much is open as may be", "id" => id, "class" => class,
-                    "spared" => spared, "open" => self.core.open(), "held" => self.core.held());
+                    "spared" => spared, "open" => self.core.open(), "held" => self.core.open_parts());
             }
             return Ok(self.refused(429, self.told.settings.retry_after));
         };
-        if let Some(spared) = self.core.full().then(|| self.said.refused.line()).flatten() {
+        if let Some(spared) = self.core.is_full().then(|| self.said.refused.line()).flatten() {
             info!(self.log, "no room for another query"; "open" => self.core.open(),
-                "held" => self.core.held(), "spared" => spared);
+                "held" => self.core.open_parts(), "spared" => spared);
         }
         let ended = async { Ok(taken.outcome().await) };
         let over = async {
             self.closing.over().await;
-            Ok(Final::Overdue)
+            Ok(QueryOutcome::DeadlineExceeded)
         };
         let left = async { Err(client.gone(message.length).await) };
         // Dropping what was taken withdraws it.
         let outcome = ended.or(left).or(over).await;
         let after = begun.elapsed().as_millis() as u64;
         match &outcome {
-            Ok(Final::Answered { .. }) => {}
+            Ok(QueryOutcome::Answered { .. }) => {}
             Ok(outcome) => {
                 if let Some(spared) = self.said.unanswered.line() {
                     info!(self.log, "not answered"; "outcome" => ?outcome, "id" => id, "class" => class,
@@ -206,7 +206,7 @@
         message: &Message,
         buffer: &Buffer,
         now: Instant,
-    ) -> Result<(Query<Carried>, Taken), Bad> {
+    ) -> Result<(Query<RequestContext>, Taken), Bad> {
         let header = |name| match message.only(buffer, name) {
             Some(Ok(value)) => Ok(value),
             Some(Err(())) => Err(Bad::Header(name)),
@@ -256,23 +256,26 @@
         }
         parts.iter_mut().for_each(|p| p.1 /= sum);
         // Copied: attempts are written long after the buffer has moved on.
-        let carried = Carried::new(id.to_owned(), body.statement.as_bytes().to_vec());
+        let carried = RequestContext::new(id.to_owned(), body.statement.as_bytes().to_vec());
         self.open.borrow_mut().insert(id.to_owned());
         let open = Taken(self.open.clone(), id.to_owned());
         let class = ClassId(class as u16);
-        Ok((Query { class, tenant, deadline, repeat, parts, carried, protection: None }, open))
+        Ok((
+            Query { class, tenant, deadline, is_retry: repeat, parts, context: carried, protection: None },
+            open,
+        ))
     }
 
-    fn answer(&self, outcome: &Final) -> Answer {
+    fn answer(&self, outcome: &QueryOutcome) -> Answer {
         match outcome {
-            Final::Answered { whole, values } => {
+            QueryOutcome::Answered { complete, values } => {
                 let piece = |(shard, value): &(ShardId, Rc<[u8]>)| serde_json::json!({"tablet": shard.0, "cell": String::from_utf8_lossy(value)});
                 let pieces: Vec<_> = values.iter().map(piece).collect();
-                Answer::new(200, serde_json::json!({"full": whole, "pieces": pieces}).to_string())
+                Answer::new(200, serde_json::json!({"full": complete, "pieces": pieces}).to_string())
             }
-            Final::Refused { retry_after } => self.refused(503, *retry_after),
-            Final::Failed => Answer::new(500, fault(&"failed")),
-            Final::Overdue => Answer::new(504, fault(&"out of time")),
+            QueryOutcome::Rejected { retry_after } => self.refused(503, *retry_after),
+            QueryOutcome::Failed => Answer::new(500, fault(&"failed")),
+            QueryOutcome::DeadlineExceeded => Answer::new(504, fault(&"out of time")),
         }
     }
 
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -9,7 +9,7 @@
 
 use fault_control::{Plan, PLAN_VARIABLE};
 use marlgap::balancer::interface::{Class, ClassId, Idempotency, ShardId, TenantId};
-use marlgap::coordinator::{Protection, Query};
+use marlgap::coordinator::{Query, TakeoverProtection};
 
 /// A class of a single step that needs all its parts, each safe to repeat.
 pub fn class() -> Class {
@@ -28,10 +28,10 @@
 }
 
 /// A query of the first class over the first shards.
-pub fn query<C>(shards: u32, carried: C, protection: Option<Protection>) -> Query<C> {
+pub fn query<C>(shards: u32, carried: C, protection: Option<TakeoverProtection>) -> Query<C> {
     let parts = (0..shards).map(|s| (ShardId(s), 1.0 / f64::from(shards))).collect();
     let (class, tenant, deadline) = (ClassId(0), TenantId(0), std::time::Instant::now() + PATIENCE);
-    Query { class, tenant, deadline, repeat: false, parts, carried, protection }
+    Query { class, tenant, deadline, is_retry: false, parts, context: carried, protection }
 }
 
 /// Nothing here takes this long; a test that waits for more has failed.
--- a/tests/fleet_together/cluster.rs
+++ b/tests/fleet_together/cluster.rs
@@ -323,7 +323,7 @@
     pub fn carried(&self, group: &[usize], wanted: &str) {
         for guard in &group[1..] {
             self.history.wait(0, "a frame to a guard", |w| {
-                matches!(w, What::Carried { from, to, mark } if *from == group[0] && to == guard && mark == wanted)
+                matches!(w, What::RequestContext { from, to, mark } if *from == group[0] && to == guard && mark == wanted)
             });
         }
     }
--- a/tests/fleet_together/history.rs
+++ b/tests/fleet_together/history.rs
@@ -68,7 +68,7 @@
         member: usize,
     },
     /// A frame with the bytes that were watched for has been handed on; or was swallowed by a cut.
-    Carried {
+    RequestContext {
         from: usize,
         to: usize,
         mark: String,
--- a/tests/fleet_together/many.rs
+++ b/tests/fleet_together/many.rs
@@ -91,7 +91,8 @@
         let clients: Vec<_> = asks.iter().enumerate().map(|(n, ask)| cluster.ask(4 + n, ask)).collect();
         // The frame, or else the query is over.
         let mut at = from;
-        let step = |w: &What| matches!(w, What::Carried { from, to, .. } if (*from, *to) == (lost, guard));
+        let step =
+            |w: &What| matches!(w, What::RequestContext { from, to, .. } if (*from, *to) == (lost, guard));
         let over = |w: &What| matches!(w, What::Answered { client, .. } if *client == clients[0].number);
         for _ in 0..=lost {
             at = cluster.history.wait(at, "a step or the end", |w| step(w) || over(w)) + 1;
--- a/tests/fleet_together/standins.rs
+++ b/tests/fleet_together/standins.rs
@@ -55,7 +55,7 @@
     wires.watch(0, 1, "plain", "seen");
     send("plain");
     assert_eq!(next(&mut taken).as_deref(), Some("plain"));
-    history.wait(0, "the watched frame", |w| matches!(w, What::Carried { from: 0, to: 1, .. }));
+    history.wait(0, "the watched frame", |w| matches!(w, What::RequestContext { from: 0, to: 1, .. }));
     wires.set(0, 1, Rule { swallow: true, ..Rule::default() });
     send("plain too");
     history.wait(0, "a swallowed frame", |w| matches!(w, What::Swallowed { from: 0, to: 1, .. }));
--- a/tests/fleet_together/wires.rs
+++ b/tests/fleet_together/wires.rs
@@ -116,7 +116,7 @@
                 let mark = mark.clone();
                 self.history.note(match swallowed {
                     true => What::Swallowed { from, to, mark },
-                    false => What::Carried { from, to, mark },
+                    false => What::RequestContext { from, to, mark },
                 });
             }
         }
--- a/tests/nodes.rs
+++ b/tests/nodes.rs
@@ -11,8 +11,8 @@
 use async_executor::{LocalExecutor, Task};
 use common::*;
 use marlgap::balancer::interface::{EndpointState, Outcome, ReplicaId, ShardId};
-use marlgap::coordinator::{Call, Ended, Step, Stop, Transport};
-use marlgap::net::data_nodes::{Carried, Entry, Nodes};
+use marlgap::coordinator::{AttemptResult, Call, CancellationToken, Step, Transport};
+use marlgap::net::data_nodes::{Entry, Nodes, RequestContext};
 use marlgap::net::descriptors::Descriptors;
 
 /// A statement that no socket's buffers hold.
@@ -24,10 +24,10 @@
     nodes: Rc<Nodes>,
     replica: ReplicaId,
     listener: TcpListener,
-    carried: Rc<Carried>,
+    carried: Rc<RequestContext>,
 }
 
-type Attempt = (Task<Ended>, Sender<std::convert::Infallible>);
+type Attempt = (Task<AttemptResult>, Sender<std::convert::Infallible>);
 
 impl World {
     fn new(name: &str, change: impl FnOnce(&mut marlgap::config::settings::Deployment)) -> World {
@@ -43,7 +43,7 @@
         let log = slog::Logger::root(slog::Discard, slog::o!());
         let nodes = Nodes::new(told, Rc::new(Descriptors::new(64)), executor.clone(), log);
         let replica = nodes.list(&entry(address));
-        let carried = Rc::new(Carried::new("a1".to_owned(), b"hi".to_vec()));
+        let carried = Rc::new(RequestContext::new("a1".to_owned(), b"hi".to_vec()));
         World { executor, nodes, replica, listener, carried }
     }
 
@@ -52,10 +52,10 @@
         self.begin_with(shard, &self.carried)
     }
 
-    fn begin_with(&self, shard: u32, carried: &Rc<Carried>) -> Attempt {
+    fn begin_with(&self, shard: u32, carried: &Rc<RequestContext>) -> Attempt {
         let deadline = Instant::now() + PATIENCE;
         let call = Call::alone(self.replica, carried.clone(), ShardId(shard), Step::First, deadline);
-        let (hold, stop) = Stop::new();
+        let (hold, stop) = CancellationToken::new();
         (self.executor.spawn(self.nodes.clone().call(call, stop)), hold)
     }
 
@@ -140,7 +140,7 @@
 #[test]
 fn a_frame_under_way_is_not_finished_once_its_part_is_called_off() {
     let world = World::new("nodes_under_way", |_| ());
-    let endless = Rc::new(Carried::new("b1".to_owned(), vec![b'x'; ENDLESS]));
+    let endless = Rc::new(RequestContext::new("b1".to_owned(), vec![b'x'; ENDLESS]));
     let (out, blocked) = (world.begin(1), world.begin_with(2, &endless));
     let stream = world.accept(1);
     while stream.peek(&mut [0]).expect("a frame") == 0 {}
@@ -165,7 +165,7 @@
 #[test]
 fn a_frame_that_its_data_node_does_not_read_is_not_finished_with_an_old_time() {
     let world = World::new("nodes_stalled", |_| ());
-    let endless = Rc::new(Carried::new("b1".to_owned(), vec![b'x'; ENDLESS]));
+    let endless = Rc::new(RequestContext::new("b1".to_owned(), vec![b'x'; ENDLESS]));
     let (out, stalled) = (world.begin(1), world.begin_with(2, &endless));
     let stream = world.accept(1);
     while stream.peek(&mut [0]).expect("a frame") == 0 {}
@@ -186,7 +186,7 @@
 #[test]
 fn a_part_whose_frame_is_under_way_never_ran_where_the_data_node_ends_the_connection() {
     let world = World::new("nodes_half", |_| ());
-    let endless = Rc::new(Carried::new("b1".to_owned(), vec![b'x'; ENDLESS]));
+    let endless = Rc::new(RequestContext::new("b1".to_owned(), vec![b'x'; ENDLESS]));
     let (out, blocked) = (world.begin(1), world.begin_with(2, &endless));
     let stream = world.accept(1);
     while stream.peek(&mut [0]).expect("a frame") == 0 {}
--- a/tests/parts.rs
+++ b/tests/parts.rs
@@ -9,8 +9,8 @@
 use async_executor::LocalExecutor;
 use common::*;
 use marlgap::balancer::interface::{EndpointState, Outcome, ReplicaId, ShardId};
-use marlgap::coordinator::{Call, Step, Stop, Transport};
-use marlgap::net::data_nodes::{Carried, Entry, Nodes};
+use marlgap::coordinator::{Call, CancellationToken, Step, Transport};
+use marlgap::net::data_nodes::{Entry, Nodes, RequestContext};
 use marlgap::net::descriptors::Descriptors;
 
 fn deployment(node: SocketAddr) -> marlgap::config::settings::Deployment {
@@ -37,11 +37,11 @@
     let log = slog::Logger::root(slog::Discard, slog::o!());
     let nodes = Nodes::new(deployment(address), descriptors(8), executor.clone(), log);
     let replica = nodes.list(&Entry { name: "n0".to_owned(), address, phase: EndpointState::Ready, born: 0 });
-    let carried = Rc::new(Carried::new("a1".to_owned(), b"hi".to_vec()));
+    let carried = Rc::new(RequestContext::new("a1".to_owned(), b"hi".to_vec()));
     let deadline = Instant::now() + PATIENCE;
     let begin = |shard| {
         let call = Call::alone(replica, carried.clone(), ShardId(shard), Step::First, deadline);
-        let (hold, stop) = Stop::new();
+        let (hold, stop) = CancellationToken::new();
         let attempt = executor.spawn(nodes.clone().call(call, stop));
         async move { (attempt.await.outcome, hold).0 }
     };
@@ -70,11 +70,11 @@
         slog::Logger::root(slog::Discard, slog::o!()),
     );
     let replica = nodes.list(&Entry { name: "n0".to_owned(), address, phase: EndpointState::Ready, born: 0 });
-    let carried = Rc::new(Carried::new("a1".to_owned(), b"hi".to_vec()));
+    let carried = Rc::new(RequestContext::new("a1".to_owned(), b"hi".to_vec()));
     let deadline = Instant::now() + PATIENCE;
     let begin = |shard| {
         let call = Call::alone(replica, carried.clone(), ShardId(shard), Step::First, deadline);
-        let (hold, stop) = Stop::new();
+        let (hold, stop) = CancellationToken::new();
         (executor.spawn(nodes.clone().call(call, stop)), hold)
     };
     let mut begun: Vec<_> = (1..=33).map(begin).collect();
@@ -125,11 +125,11 @@
         slog::Logger::root(slog::Discard, slog::o!()),
     );
     let replica = nodes.list(&Entry { name: "n0".to_owned(), address, phase: EndpointState::Ready, born: 0 });
-    let carried = Rc::new(Carried::new("a1".to_owned(), b"hi".to_vec()));
+    let carried = Rc::new(RequestContext::new("a1".to_owned(), b"hi".to_vec()));
     let deadline = Instant::now() + PATIENCE;
     let begin = |shard| {
         let call = Call::alone(replica, carried.clone(), ShardId(shard), Step::First, deadline);
-        let (hold, stop) = Stop::new();
+        let (hold, stop) = CancellationToken::new();
         (executor.spawn(nodes.clone().call(call, stop)), hold)
     };
     let first = begin(1);
@@ -174,9 +174,9 @@
     for (n, address) in addresses.iter().enumerate() {
         let entry = Entry { name: format!("n{n}"), address: *address, phase: EndpointState::Ready, born: 0 };
         let replica = nodes.list(&entry);
-        let carried = Rc::new(Carried::new("a1".to_owned(), b"hi".to_vec()));
+        let carried = Rc::new(RequestContext::new("a1".to_owned(), b"hi".to_vec()));
         let call = Call::alone(replica, carried, ShardId(0), Step::First, Instant::now() + PATIENCE);
-        let (_hold, stop) = Stop::new();
+        let (_hold, stop) = CancellationToken::new();
         let ended = async_io::block_on(executor.run(nodes.clone().call(call, stop)));
         assert_eq!(ended.outcome, Outcome::Succeeded, "data node {n}");
     }
@@ -210,11 +210,11 @@
         slog::Logger::root(slog::Discard, slog::o!()),
     );
     let replica = nodes.list(&Entry { name: "n0".to_owned(), address, phase: EndpointState::Ready, born: 0 });
-    let carried = Rc::new(Carried::new("a1".to_owned(), b"hi".to_vec()));
+    let carried = Rc::new(RequestContext::new("a1".to_owned(), b"hi".to_vec()));
     let deadline = Instant::now() + PATIENCE;
     let begin = |shard| {
         let call = Call::alone(replica, carried.clone(), ShardId(shard), Step::First, deadline);
-        let (hold, stop) = Stop::new();
+        let (hold, stop) = CancellationToken::new();
         (executor.spawn(nodes.clone().call(call, stop)), hold)
     };
     let (seen, all_seen) = async_channel::bounded(1);
@@ -250,11 +250,11 @@
         slog::Logger::root(slog::Discard, slog::o!()),
     );
     let replica = nodes.list(&Entry { name: "n0".to_owned(), address, phase: EndpointState::Ready, born: 0 });
-    let carried = Rc::new(Carried::new("a1".to_owned(), b"hi".to_vec()));
+    let carried = Rc::new(RequestContext::new("a1".to_owned(), b"hi".to_vec()));
     let ask = |shard, wait| {
         let (carried, deadline) = (carried.clone(), Instant::now() + Duration::from_millis(wait));
         let call = Call::alone(replica, carried, ShardId(shard), Step::First, deadline);
-        let (_hold, stop) = Stop::new();
+        let (_hold, stop) = CancellationToken::new();
         async_io::block_on(executor.run(nodes.clone().call(call, stop))).outcome
     };
     let node = std::thread::spawn(move || {
@@ -336,10 +336,10 @@
         let entry = |phase, born| Entry { name: "n0".to_owned(), address, phase, born };
         let replica = nodes.list(&entry(EndpointState::Ready, 0));
         assert_eq!(replica, ReplicaId(1));
-        let carried = Rc::new(Carried::new("a1".to_owned(), b"hi".to_vec()));
+        let carried = Rc::new(RequestContext::new("a1".to_owned(), b"hi".to_vec()));
         let deadline = Instant::now() + Duration::from_secs(5);
         let call = Call::alone(replica, carried, ShardId(0), Step::First, deadline);
-        let (_hold, stop) = Stop::new();
+        let (_hold, stop) = CancellationToken::new();
         let attempt = executor.spawn(nodes.clone().call(call, stop));
         // Begun, and queued on a connection that is not up yet.
         assert!(executor.try_tick());
--- a/tests/settings_effects.rs
+++ b/tests/settings_effects.rs
@@ -7,21 +7,21 @@
 use async_executor::LocalExecutor;
 use marlgap::balancer::interface::*;
 use marlgap::coordinator::*;
-use marlgap::net::data_nodes::{Carried, Entry, Nodes};
+use marlgap::net::data_nodes::{Entry, Nodes, RequestContext};
 use marlgap::net::descriptors::Descriptors;
 
 mod common;
 
 /// The place of an attempt in its transport: what ends it, and when it was handed over.
-type Held = (Stop, async_channel::Sender<Outcome>, Instant);
+type Held = (CancellationToken, async_channel::Sender<Outcome>, Instant);
 
 /// Holds every attempt until the test ends it.
 #[derive(Default)]
 struct Holds(RefCell<Vec<Held>>, event_listener::Event);
 
 impl Transport for Holds {
-    type Carried = ();
-    async fn call(self: Rc<Self>, _: Call<Self>, stop: Stop) -> Ended {
+    type RequestContext = ();
+    async fn call(self: Rc<Self>, _: Call<Self>, stop: CancellationToken) -> AttemptResult {
         let (end, ended) = async_channel::bounded(1);
         self.0.borrow_mut().push((stop, end, Instant::now()));
         self.1.notify(usize::MAX);
@@ -57,14 +57,14 @@
         ..common::class()
     };
     let settings = Settings { classes: vec![class], max_attempts: 4, ..Settings::default() };
-    let core = Core::new(settings, 1, 100, executor.clone(), holds.clone()).expect("served");
+    let core = Coordinator::new(settings, 1, 100, executor.clone(), holds.clone()).expect("served");
     let listed = |n| Endpoint {
         replica: ReplicaId(n),
         state: EndpointState::Ready,
         weight: 1.0,
         ..Endpoint::default()
     };
-    core.members(EndpointUpdate::Full, (0..6).map(listed).collect());
+    core.update_endpoints(EndpointUpdate::Full, (0..6).map(listed).collect());
     executor.spawn(core.clone().run()).detach();
     let taken = core.take(common::query(1, (), None)).expect("room");
     async_io::block_on(executor.run(async {
@@ -83,7 +83,7 @@
     two_attempts(Some(Outcome::Error), |held| {
         let (_, _, first) = held[0];
         let (stop, _, second) = &held[1];
-        assert!(!stop.called_off() && !stop.too_late(*second), "within its window it may be written");
+        assert!(!stop.is_cancelled() && !stop.too_late(*second), "within its window it may be written");
         assert!(stop.too_late(first + LATER), "it waited on its connect past the window of the first");
     });
 }
@@ -110,12 +110,12 @@
 struct Second(Rc<Nodes>, std::cell::Cell<Option<Instant>>, ReplicaId);
 
 impl Transport for Second {
-    type Carried = Carried;
-    async fn call(self: Rc<Self>, call: Call<Self>, stop: Stop) -> Ended {
+    type RequestContext = RequestContext;
+    async fn call(self: Rc<Self>, call: Call<Self>, stop: CancellationToken) -> AttemptResult {
         if self.1.replace(Some(Instant::now())).is_none() {
             return Outcome::Error.into();
         }
-        let call = Call::alone(self.2, call.carried.clone(), call.shard, call.step.clone(), call.deadline);
+        let call = Call::alone(self.2, call.context.clone(), call.shard, call.step.clone(), call.deadline);
         self.0.clone().call(call, stop).await
     }
     fn probe(self: Rc<Self>, _: ReplicaId) -> impl Future<Output = (bool, Option<LoadReport>)> {
@@ -142,19 +142,19 @@
     let nodes = Nodes::new(told.clone(), Rc::new(Descriptors::new(2)), executor.clone(), log);
     let replica = nodes.list(&Entry { name: "n0".to_owned(), address, phase: EndpointState::Ready, born: 0 });
     let transport = Rc::new(Second(nodes.clone(), Default::default(), replica));
-    let core = Core::new(told.settings, 1, 100, executor.clone(), transport.clone()).expect("served");
+    let core = Coordinator::new(told.settings, 1, 100, executor.clone(), transport.clone()).expect("served");
     let listed = |n| Endpoint {
         replica: ReplicaId(n),
         state: EndpointState::Ready,
         weight: 1.0,
         ..Endpoint::default()
     };
-    core.members(EndpointUpdate::Full, (1..7).map(listed).collect());
+    core.update_endpoints(EndpointUpdate::Full, (1..7).map(listed).collect());
     executor.spawn(core.clone().run()).detach();
     let deadline = Instant::now() + common::PATIENCE;
     let alone = |id: &str| {
-        let carried = Rc::new(Carried::new(id.to_owned(), b"s".to_vec()));
-        let (hold, stop) = Stop::new();
+        let carried = Rc::new(RequestContext::new(id.to_owned(), b"s".to_vec()));
+        let (hold, stop) = CancellationToken::new();
         let call = Call::alone(replica, carried, ShardId(0), Step::First, deadline);
         (executor.spawn(nodes.clone().call(call, stop)), hold)
     };
@@ -174,12 +174,12 @@
     async_io::block_on(executor.run(async {
         let before = alone("before");
         is_held.recv().await.expect("held");
-        let late = Carried::new("late".to_owned(), b"s".to_vec());
+        let late = RequestContext::new("late".to_owned(), b"s".to_vec());
         let taken = core.take(common::query(1, late, None)).expect("room");
         let begun = Instant::now();
         go.send(begun).await.expect("heard");
         // Its one attempt may have run, and the other one was never sent: no refusal.
-        assert_eq!(taken.outcome().await, Final::Failed);
+        assert_eq!(taken.outcome().await, QueryOutcome::Failed);
         assert!(transport.1.get().is_some_and(|second| second > begun), "there was a second attempt");
         let behind = alone("behind");
         assert_eq!(
--- a/tests/single_copy.rs
+++ b/tests/single_copy.rs
@@ -10,8 +10,8 @@
 use async_executor::{LocalExecutor, Task};
 use common::*;
 use marlgap::balancer::interface::{EndpointState, Outcome, ReplicaId, ShardId};
-use marlgap::coordinator::{Call, Ended, Step, Stop, Transport};
-use marlgap::net::data_nodes::{Carried, Entry, Nodes};
+use marlgap::coordinator::{AttemptResult, Call, CancellationToken, Step, Transport};
+use marlgap::net::data_nodes::{Entry, Nodes, RequestContext};
 use marlgap::net::descriptors::Descriptors;
 
 struct World {
@@ -41,15 +41,15 @@
         World { executor, nodes, replica, held: Vec::new() }
     }
 
-    fn begin(&mut self, shard: u32, deadline: Instant) -> Task<Ended> {
-        let carried = Rc::new(Carried::new("a1".to_owned(), b"hi".to_vec()));
+    fn begin(&mut self, shard: u32, deadline: Instant) -> Task<AttemptResult> {
+        let carried = Rc::new(RequestContext::new("a1".to_owned(), b"hi".to_vec()));
         let call = Call::alone(self.replica, carried, ShardId(shard), Step::First, deadline);
-        let (hold, stop) = Stop::new();
+        let (hold, stop) = CancellationToken::new();
         self.held.push(hold);
         self.executor.spawn(self.nodes.clone().call(call, stop))
     }
 
-    fn outcome(&self, attempt: Task<Ended>) -> Outcome {
+    fn outcome(&self, attempt: Task<AttemptResult>) -> Outcome {
         async_io::block_on(self.executor.run(attempt)).outcome
     }
 }
--- a/tests/takeover.rs
+++ b/tests/takeover.rs
@@ -142,12 +142,12 @@
 }
 
 impl Transport for Stub {
-    type Carried = ();
-    async fn call(self: Rc<Self>, call: Call<Self>, stop: Stop) -> Ended {
+    type RequestContext = ();
+    async fn call(self: Rc<Self>, call: Call<Self>, stop: CancellationToken) -> AttemptResult {
         while !self.connects.get() {
             self.wake.listen().await;
         }
-        if stop.called_off() {
+        if stop.is_cancelled() {
             return Outcome::NeverSent.into();
         }
         self.notes.borrow_mut().push(format!("sent {}", call.shard.0));
@@ -155,7 +155,7 @@
             true => {
                 let served =
                     Some((Rc::from(format!("v{}", call.shard.0).as_bytes()), f64::from(call.shard.0)));
-                Ended { outcome: Outcome::Succeeded, served, report: None }
+                AttemptResult { outcome: Outcome::Succeeded, served, report: None }
             }
             false => Outcome::Error.into(),
         }
@@ -175,8 +175,8 @@
     me: std::rc::Weak<StubGate>,
 }
 
-impl Gate for StubGate {
-    fn may_send(&self, step: u8, shard: ShardId, attempt: u8) -> Granting {
+impl AttemptGate for StubGate {
+    fn may_send(&self, step: u8, shard: ShardId, attempt: u8) -> PendingGrant {
         self.notes.borrow_mut().push(format!("asked {step} {} {attempt}", shard.0));
         let me = self.me.upgrade().expect("lives");
         Box::pin(async move {
@@ -203,7 +203,7 @@
 
 /// A core over such replicas, and a gate.
 struct Rig {
-    core: Rc<Core<Stub>>,
+    core: Rc<Coordinator<Stub>>,
     stub: Rc<Stub>,
     gate: Rc<StubGate>,
     notes: Notes,
@@ -215,17 +215,17 @@
         let (notes, executor) = (Notes::default(), Rc::new(LocalExecutor::new()));
         let (connects, wake) = (Cell::new(true), event_listener::Event::new());
         let stub = Rc::new(Stub { notes: notes.clone(), connects, wake, serves });
-        let core = Core::new(settings(class), 1, 100, executor.clone(), stub.clone()).expect("served");
-        core.members(EndpointUpdate::Full, (0..6).map(listed).collect());
+        let core = Coordinator::new(settings(class), 1, 100, executor.clone(), stub.clone()).expect("served");
+        core.update_endpoints(EndpointUpdate::Full, (0..6).map(listed).collect());
         executor.spawn(core.clone().run()).detach();
         let (open, held, wake) = (Cell::new(true), Cell::new(true), Rc::default());
         let gate_notes = notes.clone();
         let gate = Rc::new_cyclic(|me| StubGate { notes: gate_notes, open, held, wake, me: me.clone() });
         Rig { core, stub, gate, notes, executor }
     }
-    fn take(&self, shards: u32, earlier: &[(u8, u32, Earlier)]) -> Taken<Stub> {
+    fn take(&self, shards: u32, earlier: &[(u8, u32, PriorProgress)]) -> QueryHandle<Stub> {
         let earlier = earlier.iter().map(|(step, shard, e)| ((*step, ShardId(*shard)), e.clone()));
-        let protection = Some(Protection { gate: self.gate.clone(), earlier: earlier.collect() });
+        let protection = Some(TakeoverProtection { gate: self.gate.clone(), earlier: earlier.collect() });
         self.core.take(common::query(shards, (), protection)).expect("room")
     }
     fn run<T>(&self, future: impl Future<Output = T>) -> T {
@@ -244,8 +244,8 @@
     }
 }
 
-fn earlier(granted: u8, cleared: u8, value: Option<&str>) -> Earlier {
-    Earlier { granted, cleared, value: value.map(|v| (Rc::from(v.as_bytes()), 1.0)) }
+fn earlier(granted: u8, cleared: u8, value: Option<&str>) -> PriorProgress {
+    PriorProgress { granted, cleared, value: value.map(|v| (Rc::from(v.as_bytes()), 1.0)) }
 }
 
 #[test]
@@ -258,7 +258,7 @@
     rig.gate.open.set(true);
     rig.gate.wake.notify(usize::MAX);
     let values = vec![(ShardId(0), Rc::from("v0".as_bytes()))];
-    assert_eq!(rig.run(taken.outcome()), Final::Answered { whole: true, values });
+    assert_eq!(rig.run(taken.outcome()), QueryOutcome::Answered { complete: true, values });
     assert_eq!(rig.noted(), ["sent 0", "value 0 0 v0 0"]);
 }
 
@@ -291,7 +291,7 @@
     rig.gate.held.set(true);
     rig.gate.open.set(true);
     rig.gate.wake.notify(usize::MAX);
-    assert!(matches!(rig.run(taken.outcome()), Final::Answered { whole: true, .. }));
+    assert!(matches!(rig.run(taken.outcome()), QueryOutcome::Answered { complete: true, .. }));
     assert_eq!(rig.noted(), ["sent 0", "value 0 0 v0 0"]);
 }
 
@@ -300,7 +300,7 @@
     for spent in 0..=4 {
         let rig = Rig::new(class(), false);
         let taken = rig.take(1, &[(0, 0, earlier(spent, 0, None))]);
-        assert_eq!(rig.run(taken.outcome()), Final::Refused { retry_after: None });
+        assert_eq!(rig.run(taken.outcome()), QueryOutcome::Rejected { retry_after: None });
         let all: Vec<_> = (spent..4).flat_map(|n| [format!("asked 0 0 {n}"), "sent 0".to_owned()]).collect();
         assert_eq!(rig.noted(), all, "after {spent}");
     }
@@ -311,9 +311,9 @@
     let class = Class { idempotency: Idempotency::NonIdempotent, ..class() };
     let rig = Rig::new(class, true);
     let taken = rig.take(1, &[(0, 0, earlier(1, 0, None))]);
-    assert_eq!((rig.run(taken.outcome()), rig.noted()), (Final::Failed, Vec::new()));
+    assert_eq!((rig.run(taken.outcome()), rig.noted()), (QueryOutcome::Failed, Vec::new()));
     let taken = rig.take(1, &[(0, 0, earlier(1, 1, None))]);
-    assert!(matches!(rig.run(taken.outcome()), Final::Answered { whole: true, .. }));
+    assert!(matches!(rig.run(taken.outcome()), QueryOutcome::Answered { complete: true, .. }));
     assert_eq!(rig.noted(), ["asked 0 0 1", "sent 0", "value 0 0 v0 0"]);
 }
 
@@ -323,7 +323,7 @@
     let taken = rig.take(2, &[(0, 0, earlier(2, 0, Some("old")))]);
     let value = |s, v: &str| (ShardId(s), Rc::from(v.as_bytes()));
     let values = vec![value(0, "old"), value(1, "v1")];
-    assert_eq!(rig.run(taken.outcome()), Final::Answered { whole: true, values });
+    assert_eq!(rig.run(taken.outcome()), QueryOutcome::Answered { complete: true, values });
     assert_eq!(rig.noted(), ["asked 0 1 0", "sent 1", "value 0 1 v1 1"]);
     // Of two steps, all but the last value: the second begins at the best of the first.
     let rig = Rig::new(Class { second_step_parts: 2, ..class() }, true);
@@ -337,6 +337,6 @@
         async_io::Timer::after(common::PATIENCE).await;
         None
     }));
-    assert_eq!(ended, Some(Final::Answered { whole: true, values }));
+    assert_eq!(ended, Some(QueryOutcome::Answered { complete: true, values }));
     assert_eq!(rig.noted(), ["stepped 2", "asked 1 1 0", "sent 1", "value 1 1 v1 1"]);
 }
