--- a/benches/layout.rs
+++ b/benches/layout.rs
@@ -10,7 +10,7 @@
 use std::time::Instant;
 
 use marlgap::balancer::interface::ReplicaId;
-use marlgap::cluster::FleetTime;
+use marlgap::cluster::HybridTimestamp;
 use marlgap::shard_layout::{
     At, Change, District, Edit, Entry, History, Layouts, Limits, Piece, Weight, Which,
 };
@@ -50,7 +50,7 @@
     }
 
     fn apply(&mut self, valid: u64, edits: Vec<Edit>) {
-        let valid = FleetTime::from_ms(valid);
+        let valid = HybridTimestamp::from_ms(valid);
         let change = Change { base: self.layouts.newest().number, lease: 0, valid, ground: None, edits };
         self.layouts.apply(self.layouts.applied() + 1, &Entry::Change(change)).expect("a sound change");
     }
@@ -138,7 +138,7 @@
     // Nothing is behind the horizon: the first version is empty, and all tiles are steps of changes.
     snapshot("all as changes", &ground.layouts);
     // The founding is: the first version has all tiles in full.
-    let closed = FleetTime::from_ms(STEP);
+    let closed = HybridTimestamp::from_ms(STEP);
     let entries = [Entry::Lease { number: 1, life: 1, until: closed, closed }, Entry::Horizon { at: closed }];
     for entry in &entries {
         ground.layouts.apply(ground.layouts.applied() + 1, entry).expect("applied");
@@ -158,7 +158,7 @@
             let layouts = &ground.layouts;
             let now = layouts.newest().valid.plus_ms(1);
             // Times all over the history.
-            let at = |n: usize| At::Past(FleetTime::from_ms(STEP + n as u64 * 7919 % (now.ms - STEP)));
+            let at = |n: usize| At::Past(HybridTimestamp::from_ms(STEP + n as u64 * 7919 % (now.ms - STEP)));
             let rounds = if tiles > 10_000 { 21 } else { 201 };
             let plan = |which: Which<'_>, n: usize| {
                 let routed = layouts.route(which, at(n), now, now).expect("a plan");
--- a/benches/scale/client.rs
+++ b/benches/scale/client.rs
@@ -6,9 +6,9 @@
 use async_executor::LocalExecutor;
 use futures_lite::FutureExt;
 use marlgap::balancer::interface::EndpointUpdate;
-use marlgap::config::settings::{self, Deployment, Unreadable};
+use marlgap::config::settings::{self, Deployment, SettingsParseError};
 use marlgap::coordinator::Coordinator;
-use marlgap::net::data_nodes::Nodes;
+use marlgap::net::data_nodes::DataNodes;
 use marlgap::net::descriptors::Descriptors;
 use marlgap::net::discovery::{Discovery, List};
 use serde_json::json;
@@ -47,7 +47,7 @@
 }
 
 /// A deployment's settings for so many data nodes and zones, its list asked for.
-pub fn deployment(data_nodes: u64, zones: u64) -> Result<Deployment, Unreadable> {
+pub fn deployment(data_nodes: u64, zones: u64) -> Result<Deployment, SettingsParseError> {
     let cells = (data_nodes / IN_CELL).clamp(1, u64::from(u16::MAX));
     let names: Vec<String> = (0..zones.max(1)).map(|n| format!("z{n:02}")).collect();
     let settings = json!({
@@ -70,7 +70,7 @@
 /// A coordinator's discovery client and what it feeds.
 pub struct Client {
     pub discovery: Discovery,
-    core: Rc<Coordinator<Nodes>>,
+    core: Rc<Coordinator<DataNodes>>,
     executor: Rc<LocalExecutor<'static>>,
 }
 
@@ -81,7 +81,7 @@
         let log = slog::Logger::root(slog::Discard, slog::o!());
         let executor = Rc::new(LocalExecutor::new());
         let descriptors = Rc::new(Descriptors::new(DESCRIPTORS));
-        let nodes = Nodes::new(told.clone(), descriptors, executor.clone(), log.clone());
+        let nodes = DataNodes::new(told.clone(), descriptors, executor.clone(), log.clone());
         let core =
             Coordinator::new(told.over_sockets(), SEED, told.max_open, executor.clone(), nodes.clone())
                 .expect("the bench's own settings are sound");
--- a/src/balancer/admission.rs
+++ b/src/balancer/admission.rs
@@ -85,7 +85,7 @@
     pub(super) fn admit(&mut self) {
         if self.pace.limit == 0.0 {
             let all = f64::from(self.s.coordinators.max(1));
-            self.pace.limit = (self.fleet.ready * LIMIT_START / all).max(LIMIT_LEAST);
+            self.pace.limit = (self.replica_stats.ready * LIMIT_START / all).max(LIMIT_LEAST);
         }
         let waiting = self.agenda.waiting();
         if waiting.is_empty() {
--- a/src/balancer/attempts.rs
+++ b/src/balancer/attempts.rs
@@ -44,11 +44,11 @@
         r.used = self.now;
         r.sent.keep(self.now, self.s.slow_start.map_or(0.0, |rule| rule.overload_window));
         r.earned -= 1.0;
-        if let Some(until) = self.fleet.rooms.get_mut(&r.listed.zone).and_then(|room| room.until.as_mut()) {
+        if let Some(until) = self.replica_stats.zones.get_mut(&r.listed.zone).and_then(|room| room.until.as_mut()) {
             *until = self.now + between.max(EJECT);
         }
         self.sent(replica, (part, n), Flight { sent, class, paused, ..Flight::default() });
-        *self.fleet.calls.entry(replica).or_insert(0) += 1;
+        *self.replica_stats.calls.entry(replica).or_insert(0) += 1;
         self.recent.sends.add(self.now);
         if why.is_some_and(|why| why != Why::Failed) {
             self.recent.extras.add(self.now);
@@ -98,7 +98,7 @@
         match out.clone().all(|a| suspect(a) && self.now > a.sent) {
             true => Some(Why::Retry),
             // Guards against hedging all that is out when nothing reaches us at all.
-            false => (!self.fleet.stalled && out.all(|a| now - a.sent > hedge_after)).then_some(Why::Hedge),
+            false => (!self.replica_stats.stalled && out.all(|a| now - a.sent > hedge_after)).then_some(Why::Hedge),
         }
     }
 
@@ -106,7 +106,7 @@
     /// met less often than news of them holds, a hedge goes where an answer came in time just now. Guards a
     /// jammed stretch, where all is late: hedges double its load.
     pub(super) fn again(&mut self, class: &Class, id: PartId, why: Why) {
-        let blind = why == Why::Hedge && self.fleet.seldom;
+        let blind = why == Why::Hedge && self.replica_stats.seldom;
         let Some(part) = self.parts.get(&id) else { return };
         let busy: Vec<_> = part.attempts.iter().filter(|a| a.out()).map(|a| a.replica).collect();
         let crowded = busy.len() >= 2;
@@ -151,7 +151,7 @@
                 self.measure(replica, elapsed);
             }
             let ended = matches!(outcome, Outcome::Cancelled | Outcome::TimedOut);
-            if self.fleet.thin && ended && elapsed.is_finite() {
+            if self.replica_stats.thin && ended && elapsed.is_finite() {
                 self.unanswered_for(replica, elapsed);
             }
             self.steer(part, outcome);
--- a/src/balancer/bookkeeping.rs
+++ b/src/balancer/bookkeeping.rs
@@ -30,7 +30,7 @@
         self.census.hear(id, r.load(), self.now);
         let warm = r.cold_since(self.now, self.s.slow_start).is_none();
         if let Some(rate) = report.rate.filter(|rate| warm && *rate > 0.0) {
-            self.fleet.rates.take(rate, GAIN);
+            self.replica_stats.rates.take(rate, GAIN);
         }
     }
 
@@ -46,7 +46,7 @@
 
     /// Seconds between two sends of ours to one replica.
     pub(crate) fn between(&mut self) -> f64 {
-        RECENT * self.fleet.ready / self.recent.sends.count(self.now - RECENT).max(1.0)
+        RECENT * self.replica_stats.ready / self.recent.sends.count(self.now - RECENT).max(1.0)
     }
 
     /// Replicas that are remembered.
@@ -103,7 +103,7 @@
         self.flights.add(flight.sent, replica, attempt, r.out.insert(attempt, flight));
         let r = &self.replicas[&replica];
         let suspect = r.until(flight.class) > self.now || r.silent() || self.room_lost(r);
-        if self.fleet.rooms.get(&r.listed.zone).is_some_and(|room| room.until.is_some()) {
+        if self.replica_stats.zones.get(&r.listed.zone).is_some_and(|room| room.until.is_some()) {
             self.agenda.touch_all();
         }
         let Some(part) = self.parts.get_mut(&attempt.0) else { return };
@@ -186,7 +186,7 @@
 
     /// Work at the queries that something happened to, or whose time has come, in order.
     pub(crate) fn work_all(&mut self) {
-        let (now, tail, stalled) = (self.now, self.pace.tail, self.fleet.stalled);
+        let (now, tail, stalled) = (self.now, self.pace.tail, self.replica_stats.stalled);
         let hedge = |sent: f64| !stalled && now - sent > HEDGE_TAIL * tail;
         let step = |aim: f64| now >= aim - HEDGE_TAIL * tail;
         self.agenda.wake(now, self.recent.suspect > now, hedge, step, &self.parts);
--- a/src/balancer/endpoints.rs
+++ b/src/balancer/endpoints.rs
@@ -25,7 +25,7 @@
         }
         self.renew = RENEW;
         entries.iter().for_each(|entry| self.list(entry));
-        self.fleet.ready = self.census.ready().max(1) as f64;
+        self.replica_stats.ready = self.census.ready().max(1) as f64;
         self.census.forget_gone(&mut self.replicas, |gone| self.now - gone >= FORGET);
     }
 
--- a/src/balancer/latency.rs
+++ b/src/balancer/latency.rs
@@ -23,7 +23,7 @@
 impl Balancer {
     /// Response times of the whole fleet, by which each replica and each part is judged.
     pub(super) fn measure(&mut self, id: ReplicaId, took: f64) {
-        let (clock, weights) = (self.memory(), [TOOK_WEIGHT[0], TOOK_WEIGHT[usize::from(self.fleet.thin)]]);
+        let (clock, weights) = (self.memory(), [TOOK_WEIGHT[0], TOOK_WEIGHT[usize::from(self.replica_stats.thin)]]);
         self.replicas.get_mut(&id).into_iter().for_each(|r| r.took.take(took, clock, weights));
         self.pace.tail *= 1.0 + GAIN * if took < self.pace.tail { -0.1 } else { 0.9 };
         self.pace.typical += GAIN * (took - self.pace.typical);
@@ -42,12 +42,12 @@
     /// What a warm replica serves at its most, over the mean one: capacity is not told, and the upper part of
     /// the rates that they report bounds it from below. One where no rates are reported.
     pub(super) fn headroom(&self) -> f64 {
-        self.fleet.rates.ratio().clamp(1.0, MOST_HEADROOM)
+        self.replica_stats.rates.ratio().clamp(1.0, MOST_HEADROOM)
     }
 
     /// Now, the half-life of a replica's response time, which lasts until it is met again, and the base.
     fn memory(&self) -> (f64, f64, f64) {
-        let half_life = if self.fleet.thin { TOOK_MEETINGS * self.fleet.between } else { TOOK_HALF };
+        let half_life = if self.replica_stats.thin { TOOK_MEETINGS * self.replica_stats.between } else { TOOK_HALF };
         (self.now, half_life, self.pace.typical)
     }
 
@@ -66,7 +66,7 @@
     /// seldom, as our last queries went, if that is longer. Guards against a jam of a few replicas, which the
     /// mean part hides, and against an overload that is forgotten before our next query is here.
     pub(super) fn expected(&self, class: &Class) -> f64 {
-        let seldom = if self.fleet.seldom { self.query_now() } else { 0.0 };
+        let seldom = if self.replica_stats.seldom { self.query_now() } else { 0.0 };
         let steps = if class.second_step_parts > 0 { STEPS_STRETCH } else { 1.0 };
         seldom.max(self.delay_now() * QUERY_STRETCH) * steps
     }
--- a/src/balancer/mod.rs
+++ b/src/balancer/mod.rs
@@ -50,7 +50,7 @@
     pub(crate) born: f64,
     pub(crate) margin: f64,
     pub(crate) replicas: BTreeMap<ReplicaId, Replica>,
-    pub(crate) fleet: Fleet,
+    pub(crate) replica_stats: ReplicaStats,
     pub(crate) census: Census,
     pub(crate) flights: Flights,
     pub(crate) agenda: Agenda,
@@ -75,7 +75,7 @@
             born: f64::NEG_INFINITY,
             margin: END_MARGIN + 2.0 * settings.round_interval,
             replicas: BTreeMap::new(),
-            fleet: Fleet::default(),
+            replica_stats: ReplicaStats::default(),
             census: Census::default(),
             flights: Flights::default(),
             agenda: Agenda::default(),
@@ -104,22 +104,22 @@
             (self.born, self.renew_at) = (now, Some(now));
         }
         self.now = self.now.max(now);
-        self.fleet.calls.clear();
+        self.replica_stats.calls.clear();
         events.iter().for_each(|event| self.event(event));
         let window =
             self.s.retry_budget.unwrap_or(OWN_BUDGET).window.max(RECENT) + 2.0 * self.s.round_interval;
         self.recent.trim(self.now - window);
         let (now, ramp) = (self.now, self.s.slow_start.map_or(0.0, |rule| rule.ramp));
         self.census.expire(|heard| now - heard >= STALE, |start| now - start >= ramp);
-        self.fleet.average = self.census.average();
-        self.fleet.warm = self.census.warm().max(1) as f64;
+        self.replica_stats.average = self.census.average();
+        self.replica_stats.warm = self.census.warm().max(1) as f64;
         self.earn();
-        self.fleet.between = self.between();
-        self.fleet.thin = self.fleet.between > SELDOM;
-        self.fleet.seldom = now > self.born + RECENT && self.fleet.thin;
+        self.replica_stats.between = self.between();
+        self.replica_stats.thin = self.replica_stats.between > SELDOM;
+        self.replica_stats.seldom = now > self.born + RECENT && self.replica_stats.thin;
         let late = now - self.pace.typical;
         let owing = if self.pace.served < late { self.flights.owing(late) as f64 } else { 0.0 };
-        self.fleet.stalled = owing > 2.0 && 2.0 * owing > self.fleet.ready;
+        self.replica_stats.stalled = owing > 2.0 && 2.0 * owing > self.replica_stats.ready;
         self.subscribe();
         self.watch_silence();
         self.admit();
--- a/src/balancer/outlier_detection.rs
+++ b/src/balancer/outlier_detection.rs
@@ -31,8 +31,8 @@
         r.used = now;
         let zone = r.listed.zone;
         match outcome {
-            Outcome::Succeeded | Outcome::Rejected | Outcome::Error => self.fleet.hear(zone, now),
-            Outcome::ConnectFailed => self.fleet.hush(zone, id, flight.sent, ROOM_LEAST),
+            Outcome::Succeeded | Outcome::Rejected | Outcome::Error => self.replica_stats.hear(zone, now),
+            Outcome::ConnectFailed => self.replica_stats.hush(zone, id, flight.sent, ROOM_LEAST),
             _ => {}
         }
         match outcome {
@@ -41,7 +41,7 @@
                 self.recent.unanswered[usize::from(flight.paused)] *= 1.0 - GAIN;
                 if r.ready() && r.cold_since(now, self.s.slow_start).is_none() {
                     self.recent.borne.add(now);
-                    self.fleet.borne += 1.0;
+                    self.replica_stats.borne += 1.0;
                 }
                 r.whole.served(self.now, flight.sent);
                 r.classes.entry(flight.class).or_default().served(self.now, flight.sent);
@@ -106,9 +106,9 @@
         let limit = self.now - (SILENT_TAIL * self.pace.tail).max(8.0 * self.s.round_interval);
         let (late, between) = (self.now - self.pace.tail, self.between());
         for (id, sent) in self.flights.unheard(late) {
-            self.fleet.hush(self.replicas[&id].listed.zone, id, sent, ROOM_LEAST);
+            self.replica_stats.hush(self.replicas[&id].listed.zone, id, sent, ROOM_LEAST);
         }
-        if self.fleet.lose(self.now + between.max(EJECT), ROOM_LEAST) {
+        if self.replica_stats.lose(self.now + between.max(EJECT), ROOM_LEAST) {
             self.agenda.touch_all();
         }
         for (id, attempt) in self.flights.silent(limit) {
@@ -123,7 +123,7 @@
     /// Whether a whole room is out of the draw. Guards parts where each replica is met seldom: learnt one by
     /// one, a lost room is known when it is back.
     pub(crate) fn room_lost(&self, r: &Replica) -> bool {
-        let room = self.fleet.rooms.get(&r.listed.zone);
+        let room = self.replica_stats.zones.get(&r.listed.zone);
         room.and_then(|room| room.until).is_some_and(|until| until > self.now)
     }
 }
--- a/src/balancer/query_progress.rs
+++ b/src/balancer/query_progress.rs
@@ -28,7 +28,7 @@
         let due = over || self.now >= query.aim - reserve || hope <= share + ROUNDING;
         let begun = !first || held.iter().any(|p| !p.attempts.is_empty());
         // Not begun, and it cannot be done within its aim as parts go now.
-        let margin = if self.fleet.seldom { SELDOM_MARGIN } else { 1.0 };
+        let margin = if self.replica_stats.seldom { SELDOM_MARGIN } else { 1.0 };
         let takes = margin * wide(held.len()) * self.expected(&class);
         let hopeless = !begun && query.aim > self.now && self.now + takes > query.aim;
         let streams = held.iter().any(|p| p.over && p.out());
--- a/src/balancer/replica_selection.rs
+++ b/src/balancer/replica_selection.rs
@@ -19,7 +19,7 @@
         let counts = |sent: f64, since: f64| sent > since && (sent < self.now || !self.has_room(id));
         let (told, since) = match r.load() {
             None => (0.0, f64::NEG_INFINITY),
-            Some(_) => (self.reported(r).unwrap_or(self.fleet.average), r.heard),
+            Some(_) => (self.reported(r).unwrap_or(self.replica_stats.average), r.heard),
         };
         (told + r.out.values().filter(|f| counts(f.sent, since)).count() as f64).round() as i64
     }
@@ -32,7 +32,7 @@
     }
 
     fn has_room(&self, id: ReplicaId) -> bool {
-        self.fleet.calls.get(&id).is_some_and(|n| n % self.s.max_parts_per_call.max(1) != 0)
+        self.replica_stats.calls.get(&id).is_some_and(|n| n % self.s.max_parts_per_call.max(1) != 0)
     }
 
     /// Who may be drawn: healthy holders, else the least bad one. A cold replica with no room left is never
@@ -62,7 +62,7 @@
             pair.swap(i, (self.rng.next_u64() % (i as u64 + 1)) as usize);
         }
         pair.sort_by_key(|id| (!self.has_room(*id), !self.due(*id)));
-        if self.fleet.thin && pair.len() > 2 {
+        if self.replica_stats.thin && pair.len() > 2 {
             let first = |id| self.has_room(id) || self.due(id);
             let took = |id: &ReplicaId| if first(*id) { 0.0 } else { self.usual_time(*id) };
             pair.truncate(DRAWN_SELDOM);
@@ -78,7 +78,7 @@
         let key = |id: &ReplicaId| {
             let r = &self.replicas[id];
             let busy = match (self.s.load_reporting, r.report.utilization) {
-                (LoadReporting::Inline, busy) if !self.fleet.thin || busy.is_some() => {
+                (LoadReporting::Inline, busy) if !self.replica_stats.thin || busy.is_some() => {
                     4.0 * busy.unwrap_or(0.0)
                 }
                 _ => 2.0 * self.usual_time(*id) / self.pace.typical.max(1e-6),
@@ -91,16 +91,16 @@
     /// Each part that a warm replica serves us earns each cold one its share; none just after our start, when
     /// what our former life sent is unknown. Guards against a rush where all are told late and at once.
     pub(super) fn earn(&mut self) {
-        let (Some(rule), now, warm) = (self.s.slow_start, self.now, self.fleet.warm) else { return };
-        let served = std::mem::take(&mut self.fleet.borne) / warm;
+        let (Some(rule), now, warm) = (self.s.slow_start, self.now, self.replica_stats.warm) else { return };
+        let served = std::mem::take(&mut self.replica_stats.borne) / warm;
         let span = RECENT.min(now - self.born).max(rule.overload_window);
-        self.fleet.window = self.recent.borne.count(now - RECENT) / warm * rule.overload_window / span;
+        self.replica_stats.window = self.recent.borne.count(now - RECENT) / warm * rule.overload_window / span;
         let headroom = self.headroom();
         let earns = served > 0.0 && now >= self.born + rule.overload_window;
         for id in self.census.cold(earns) {
             let Some(r) = self.replicas.get_mut(&id) else { continue };
             let share = COLD_CAUTION * r.stands(now, rule) * headroom;
-            r.earned = (r.earned + share * served).min((share * self.fleet.window).max(1.0 - r.phase));
+            r.earned = (r.earned + share * served).min((share * self.replica_stats.window).max(1.0 - r.phase));
         }
     }
 
@@ -109,7 +109,7 @@
     fn cold_room(&mut self, id: ReplicaId) -> bool {
         let (Some(rule), now) = (self.s.slow_start, self.now) else { return true };
         let pause = if now < self.born + rule.overload_window { 0.0 } else { self.pause() };
-        let most = COLD_CAUTION * self.headroom() * self.fleet.window;
+        let most = COLD_CAUTION * self.headroom() * self.replica_stats.window;
         let Some(r) = self.replicas.get_mut(&id) else { return false };
         let share = most * r.stands(now - rule.overload_window / 2.0, rule);
         // What it earns until our next query counts: it would be sent a pause late each time.
@@ -122,6 +122,6 @@
     /// A cold replica met at its turn. Guards its share where it is met seldom, from our start on: drawn by
     /// chance, it would wait as long again; later, all that restarted would spend at once what it earned.
     fn due(&self, id: ReplicaId) -> bool {
-        self.fleet.thin && self.replicas[&id].cold_since(self.now, self.s.slow_start).is_some()
+        self.replica_stats.thin && self.replicas[&id].cold_since(self.now, self.s.slow_start).is_some()
     }
 }
--- a/src/balancer/state/mod.rs
+++ b/src/balancer/state/mod.rs
@@ -162,7 +162,7 @@
 
 /// The replicas as a round begins.
 #[derive(Default)]
-pub struct Fleet {
+pub struct ReplicaStats {
     pub ready: f64,
     /// How many of these are warm, and the mean of the queues that they reported lately.
     pub warm: f64,
@@ -180,7 +180,7 @@
     pub seldom: bool,
     /// The same, from our start on, when we have sent little yet.
     pub thin: bool,
-    pub rooms: BTreeMap<ZoneId, Room>,
+    pub zones: BTreeMap<ZoneId, ZoneHealth>,
     /// When a replica of any room last answered anything.
     pub heard: f64,
     /// Rooms that may be lost: enough of their replicas are silent.
@@ -191,7 +191,7 @@
 
 /// What is known of the replicas of one zone together.
 #[derive(Default)]
-pub struct Room {
+pub struct ZoneHealth {
     /// When one of them last answered anything.
     pub heard: f64,
     /// Those that were sent to since then, and are silent or could not be reached.
@@ -200,17 +200,17 @@
     pub until: Option<f64>,
 }
 
-impl Fleet {
+impl ReplicaStats {
     /// A replica of a room answered just now.
     pub fn hear(&mut self, zone: ZoneId, now: f64) {
-        self.rooms.insert(zone, Room::heard(now));
+        self.zones.insert(zone, ZoneHealth::heard(now));
         self.heard = self.heard.max(now);
     }
 
     /// A replica is silent, or could not be reached, about what it was sent at a time: that is held against
     /// its room, unless that was heard since. So many of them may be a room that is lost.
     pub fn hush(&mut self, zone: ZoneId, id: ReplicaId, sent: f64, least: usize) {
-        let room = self.rooms.entry(zone).or_default();
+        let room = self.zones.entry(zone).or_default();
         if sent > room.heard && room.silent.insert(id) && room.silent.len() >= least {
             self.hushed.insert(zone);
         }
@@ -219,7 +219,7 @@
     /// Rooms with so many silent replicas, not heard since another room was, are lost until then. Whether any
     /// is.
     pub fn lose(&mut self, until: f64, least: usize) -> bool {
-        let (heard, rooms, mut lost) = (self.heard, &mut self.rooms, false);
+        let (heard, rooms, mut lost) = (self.heard, &mut self.zones, false);
         self.hushed.retain(|zone| {
             let Some(room) = rooms.get_mut(zone) else { return false };
             let hushed = room.until.is_none() && room.silent.len() >= least;
@@ -233,10 +233,10 @@
     }
 }
 
-impl Room {
+impl ZoneHealth {
     /// One of its replicas answered just now.
-    pub fn heard(now: f64) -> Room {
-        Room { heard: now, ..Room::default() }
+    pub fn heard(now: f64) -> ZoneHealth {
+        ZoneHealth { heard: now, ..ZoneHealth::default() }
     }
 }
 
--- a/src/cli/show.rs
+++ b/src/cli/show.rs
@@ -3,21 +3,21 @@
 use std::path::Path;
 
 use crate::balancer::interface::{EndpointState, Idempotency, ShardId};
-use crate::config::operator::{Grpc, Operator, OperatorError, Source};
+use crate::config::operator::{Grpc, OperatorConfig, OperatorConfigError, Source};
 use crate::config::settings::Deployment;
 use crate::grpc_routing::{As, Route, ShardFrom};
 use crate::net::dns_sd::watcher;
 use crate::net::dns_sd::zone_file::Server;
 
 /// The servers of a source; what is wrong with its records stands in the file's line.
-fn servers(path: &Path, at: &str, source: &Source) -> Result<Vec<Server>, OperatorError> {
-    let error = |what: String| OperatorError { file: path.into(), path: at.to_owned(), place: None, what };
+fn servers(path: &Path, at: &str, source: &Source) -> Result<Vec<Server>, OperatorConfigError> {
+    let error = |what: String| OperatorConfigError { file: path.into(), path: at.to_owned(), place: None, what };
     watcher::read(source).map_err(|e| error(e.to_string()))
 }
 
 /// Check a file and all that it names; what it would serve, a line each.
-pub fn check(path: &Path) -> Result<String, OperatorError> {
-    let operator = Operator::read(path)?;
+pub fn check(path: &Path) -> Result<String, OperatorConfigError> {
+    let operator = OperatorConfig::read(path)?;
     let mut out = String::new();
     if let Some(api) = &operator.query_api {
         let servers = servers(path, "query_api.records", &api.source)?;
@@ -28,8 +28,8 @@
         let servers = servers(path, "grpc.records", &grpc.source)?;
         let routes = grpc.routes.all().count();
         let _ = writeln!(out, "gRPC on {}: {routes} routes, {} servers", grpc.listen, servers.len());
-        for shard in (0..grpc.told.shards.unwrap_or(0)).map(ShardId) {
-            if holders(&grpc.told, &servers, shard).is_empty() {
+        for shard in (0..grpc.deployment.shards.unwrap_or(0)).map(ShardId) {
+            if holders(&grpc.deployment, &servers, shard).is_empty() {
                 let _ = writeln!(out, "  shard {} has no server that is up", shard.0);
             }
         }
@@ -81,19 +81,19 @@
     call: Option<&str>,
     metadata: &[(String, String)],
     message: Option<&Path>,
-) -> Result<String, OperatorError> {
+) -> Result<String, OperatorConfigError> {
     let error =
-        |at: &str, what: String| OperatorError { file: path.into(), path: at.into(), place: None, what };
-    let operator = Operator::read(path)?;
-    let Grpc { routes, told, source, .. } =
+        |at: &str, what: String| OperatorConfigError { file: path.into(), path: at.into(), place: None, what };
+    let operator = OperatorConfig::read(path)?;
+    let Grpc { routes, deployment, source, .. } =
         operator.grpc.ok_or_else(|| error("grpc", "the file describes no gRPC front".into()))?;
     let Some(call) = call else {
-        return Ok(routes.all().map(|r| line(&told, r) + "\n").collect());
+        return Ok(routes.all().map(|r| line(&deployment, r) + "\n").collect());
     };
     let route = routes
         .find(call)
         .ok_or_else(|| error("grpc.routes", format!("no route for {call}: UNIMPLEMENTED")))?;
-    let mut out = line(&told, route) + "\n";
+    let mut out = line(&deployment, route) + "\n";
     let first =
         message.map(|m| std::fs::read(m).map_err(|e| error("--message", e.to_string()))).transpose()?;
     if route.shard == ShardFrom::Any {
@@ -108,7 +108,7 @@
     let shards = shards.map_err(|e| error("--call", format!("{e}: INVALID_ARGUMENT")))?;
     let servers = servers(path, "grpc.records", &source)?;
     for shard in shards {
-        let held = holders(&told, &servers, shard);
+        let held = holders(&deployment, &servers, shard);
         let held: Vec<String> = held.iter().map(|s| format!("{} ({})", s.name, s.address)).collect();
         let held = if held.is_empty() { "no server that is up".to_owned() } else { held.join(", ") };
         let _ = writeln!(out, "shard {}: {held}", shard.0);
--- a/src/cluster/hybrid_clock.rs
+++ b/src/cluster/hybrid_clock.rs
@@ -21,54 +21,54 @@
 
 /// A point in the fleet's time: Unix ms, and a counter for what happens within one.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub struct FleetTime {
+pub struct HybridTimestamp {
     pub ms: u64,
     pub logical: u32,
 }
 
-impl FleetTime {
-    pub const ZERO: FleetTime = FleetTime { ms: 0, logical: 0 };
-    pub const MAX: FleetTime = FleetTime { ms: u64::MAX, logical: u32::MAX };
+impl HybridTimestamp {
+    pub const ZERO: HybridTimestamp = HybridTimestamp { ms: 0, logical: 0 };
+    pub const MAX: HybridTimestamp = HybridTimestamp { ms: u64::MAX, logical: u32::MAX };
 
-    pub fn new(ms: u64, logical: u32) -> FleetTime {
-        FleetTime { ms, logical }
+    pub fn new(ms: u64, logical: u32) -> HybridTimestamp {
+        HybridTimestamp { ms, logical }
     }
 
     /// The first point of a millisecond.
-    pub fn from_ms(ms: u64) -> FleetTime {
-        FleetTime { ms, logical: 0 }
+    pub fn from_ms(ms: u64) -> HybridTimestamp {
+        HybridTimestamp { ms, logical: 0 }
     }
 
     /// The next point; the last one has none and stays.
-    pub fn next(self) -> FleetTime {
+    pub fn next(self) -> HybridTimestamp {
         match (self.logical.checked_add(1), self.ms.checked_add(1)) {
-            (Some(logical), _) => FleetTime { ms: self.ms, logical },
-            (None, Some(ms)) => FleetTime::from_ms(ms),
-            (None, None) => FleetTime::MAX,
+            (Some(logical), _) => HybridTimestamp { ms: self.ms, logical },
+            (None, Some(ms)) => HybridTimestamp::from_ms(ms),
+            (None, None) => HybridTimestamp::MAX,
         }
     }
 
     /// The point before; the first one has none and stays.
-    pub fn prev(self) -> FleetTime {
+    pub fn prev(self) -> HybridTimestamp {
         match (self.logical.checked_sub(1), self.ms.checked_sub(1)) {
-            (Some(logical), _) => FleetTime { ms: self.ms, logical },
-            (None, Some(ms)) => FleetTime { ms, logical: u32::MAX },
-            (None, None) => FleetTime::ZERO,
+            (Some(logical), _) => HybridTimestamp { ms: self.ms, logical },
+            (None, Some(ms)) => HybridTimestamp { ms, logical: u32::MAX },
+            (None, None) => HybridTimestamp::ZERO,
         }
     }
 
     /// So many ms earlier, at the first point of that millisecond.
-    pub fn less_ms(self, ms: u64) -> FleetTime {
-        FleetTime::from_ms(self.ms.saturating_sub(ms))
+    pub fn less_ms(self, ms: u64) -> HybridTimestamp {
+        HybridTimestamp::from_ms(self.ms.saturating_sub(ms))
     }
 
     /// So many ms later.
-    pub fn plus_ms(self, ms: u64) -> FleetTime {
-        FleetTime { ms: self.ms.saturating_add(ms), logical: self.logical }
+    pub fn plus_ms(self, ms: u64) -> HybridTimestamp {
+        HybridTimestamp { ms: self.ms.saturating_add(ms), logical: self.logical }
     }
 }
 
-impl fmt::Display for FleetTime {
+impl fmt::Display for HybridTimestamp {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(f, "{}.{}", self.ms, self.logical)
     }
@@ -91,29 +91,29 @@
 
 /// A member's hybrid logical clock. Wall time comes in with each call and may step either way.
 #[derive(Clone, Debug)]
-pub struct Clock {
+pub struct HybridClock {
     bound_ms: u64,
-    last: FleetTime,
+    last: HybridTimestamp,
 }
 
-impl Clock {
-    pub fn new(bound_ms: u64) -> Clock {
-        Clock { bound_ms, last: FleetTime::ZERO }
+impl HybridClock {
+    pub fn new(bound_ms: u64) -> HybridClock {
+        HybridClock { bound_ms, last: HybridTimestamp::ZERO }
     }
 
     /// A new stamp, later than all that were given or taken over.
-    pub fn now(&mut self, unix_ms: u64) -> FleetTime {
-        self.last = self.last.next().max(FleetTime::from_ms(unix_ms));
+    pub fn now(&mut self, unix_ms: u64) -> HybridTimestamp {
+        self.last = self.last.next().max(HybridTimestamp::from_ms(unix_ms));
         self.last
     }
 
     /// What [`Clock::now`] would not fall below; stamps nothing.
-    pub fn read(&self, unix_ms: u64) -> FleetTime {
-        self.last.max(FleetTime::from_ms(unix_ms))
+    pub fn read(&self, unix_ms: u64) -> HybridTimestamp {
+        self.last.max(HybridTimestamp::from_ms(unix_ms))
     }
 
     /// A stamp came in. One beyond the bound is refused, and its message with it.
-    pub fn observe(&mut self, unix_ms: u64, theirs: FleetTime) -> Result<FleetTime, Beyond> {
+    pub fn observe(&mut self, unix_ms: u64, theirs: HybridTimestamp) -> Result<HybridTimestamp, Beyond> {
         let ahead_ms = theirs.ms.saturating_sub(unix_ms);
         if ahead_ms > self.bound_ms {
             return Err(Beyond { ahead_ms, bound_ms: self.bound_ms });
--- a/src/cluster/mod.rs
+++ b/src/cluster/mod.rs
@@ -14,7 +14,7 @@
 use std::rc::Rc;
 
 pub use configuration::{ConfigError, Configuration};
-pub use hybrid_clock::FleetTime;
+pub use hybrid_clock::HybridTimestamp;
 
 /// Microseconds on a member's own monotonic clock: only differences count, and only on the member that read it.
 pub type Micros = u64;
--- a/src/config/operator/cluster.rs
+++ b/src/config/operator/cluster.rs
@@ -21,7 +21,7 @@
 
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
-pub(super) struct FleetFile {
+pub(super) struct ClusterSection {
     cluster: String,
     name: String,
     listen: SocketAddr,
@@ -101,7 +101,7 @@
 
 /// The fleet as the file describes it.
 #[derive(Clone)]
-pub struct OperatorFleet {
+pub struct ClusterConfig {
     pub cluster: Rc<str>,
     /// This member.
     pub name: Rc<str>,
@@ -119,7 +119,7 @@
     pub queue: usize,
 }
 
-impl OperatorFleet {
+impl ClusterConfig {
     pub fn zone(&self) -> Rc<str> {
         let me = self.members.iter().find(|m| m.id.name == self.name);
         me.map_or_else(|| "".into(), |m| m.zone.clone())
@@ -127,11 +127,11 @@
 
     /// Guards against a fleet that could not work: the path of what is at fault from the section on, and what.
     pub(super) fn check(
-        file: FleetFile,
+        file: ClusterSection,
         folder: &Path,
         told: &Deployment,
         served: bool,
-    ) -> Result<OperatorFleet, (Vec<Seg>, String)> {
+    ) -> Result<ClusterConfig, (Vec<Seg>, String)> {
         fn bad<T>(keys: &[&str], what: &str) -> Result<T, (Vec<Seg>, String)> {
             Err((keys.iter().map(|k| Seg::Key((*k).into())).collect(), what.into()))
         }
@@ -202,7 +202,7 @@
             lease: (file.lease_ms * 1000.0) as u64,
             drift: file.drift,
         };
-        Ok(OperatorFleet {
+        Ok(ClusterConfig {
             cluster: file.cluster.into(),
             name: file.name.into(),
             listen: file.listen,
--- a/src/config/operator/mod.rs
+++ b/src/config/operator/mod.rs
@@ -11,7 +11,7 @@
 
 use serde::Deserialize;
 
-pub use self::cluster::OperatorFleet;
+pub use self::cluster::ClusterConfig;
 pub use self::locate::{locate, shown, Seg};
 use crate::config::settings::{self, Deployment};
 use crate::connection_pool;
@@ -19,7 +19,7 @@
 
 /// What is wrong with the file, and where: lines and columns count from 1.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct OperatorError {
+pub struct OperatorConfigError {
     pub file: PathBuf,
     /// Keys and indices from the top, as `grpc.routes[2].class`; empty for the file as a whole.
     pub path: String,
@@ -27,7 +27,7 @@
     pub what: String,
 }
 
-impl fmt::Display for OperatorError {
+impl fmt::Display for OperatorConfigError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(f, "{}", self.file.display())?;
         if let Some((line, column)) = self.place {
@@ -42,7 +42,7 @@
     }
 }
 
-impl std::error::Error for OperatorError {}
+impl std::error::Error for OperatorConfigError {}
 
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
@@ -50,7 +50,7 @@
     settings: serde_json::Value,
     query_api: Option<QueryApiFile>,
     grpc: Option<GrpcFile>,
-    fleet: Option<cluster::FleetFile>,
+    fleet: Option<cluster::ClusterSection>,
 }
 
 #[derive(Deserialize)]
@@ -145,7 +145,7 @@
     /// The index of each class, in the order of the settings; `None` where it has none.
     pub indices: Vec<Option<String>>,
     pub shards: u32,
-    pub told: Rc<Deployment>,
+    pub deployment: Rc<Deployment>,
 }
 
 /// The gRPC front as the file describes it.
@@ -158,27 +158,27 @@
     pub front: FrontLimits,
     pub pool: connection_pool::Limits,
     /// The settings with a class more for each effect that a route gives one of them.
-    pub told: Rc<Deployment>,
+    pub deployment: Rc<Deployment>,
 }
 
 /// All that the file says.
-pub struct Operator {
+pub struct OperatorConfig {
     pub query_api: Option<QueryApi>,
     pub grpc: Option<Grpc>,
-    pub fleet: Option<OperatorFleet>,
+    pub cluster: Option<ClusterConfig>,
 }
 
-impl Operator {
+impl OperatorConfig {
     /// Read and check the file; nothing is opened but what it names.
-    pub fn read(path: &Path) -> Result<Operator, OperatorError> {
-        let bare = |what: String| OperatorError { file: path.into(), path: String::new(), place: None, what };
+    pub fn read(path: &Path) -> Result<OperatorConfig, OperatorConfigError> {
+        let bare = |what: String| OperatorConfigError { file: path.into(), path: String::new(), place: None, what };
         let text = std::fs::read_to_string(path).map_err(|e| bare(e.to_string()))?;
-        Operator::parse(&text, path)
+        OperatorConfig::parse(&text, path)
     }
 
     /// Check `text` as the content of `path`, from which relative paths start.
-    pub fn parse(text: &str, path: &Path) -> Result<Operator, OperatorError> {
-        let at = |segments: &[Seg], what: String| OperatorError {
+    pub fn parse(text: &str, path: &Path) -> Result<OperatorConfig, OperatorConfigError> {
+        let at = |segments: &[Seg], what: String| OperatorConfigError {
             file: path.into(),
             path: shown(segments),
             place: locate(text, segments),
@@ -192,7 +192,7 @@
             // The library ends its words with the place, which stands in front of ours.
             let what = what.split(" at line ").next().unwrap_or(&what).to_owned();
             let shown = if shown == "." { String::new() } else { shown };
-            OperatorError { file: path.into(), path: shown, place, what }
+            OperatorConfigError { file: path.into(), path: shown, place, what }
         })?;
         let told = settings::parse(file.settings.to_string().as_bytes()).map_err(|e| {
             // Its words begin with the path inside the settings.
@@ -223,7 +223,7 @@
                 }
             }
             let (listen, source) = (q.listen, source(&q.records, &q.service));
-            Ok(QueryApi { listen, source, indices, shards, told: Rc::new(told.clone()) })
+            Ok(QueryApi { listen, source, indices, shards, deployment: Rc::new(told.clone()) })
         });
         let grpc = file.grpc.map(|g| {
             let key = |keys: &[&str]| keys.iter().map(|k| Seg::Key((*k).into())).collect::<Vec<_>>();
@@ -238,17 +238,17 @@
             g.pool.check().map_err(|(k, what)| at(&key(&["grpc", "pool", k]), what))?;
             let (listen, source) = (g.listen, source(&g.records, &g.service));
             let (rows, front, pool) = (g.routes, g.front, g.pool);
-            Ok(Grpc { listen, source, routes, rows, front, pool, told: Rc::new(told) })
+            Ok(Grpc { listen, source, routes, rows, front, pool, deployment: Rc::new(told) })
         });
         let served = query_api.is_some();
         let fleet = file.fleet.map(|f| {
-            OperatorFleet::check(f, folder, &told, served).map_err(|(inner, what)| {
+            ClusterConfig::check(f, folder, &told, served).map_err(|(inner, what)| {
                 let mut here = vec![Seg::Key("fleet".into())];
                 here.extend(inner);
                 at(&here, what)
             })
         });
-        Ok(Operator { query_api: query_api.transpose()?, grpc: grpc.transpose()?, fleet: fleet.transpose()? })
+        Ok(OperatorConfig { query_api: query_api.transpose()?, grpc: grpc.transpose()?, cluster: fleet.transpose()? })
     }
 }
 
--- a/src/config/platform.rs
+++ b/src/config/platform.rs
@@ -6,8 +6,8 @@
 use std::time::{Duration, Instant};
 
 use crate::balancer::interface::SettingsError;
-use crate::config::operator::{Operator, OperatorError};
-use crate::config::settings::{self, Deployment, Unreadable};
+use crate::config::operator::{OperatorConfig, OperatorConfigError};
+use crate::config::settings::{self, Deployment, SettingsParseError};
 use crate::net::discovery::List;
 use crate::net::{socket, StartError};
 use async_io::Timer;
@@ -33,12 +33,12 @@
     Address(&'static str, String),
     Seed(String),
     Sockets(usize),
-    Unreadable(Unreadable),
+    Unreadable(SettingsParseError),
     Settings(SettingsError),
     Listen(SocketAddr, io::Error),
     Signals(io::Error),
     Start(StartError),
-    Operator(OperatorError),
+    Operator(OperatorConfigError),
 }
 
 impl fmt::Display for ConfigError {
@@ -95,7 +95,7 @@
 pub struct Config {
     pub platform: Option<Platform>,
     /// The fronts of the operator's own file: off unless it is named.
-    pub operator: Option<Operator>,
+    pub operator: Option<OperatorConfig>,
     pub seed: u64,
     pub sockets: usize,
 }
@@ -105,7 +105,7 @@
     pub listen: SocketAddr,
     pub discovery: SocketAddr,
     known: Option<String>,
-    pub told: Deployment,
+    pub deployment: Deployment,
 }
 
 impl Platform {
@@ -122,7 +122,7 @@
     if let Some(path) = operator {
         // With all that it names: bad records at the start end it there; later on they only change nothing.
         crate::cli::check(path).map_err(ConfigError::Operator)?;
-        config.operator = Some(Operator::read(path).map_err(ConfigError::Operator)?);
+        config.operator = Some(OperatorConfig::read(path).map_err(ConfigError::Operator)?);
     }
     let var = |name: &'static str| std::env::var(name).ok();
     match var("RELAY_CONFIG") {
@@ -145,7 +145,7 @@
                 listen: address("RELAY_LISTEN", var("RELAY_LISTEN").or(file.listen))?,
                 discovery: address("RELAY_DISCOVERY", var("RELAY_DISCOVERY").or(file.discovery))?,
                 known: file.known.map(|k| k.get().to_owned()).filter(|k| k != "null"),
-                told,
+                deployment: told,
             });
         }
     }
--- a/src/config/settings.rs
+++ b/src/config/settings.rs
@@ -11,21 +11,21 @@
 
 /// Settings that cannot be read, and where.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Unreadable(pub String);
+pub struct SettingsParseError(pub String);
 
-impl fmt::Display for Unreadable {
+impl fmt::Display for SettingsParseError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(&self.0)
     }
 }
 
-impl std::error::Error for Unreadable {}
+impl std::error::Error for SettingsParseError {}
 
 /// All that a deployment tells a co-ordinator: what its decisions go by, and what its sockets do.
 #[derive(Clone, Debug)]
 pub struct Deployment {
     pub settings: Settings,
-    pub reports: Vec<ReportValue>,
+    pub report_fields: Vec<LoadReportField>,
     /// Empty for one that is not told a name: nobody can ask for it.
     pub class_names: Vec<String>,
     pub tenant_names: Vec<String>,
@@ -35,7 +35,7 @@
     pub shards: Option<u32>,
     /// Queries and parts that may be open at once.
     pub max_open: usize,
-    pub sockets: Sockets,
+    pub connections: ConnectionSettings,
 }
 
 impl Deployment {
@@ -61,17 +61,17 @@
 
 /// How connections to data nodes are kept.
 #[derive(Clone, Copy, Debug)]
-pub struct Sockets {
-    pub connect: Duration,
-    pub idle: Duration,
-    pub streams: usize,
+pub struct ConnectionSettings {
+    pub connect_timeout: Duration,
+    pub idle_timeout: Duration,
+    pub max_streams: usize,
 }
 
 fn plain(v: &Value) -> String {
     v.as_str().unwrap_or_default().to_owned()
 }
 
-fn names_of(v: &Value, path: &str) -> Result<Vec<String>, Unreadable> {
+fn names_of(v: &Value, path: &str) -> Result<Vec<String>, SettingsParseError> {
     let mut names = Vec::new();
     for (i, one) in list(v, path)?.iter().enumerate() {
         let name = match get(one, "Name") {
@@ -89,17 +89,17 @@
 }
 
 /// A load report from its values, in the order in which the settings name them.
-pub fn report(names: &[ReportValue], values: impl Iterator<Item = f64>) -> LoadReport {
+pub fn report(names: &[LoadReportField], values: impl Iterator<Item = f64>) -> LoadReport {
     let mut out = LoadReport::default();
     for (name, value) in names.iter().zip(values) {
         let value = Some(value).filter(|v| v.is_finite());
         match name {
-            ReportValue::Queue => out.queue_depth = value,
-            ReportValue::InFlight => out.in_flight = value,
-            ReportValue::Busy => out.utilization = value,
-            ReportValue::ServiceMs => out.service_time = value.map(|ms| ms / 1000.0),
-            ReportValue::Rate => out.rate = value,
-            ReportValue::Other => {}
+            LoadReportField::Queue => out.queue_depth = value,
+            LoadReportField::InFlight => out.in_flight = value,
+            LoadReportField::Busy => out.utilization = value,
+            LoadReportField::ServiceMs => out.service_time = value.map(|ms| ms / 1000.0),
+            LoadReportField::Rate => out.rate = value,
+            LoadReportField::Other => {}
         }
     }
     out
@@ -107,7 +107,7 @@
 
 /// What a value of a load report stands for.
 #[derive(Clone, Copy, Debug)]
-pub enum ReportValue {
+pub enum LoadReportField {
     Queue,
     InFlight,
     Busy,
@@ -116,14 +116,14 @@
     Other,
 }
 
-fn class(v: &Value, i: usize, c: &Value) -> Result<Class, Unreadable> {
-    let of_class = |e: Unreadable| Unreadable(format!("{e} (class {i})"));
+fn class(v: &Value, i: usize, c: &Value) -> Result<Class, SettingsParseError> {
+    let of_class = |e: SettingsParseError| SettingsParseError(format!("{e} (class {i})"));
     let at = |key: &str| above_zero(c, key).map_err(of_class);
-    let family = |key: &str, default: f64| -> Result<f64, Unreadable> {
+    let family = |key: &str, default: f64| -> Result<f64, SettingsParseError> {
         let path = format!("FamilyInfo.{key}");
         match list(v, &path)?.get(i) {
             None => Ok(default),
-            Some(n) => n.as_f64().ok_or(Unreadable(format!("settings: {path}[{i}] is not a number"))),
+            Some(n) => n.as_f64().ok_or(SettingsParseError(format!("settings: {path}[{i}] is not a number"))),
         }
     };
     let part = |key: &str, default: f64| match family(key, default)? {
@@ -164,9 +164,9 @@
 }
 
 /// Read the settings object, as an instance gets it on the simulator's wire or in a configuration file.
-pub fn parse(bytes: &[u8]) -> Result<Deployment, Unreadable> {
+pub fn parse(bytes: &[u8]) -> Result<Deployment, SettingsParseError> {
     let v: Value =
-        serde_json::from_slice(bytes).map_err(|e| Unreadable(format!("settings are not valid JSON: {e}")))?;
+        serde_json::from_slice(bytes).map_err(|e| SettingsParseError(format!("settings are not valid JSON: {e}")))?;
     form(&v)?;
     let mut classes = Vec::new();
     for (i, c) in list(&v, "Classes")?.iter().enumerate() {
@@ -174,18 +174,18 @@
     }
     let mut tenants = Vec::new();
     for t in list(&v, "Tenants")? {
-        let quota = at_least(t, "QuotaPerS", 0.0).map_err(|e| Unreadable(format!("{e} (Tenants)")))?;
+        let quota = at_least(t, "QuotaPerS", 0.0).map_err(|e| SettingsParseError(format!("{e} (Tenants)")))?;
         tenants.push(Tenant { quota: quota.unwrap_or(f64::MAX) });
     }
     let mut names = Vec::new();
     for name in list(&v, "Reporting.Names")? {
         names.push(match name.as_str() {
-            Some("depth") => ReportValue::Queue,
-            Some("concurrent") => ReportValue::InFlight,
-            Some("load_share") => ReportValue::Busy,
-            Some("mean_ms") => ReportValue::ServiceMs,
-            Some("tps") => ReportValue::Rate,
-            _ => ReportValue::Other,
+            Some("depth") => LoadReportField::Queue,
+            Some("concurrent") => LoadReportField::InFlight,
+            Some("load_share") => LoadReportField::Busy,
+            Some("mean_ms") => LoadReportField::ServiceMs,
+            Some("tps") => LoadReportField::Rate,
+            _ => LoadReportField::Other,
         });
     }
     let reports = match get(&v, "Reporting.How") {
@@ -249,25 +249,25 @@
         hedging: flag(&v, "Limits.SecondCopies")?,
         retry_after,
         // An attempt's number has 8 bits, and the last one stands for none.
-        max_attempts: most_tries.ok_or(Unreadable("settings: Limits.MostTries is missing".into()))?,
+        max_attempts: most_tries.ok_or(SettingsParseError("settings: Limits.MostTries is missing".into()))?,
         round_interval: at_least(&v, "PeriodS", 0.0)?.unwrap_or(0.0),
         retry_budget: budget,
         slow_start: cold,
     };
-    let sockets = Sockets {
-        connect: span(&v, "Limits.ConnectTimeoutS", 0.25)?,
-        idle: span(&v, "Limits.KeepaliveS", 30.0)?,
-        streams: count(&v, "Limits.Multiplex", u32::MAX)?.unwrap_or(1) as usize,
+    let sockets = ConnectionSettings {
+        connect_timeout: span(&v, "Limits.ConnectTimeoutS", 0.25)?,
+        idle_timeout: span(&v, "Limits.KeepaliveS", 30.0)?,
+        max_streams: count(&v, "Limits.Multiplex", u32::MAX)?.unwrap_or(1) as usize,
     };
     Ok(Deployment {
         settings,
-        reports: names,
+        report_fields: names,
         class_names: names_of(&v, "Classes")?,
         tenant_names: names_of(&v, "Tenants")?,
         report_names: list(&v, "Reporting.Names")?.iter().map(plain).collect(),
         zones: list(&v, "Localities")?.iter().map(plain).collect(),
         shards: count(&v, "FamilyInfo.Shards", u32::MAX)?,
         max_open: count(&v, "Limits.OpenCap", u32::MAX)?.map_or(usize::MAX, |n| n as usize),
-        sockets,
+        connections: sockets,
     })
 }
--- a/src/config/settings/read.rs
+++ b/src/config/settings/read.rs
@@ -3,10 +3,10 @@
 
 use serde_json::Value;
 
-use super::Unreadable;
+use super::SettingsParseError;
 
-pub(super) fn bad<T>(text: impl Into<String>) -> Result<T, Unreadable> {
-    Err(Unreadable(text.into()))
+pub(super) fn bad<T>(text: impl Into<String>) -> Result<T, SettingsParseError> {
+    Err(SettingsParseError(text.into()))
 }
 
 /// The least span of a connection's life that is one: under it, it would be closed and opened all the time.
@@ -14,7 +14,7 @@
 /// Spans are kept up to this; no connection lives as long.
 const MOST_SPAN: Duration = Duration::from_secs(86_400);
 
-pub(super) fn span(v: &Value, path: &str, default: f64) -> Result<Duration, Unreadable> {
+pub(super) fn span(v: &Value, path: &str, default: f64) -> Result<Duration, SettingsParseError> {
     let n = at_least(v, path, LEAST_SPAN)?.unwrap_or(default);
     Ok(Duration::try_from_secs_f64(n).unwrap_or(MOST_SPAN).min(MOST_SPAN))
 }
@@ -23,7 +23,7 @@
     path.split('.').try_fold(v, |v, key| v.get(key)).filter(|v| !v.is_null())
 }
 
-pub(super) fn number(v: &Value, path: &str) -> Result<f64, Unreadable> {
+pub(super) fn number(v: &Value, path: &str) -> Result<f64, SettingsParseError> {
     match get(v, path).map(Value::as_f64) {
         Some(Some(n)) => Ok(n),
         Some(None) => bad(format!("settings: {path} is not a number")),
@@ -31,35 +31,35 @@
     }
 }
 
-pub(super) fn optional(v: &Value, path: &str) -> Result<Option<f64>, Unreadable> {
+pub(super) fn optional(v: &Value, path: &str) -> Result<Option<f64>, SettingsParseError> {
     match get(v, path) {
         None => Ok(None),
         Some(_) => number(v, path).map(Some),
     }
 }
 
-pub(super) fn at_least(v: &Value, path: &str, least: f64) -> Result<Option<f64>, Unreadable> {
+pub(super) fn at_least(v: &Value, path: &str, least: f64) -> Result<Option<f64>, SettingsParseError> {
     match optional(v, path)? {
         Some(n) if n < least => bad(format!("settings: {path} is under {least}")),
         n => Ok(n),
     }
 }
 
-pub(super) fn share(v: &Value, path: &str) -> Result<f64, Unreadable> {
+pub(super) fn share(v: &Value, path: &str) -> Result<f64, SettingsParseError> {
     match number(v, path)? {
         n if (0.0..=1.0).contains(&n) => Ok(n),
         _ => bad(format!("settings: {path} is not a share from 0 to 1")),
     }
 }
 
-pub(super) fn above_zero(v: &Value, path: &str) -> Result<f64, Unreadable> {
+pub(super) fn above_zero(v: &Value, path: &str) -> Result<f64, SettingsParseError> {
     match number(v, path)? {
         n if n > 0.0 => Ok(n),
         _ => bad(format!("settings: {path} is not above 0")),
     }
 }
 
-pub(super) fn whole(path: &str, n: f64, least: u32, most: u32) -> Result<u32, Unreadable> {
+pub(super) fn whole(path: &str, n: f64, least: u32, most: u32) -> Result<u32, SettingsParseError> {
     if n.fract() != 0.0 || !(f64::from(least)..=f64::from(most)).contains(&n) {
         return bad(format!("settings: {path} is not a whole number from {least} to {most}"));
     }
@@ -68,12 +68,12 @@
 
 /// How many there may be of something, at least one. Staying under a higher number than we can count to breaks no
 /// rule, so that is cut.
-pub(super) fn count(v: &Value, path: &str, most: u32) -> Result<Option<u32>, Unreadable> {
+pub(super) fn count(v: &Value, path: &str, most: u32) -> Result<Option<u32>, SettingsParseError> {
     let n = optional(v, path)?.map(|n| if n.fract() == 0.0 { n.min(f64::from(most)) } else { n });
     n.map(|n| whole(path, n, 1, most)).transpose()
 }
 
-pub(super) fn flag(v: &Value, path: &str) -> Result<bool, Unreadable> {
+pub(super) fn flag(v: &Value, path: &str) -> Result<bool, SettingsParseError> {
     match get(v, path) {
         None => Ok(false),
         Some(Value::Bool(b)) => Ok(*b),
@@ -81,7 +81,7 @@
     }
 }
 
-pub(super) fn list<'a>(v: &'a Value, path: &str) -> Result<&'a [Value], Unreadable> {
+pub(super) fn list<'a>(v: &'a Value, path: &str) -> Result<&'a [Value], SettingsParseError> {
     match get(v, path) {
         None => Ok(&[]),
         Some(Value::Array(a)) => Ok(a),
@@ -89,7 +89,7 @@
     }
 }
 
-pub(super) fn text<'a>(v: &'a Value, path: &str) -> Result<&'a str, Unreadable> {
+pub(super) fn text<'a>(v: &'a Value, path: &str) -> Result<&'a str, SettingsParseError> {
     match get(v, path) {
         Some(Value::String(s)) => Ok(s),
         Some(_) => bad(format!("settings: {path} is not a text")),
@@ -99,7 +99,7 @@
 
 /// What the parts of the settings have to look like before a key of theirs is read. Guards against figures of a rule
 /// that would be taken for absent.
-pub(super) fn form(v: &Value) -> Result<(), Unreadable> {
+pub(super) fn form(v: &Value) -> Result<(), SettingsParseError> {
     if !v.is_object() {
         return bad("settings: not an object");
     }
--- a/src/main.rs
+++ b/src/main.rs
@@ -16,16 +16,16 @@
 
 use marlgap::balancer::interface::Settings;
 use marlgap::cli::{self, Cli, Command};
-use marlgap::config::operator::{Operator, OperatorError};
+use marlgap::config::operator::{OperatorConfig, OperatorConfigError};
 use marlgap::config::platform::{self, Config, ConfigError, LEAST_SHARED, RESERVED};
 use marlgap::coordinator::{Coordinator, Transport};
-use marlgap::net::cluster::Fleet;
-use marlgap::net::data_nodes::Nodes;
+use marlgap::net::cluster::ClusterNode;
+use marlgap::net::data_nodes::DataNodes;
 use marlgap::net::descriptors::Descriptors;
 use marlgap::net::discovery::Discovery;
-use marlgap::net::http_server::{Acceptor, Closing, STILL_COMING};
-use marlgap::net::platform_api::Front;
-use marlgap::net::{by, grpc, invariants, opensearch, socket};
+use marlgap::net::http_server::{Acceptor, GracefulShutdown, STILL_COMING};
+use marlgap::net::platform_api::PlatformApi;
+use marlgap::net::{timeout_at, grpc, invariants, opensearch, socket};
 use signals::{Request, SignalHandlers};
 
 /// Time between lines of counts.
@@ -50,7 +50,7 @@
     }
 }
 
-fn print(text: Result<String, OperatorError>) -> Result<(), ConfigError> {
+fn print(text: Result<String, OperatorConfigError>) -> Result<(), ConfigError> {
     text.map(|text| print!("{text}")).map_err(ConfigError::Operator)
 }
 
@@ -72,13 +72,13 @@
     executor: Rc<LocalExecutor<'static>>,
     log: Logger,
 ) -> Result<(), ConfigError> {
-    let closing = Rc::new(Closing::default());
+    let closing = Rc::new(GracefulShutdown::default());
     let (query_api, grpc, fleet) =
-        config.operator.map_or((None, None, None), |o| (o.query_api, o.grpc, o.fleet));
+        config.operator.map_or((None, None, None), |o| (o.query_api, o.grpc, o.cluster));
     let fronts = usize::from(config.platform.is_some())
         + usize::from(query_api.is_some())
         + usize::from(grpc.is_some());
-    let members = fleet.as_ref().map_or(0, Fleet::descriptors);
+    let members = fleet.as_ref().map_or(0, ClusterNode::descriptors);
     let all = config.sockets.saturating_sub(RESERVED + members).max(LEAST_SHARED) / fronts.max(1);
     let acceptor = |descriptors: Rc<Descriptors>| {
         Acceptor::new(executor.clone(), closing.clone(), descriptors, log.clone())
@@ -87,7 +87,7 @@
     let apart = Descriptors::new(all);
     let mut accepted = Vec::new();
     // SIGKILL goes by the platform's settings; nobody sends it where there is no platform.
-    let platform_longest = config.platform.as_ref().map(|p| longest(&p.told.settings));
+    let platform_longest = config.platform.as_ref().map(|p| longest(&p.deployment.settings));
     // The last address told is the one that counts.
     let (moved, moves) = async_channel::bounded(1);
 
@@ -95,9 +95,9 @@
         // First of all what may end the start: nothing is logged before it.
         platform.known()?;
         let listener = listen(platform.listen).await?;
-        let told = Rc::new(platform.told.clone());
+        let told = Rc::new(platform.deployment.clone());
         let descriptors = Rc::new(Descriptors::new(all));
-        let nodes = Nodes::new((*told).clone(), descriptors.clone(), executor.clone(), log.clone());
+        let nodes = DataNodes::new((*told).clone(), descriptors.clone(), executor.clone(), log.clone());
         let settings = told.over_sockets();
         let core = Coordinator::new(settings, config.seed, told.max_open, executor.clone(), nodes.clone())
             .map_err(ConfigError::Settings)?;
@@ -108,7 +108,7 @@
         info!(log, "listening"; "name" => &platform.name, "address" => %address);
         let (open, said) = Default::default();
         let (core_of, closing_of) = (core.clone(), closing.clone());
-        let front = Rc::new(Front { core: core_of, told, closing: closing_of, open, log: log.clone(), said });
+        let front = Rc::new(PlatformApi { core: core_of, deployment: told, closing: closing_of, open, log: log.clone(), said });
         let acceptor = acceptor(descriptors);
         let accept = acceptor.clone().accept(listener, move |client| front.clone().serve(client));
         accepted.push((acceptor, executor.spawn(accept)));
@@ -124,11 +124,11 @@
 
     // Made before the fronts, which ask it, and begun after them: they execute what it hands out.
     let listen_at = fleet.as_ref().map(|setup| setup.listen);
-    let fleet = fleet.map(|setup| Fleet::new(&setup, &log));
+    let fleet = fleet.map(|setup| ClusterNode::new(&setup, &log));
     let mut searching = Duration::ZERO;
 
     if let Some(setup) = query_api {
-        searching = longest(&setup.told.settings);
+        searching = longest(&setup.deployment.settings);
         let address = setup.listen;
         let front = opensearch::start(setup, config.seed, apart.kept(), &executor, &closing, &log)
             .map_err(ConfigError::Start)?;
@@ -181,7 +181,7 @@
     let held: usize = accepted.iter().map(|(a, _)| a.held()).sum();
     info!(log, "stopping"; "connections" => held);
     Timer::at(told_at + STILL_COMING).await;
-    closing.rest_no_more();
+    closing.stop_keep_alive();
     if let Some(fleet) = &fleet {
         fleet.leave();
     }
@@ -202,7 +202,7 @@
     };
     // Guards the end against clients that don't read: SIGKILL would come before it.
     let whole = match closing.end() {
-        Some(end) => by(end, ended).await.is_some(),
+        Some(end) => timeout_at(end, ended).await.is_some(),
         None => {
             ended.await;
             true
@@ -229,7 +229,7 @@
         }
     }
     if let (Some(file), Some(front)) = (file, routed) {
-        let read = Operator::read(file).map_err(|e| e.to_string());
+        let read = OperatorConfig::read(file).map_err(|e| e.to_string());
         let rows = read.map(|o| o.grpc.map(|g| g.rows).unwrap_or_default());
         match rows.and_then(|rows| front.reread(&rows).map(|()| rows.len()).map_err(|e| e.what)) {
             Ok(rows) => info!(log, "routes reread"; "routes" => rows),
@@ -256,7 +256,7 @@
     }
 }
 
-async fn count_fleet(fleet: Rc<Fleet>, log: Logger) {
+async fn count_fleet(fleet: Rc<ClusterNode>, log: Logger) {
     loop {
         Timer::at(Instant::now() + COUNTS_EVERY).await;
         info!(log, "fleet counts"; "so far" => ?fleet.counts(), "dropped" => fleet.dropped());
--- a/src/net/cluster/accept.rs
+++ b/src/net/cluster/accept.rs
@@ -12,7 +12,7 @@
 use super::frames::{self, Frame, FrameError};
 use crate::cluster::MemberId;
 use crate::net::buffer::Buffer;
-use crate::net::by;
+use crate::net::timeout_at;
 use crate::net::socket::{self, Accepted, Stream};
 
 /// Connections whose hello is not in: others wait in the machine's backlog. Guards the descriptors.
@@ -39,7 +39,7 @@
             Ok((stream, from)) => {
                 let (driver, take) = (driver.clone(), take.clone());
                 let life = async move {
-                    let greeted = by(Instant::now() + GREET, greet(&driver, &stream)).await;
+                    let greeted = timeout_at(Instant::now() + GREET, greet(&driver, &stream)).await;
                     let _ = take.try_recv();
                     let read = match greeted {
                         Some(Ok((buffer, id))) => read(&driver, &stream, buffer, id).await,
--- a/src/net/cluster/driver.rs
+++ b/src/net/cluster/driver.rs
@@ -20,9 +20,9 @@
 use crate::cluster::bootstrap::first_configuration::{self, Founding};
 use crate::cluster::takeover::{Act, Ask, Counts, Key, May, Reply, Token, Works};
 use crate::cluster::{Configuration, Member, MemberId, Micros};
-use crate::config::operator::OperatorFleet;
+use crate::config::operator::ClusterConfig;
 use crate::coordinator::CancellationToken;
-use crate::net::Ration;
+use crate::net::LogRateLimiter;
 
 /// The connection that a member's frames are read from: the newest one alone.
 type Reader = (u64, Sender<Infallible>);
@@ -54,11 +54,11 @@
     timer_changed: Wake,
     pub idle: Wake,
     log: Logger,
-    log_ration: Ration,
+    log_ration: LogRateLimiter,
 }
 
 impl Driver {
-    pub fn new(setup: &OperatorFleet, log: Logger) -> Rc<Driver> {
+    pub fn new(setup: &ClusterConfig, log: Logger) -> Rc<Driver> {
         let clock = Clock::start();
         let me = MemberId::new(&setup.name, clock.started_unix_us);
         let works = Works::new(me.clone(), setup.rules.clone(), setup.limits.clone());
@@ -87,7 +87,7 @@
             timer_changed: Wake::new(),
             idle: Wake::new(),
             log,
-            log_ration: Ration::default(),
+            log_ration: LogRateLimiter::default(),
             me,
         })
     }
@@ -240,7 +240,7 @@
     }
 
     fn warn(&self, what: &'static str, peer: &dyn fmt::Display, why: &dyn fmt::Display) {
-        if let Some(spared) = self.log_ration.line() {
+        if let Some(spared) = self.log_ration.permit() {
             warn!(self.log, "{}", what; "peer" => %peer, "error" => %why, "spared" => spared);
         }
     }
--- a/src/net/cluster/link.rs
+++ b/src/net/cluster/link.rs
@@ -12,7 +12,7 @@
 use super::outbox::Outbox;
 use crate::cluster::MemberId;
 use crate::net::buffer::Buffer;
-use crate::net::by;
+use crate::net::timeout_at;
 use crate::net::socket::{self, Stream};
 
 /// Rests between two dials: short at first, since a member that restarts is back at once.
@@ -26,7 +26,7 @@
 pub async fn keep(driver: Rc<Driver>, name: Rc<str>, address: SocketAddr, outbox: Rc<Outbox>) {
     let mut rest = REST;
     loop {
-        let greeted = by(Instant::now() + GREET, greet(&driver, &name, address)).await;
+        let greeted = timeout_at(Instant::now() + GREET, greet(&driver, &name, address)).await;
         match greeted.unwrap_or_else(|| Err(io::ErrorKind::TimedOut.into())) {
             Ok((stream, buffer, id, zone)) => {
                 rest = REST;
@@ -83,7 +83,7 @@
             together.clear();
             outbox.take(&mut together).await;
             let mut stream = stream;
-            match by(Instant::now() + WRITE, stream.write_all(&together)).await {
+            match timeout_at(Instant::now() + WRITE, stream.write_all(&together)).await {
                 Some(Ok(())) => {}
                 Some(Err(e)) => return e,
                 None => return io::ErrorKind::TimedOut.into(),
--- a/src/net/cluster/mod.rs
+++ b/src/net/cluster/mod.rs
@@ -21,16 +21,16 @@
 
 use self::driver::Driver;
 pub use self::execution::{Execute, Hold};
-use super::by;
+use super::timeout_at;
 use crate::cluster::takeover::{Ask, Counts, Reply, Token};
 use crate::cluster::{Configuration, MemberId};
-use crate::config::operator::OperatorFleet;
+use crate::config::operator::ClusterConfig;
 
 /// When a client of a member that ends may come again, in seconds: another one takes it at once.
 const ELSEWHERE: f64 = 0.1;
 
 /// This process as a member of its fleet.
-pub struct Fleet {
+pub struct ClusterNode {
     driver: Rc<Driver>,
     /// By class: it is protected.
     protects: Vec<bool>,
@@ -39,16 +39,16 @@
     log: Logger,
 }
 
-impl Fleet {
+impl ClusterNode {
     /// Nothing is listened to or dialled before [`Fleet::begin`].
-    pub fn new(setup: &OperatorFleet, log: &Logger) -> Rc<Fleet> {
+    pub fn new(setup: &ClusterConfig, log: &Logger) -> Rc<ClusterNode> {
         let (driver, log) = (Driver::new(setup, log.clone()), log.clone());
         let protects = setup.rules.iter().map(Option::is_some).collect();
-        Rc::new(Fleet { driver, protects, leaving: Cell::new(false), tasks: Cell::default(), log })
+        Rc::new(ClusterNode { driver, protects, leaving: Cell::new(false), tasks: Cell::default(), log })
     }
 
     /// Descriptors that it needs: the listener, two connections for each other member, and those being greeted.
-    pub fn descriptors(setup: &OperatorFleet) -> usize {
+    pub fn descriptors(setup: &ClusterConfig) -> usize {
         1 + 2 * setup.members.len().saturating_sub(1) + accept::GREETING
     }
 
@@ -132,7 +132,7 @@
                 }
             }
         };
-        by(latest, idle).await;
+        timeout_at(latest, idle).await;
     }
 }
 
--- a/src/net/data_nodes/exchange.rs
+++ b/src/net/data_nodes/exchange.rs
@@ -7,12 +7,12 @@
 use slog::{debug, info, warn};
 
 use super::connection::{ended, Connection, Item, Out, Probe};
-use super::Nodes;
+use super::DataNodes;
 use crate::balancer::interface::*;
 use crate::config::settings;
 use crate::coordinator::AttemptResult;
 use crate::net::buffer::Buffer;
-use crate::net::by;
+use crate::net::timeout_at;
 use crate::net::data_nodes::frames::{self, Frame};
 use crate::net::invariants;
 use crate::net::socket::{self, ConnectError, Stream};
@@ -34,7 +34,7 @@
 /// A connection's room for frames is kept up to this.
 const MOST_KEPT: usize = 16 * 1024;
 
-impl Nodes {
+impl DataNodes {
     /// The life of one connection: come up in time, then write what is queued and read what comes back.
     pub(super) async fn serve(
         self: Rc<Self>,
@@ -42,7 +42,7 @@
         address: SocketAddr,
         connection: Rc<Connection>,
     ) {
-        let latest = Instant::now() + self.told.sockets.connect;
+        let latest = Instant::now() + self.deployment.connections.connect_timeout;
         let closed = async {
             connection.wait(|| connection.closed.get()).await;
             None
@@ -101,7 +101,7 @@
     /// Whether no attempt of a part may run beside another one. Then one that we end by ourselves must be over at its
     /// data node too before the next begins: it ends with the time that it was told, or with its answer.
     fn alone(&self) -> bool {
-        !self.told.settings.hedging
+        !self.deployment.settings.hedging
     }
 
     /// Its descriptor is free, unless it was closed to make way for another and has been counted out before.
@@ -113,13 +113,13 @@
 
     /// Write what is queued. Ends where a frame cannot be written whole: its parts are under way for good.
     async fn write(&self, replica: ReplicaId, connection: &Connection, stream: &mut &Stream) {
-        let idle = self.told.sockets.idle.mul_f64(IDLE_SHARE);
+        let idle = self.deployment.connections.idle_timeout.mul_f64(IDLE_SHARE);
         let mut bytes = Vec::new();
         loop {
-            let streams = self.told.sockets.streams;
+            let streams = self.deployment.connections.max_streams;
             let crowded = !connection.queue.borrow().is_empty();
             let latest = if crowded { Instant::now() + LOOK } else { connection.used.get() + idle };
-            let some = by(latest, connection.wait(|| connection.next(streams).is_some()));
+            let some = timeout_at(latest, connection.wait(|| connection.next(streams).is_some()));
             if some.await.is_none() {
                 let unused = connection.used.get() + idle <= Instant::now();
                 if unused && connection.idle() {
@@ -152,7 +152,7 @@
             let latest =
                 parts.iter().filter_map(|item| item.permit.get()).map(|permit| permit.latest()).min();
             let latest = latest.unwrap_or_else(|| Instant::now() + FRAME_TIME);
-            match by(latest, stream.write_all(&bytes)).await {
+            match timeout_at(latest, stream.write_all(&bytes)).await {
                 Some(Ok(())) => {}
                 Some(Err(_)) => return,
                 None => return self.stalled(replica, connection),
@@ -168,7 +168,7 @@
     /// out on the connection may have run, and its data node may be sound.
     fn stalled(&self, replica: ReplicaId, connection: &Connection) {
         invariants::stalled();
-        if let Some(spared) = self.said.line() {
+        if let Some(spared) = self.said.permit() {
             let unfinished = connection.under_way.borrow().first().map(|item| item.id.clone());
             info!(self.log, "a data node does not read"; "replica" => replica.0, "unfinished" => unfinished,
                 "out" => connection.waiting.borrow().len(), "spared" => spared);
@@ -189,10 +189,10 @@
         let node = nodes.get(&replica).filter(|n| n.phase == EndpointState::Ready);
         let mut queue = connection.queue.borrow_mut();
         let (mut parts, now) = (Vec::new(), Instant::now());
-        let per_call = self.told.settings.max_parts_per_call.max(1) as usize;
+        let per_call = self.deployment.settings.max_parts_per_call.max(1) as usize;
         let at = frames::open(bytes, b'q');
         let transit = if self.alone() { TRANSIT } else { Duration::ZERO };
-        let streams = self.told.sockets.streams;
+        let streams = self.deployment.connections.max_streams;
         loop {
             // The frame's own parts take places too.
             let full = connection.carried(now) + parts.len() >= streams;
@@ -271,7 +271,7 @@
             }
             let used = match frames::parse(buffer.unread()) {
                 Ok(Some((Frame::Error { words }, _))) => {
-                    if let Some(spared) = self.said.line() {
+                    if let Some(spared) = self.said.permit() {
                         warn!(self.log, "data node could not use a frame"; "words" => words, "spared" => spared);
                     }
                     return;
@@ -284,7 +284,7 @@
                     length
                 }
                 // Guards against a length that promises more than ever comes.
-                Ok(None) => match by(begun + FRAME, buffer.fill(stream)).await {
+                Ok(None) => match timeout_at(begun + FRAME, buffer.fill(stream)).await {
                     Some(Ok(n)) if n > 0 => continue,
                     Some(_) => return,
                     None => {
@@ -305,7 +305,7 @@
     /// What came cannot be used, nor can the connection from here on. Behind a good answer, with nothing out,
     /// that costs no more than the connection.
     fn unusable(&self, connection: &Connection, error: impl std::fmt::Display, bytes: &[u8]) {
-        if let Some(spared) = self.said.line() {
+        if let Some(spared) = self.said.permit() {
             warn!(self.log, "unusable frame from a data node"; "error" => %error, "spared" => spared,
                 "out" => connection.waiting.borrow().len());
         }
@@ -366,7 +366,7 @@
     }
 
     fn report(&self, report: &str) -> Option<LoadReport> {
-        let values = self.told.report_names.iter().map(|name| frames::reported(report, name));
-        (report != "-").then(|| settings::report(&self.told.reports, values))
+        let values = self.deployment.report_names.iter().map(|name| frames::reported(report, name));
+        (report != "-").then(|| settings::report(&self.deployment.report_fields, values))
     }
 }
--- a/src/net/data_nodes/mod.rs
+++ b/src/net/data_nodes/mod.rs
@@ -13,9 +13,9 @@
 use futures_lite::FutureExt;
 use slog::{debug, Logger};
 
-use super::by;
+use super::timeout_at;
 use super::descriptors::Descriptors;
-use super::Ration;
+use super::LogRateLimiter;
 use crate::balancer::interface::*;
 use crate::config::settings::Deployment;
 use crate::coordinator::{AttemptResult, Call, CancellationToken, Step, Transport};
@@ -60,7 +60,7 @@
     }
 }
 
-struct Node {
+struct DataNode {
     address: SocketAddr,
     phase: EndpointState,
     /// Since when it is gone, if it is.
@@ -73,7 +73,7 @@
     connections: Vec<Rc<Connection>>,
 }
 
-impl Node {
+impl DataNode {
     /// Note since when it is gone.
     fn leave(&mut self) {
         let since = self.gone.unwrap_or_else(Instant::now);
@@ -82,28 +82,28 @@
 }
 
 /// A data node as discovery lists it, in this co-ordinator's terms.
-pub struct Entry {
+pub struct ListedDataNode {
     pub name: String,
     pub address: SocketAddr,
     pub phase: EndpointState,
     pub born: u64,
 }
 
-pub struct Nodes {
-    nodes: RefCell<BTreeMap<ReplicaId, Node>>,
+pub struct DataNodes {
+    nodes: RefCell<BTreeMap<ReplicaId, DataNode>>,
     names: RefCell<BTreeMap<String, ReplicaId>>,
     /// The last number given; none is given twice.
     last: Cell<u64>,
     /// Connections that were opened so far: the number of the last one.
     opened: Cell<u64>,
-    told: Deployment,
+    deployment: Deployment,
     executor: Rc<LocalExecutor<'static>>,
     log: Logger,
-    said: Ration,
+    said: LogRateLimiter,
     descriptors: Rc<Descriptors>,
 }
 
-impl Nodes {
+impl DataNodes {
     pub fn new(
         told: Deployment,
         descriptors: Rc<Descriptors>,
@@ -111,7 +111,7 @@
         log: Logger,
     ) -> Rc<Self> {
         let (nodes, names, last, opened, said) = Default::default();
-        Rc::new(Nodes { nodes, names, last, opened, told, executor, log, said, descriptors })
+        Rc::new(DataNodes { nodes, names, last, opened, deployment: told, executor, log, said, descriptors })
     }
 
     /// The number under which a data node is known to the module; the same for as long as it is known.
@@ -145,20 +145,20 @@
     }
 
     /// Take over what discovery says of one data node. A drain counts from here on for whatever is queued.
-    pub fn list(&self, entry: &Entry) -> ReplicaId {
+    pub fn list(&self, entry: &ListedDataNode) -> ReplicaId {
         self.list_started(entry, || None).0
     }
 
     /// The same; `started` says when a start that is told first was, on our own clock. It stays as it was told then.
     pub fn list_started(
         &self,
-        entry: &Entry,
+        entry: &ListedDataNode,
         started: impl FnOnce() -> Option<f64>,
     ) -> (ReplicaId, Option<f64>) {
         let id = self.id(&entry.name);
         let mut nodes = self.nodes.borrow_mut();
         let (address, phase, connections) = (entry.address, entry.phase, Vec::new());
-        let new = || Node { address, phase, gone: None, life: 0, born: 0, started: None, connections };
+        let new = || DataNode { address, phase, gone: None, life: 0, born: 0, started: None, connections };
         let node = nodes.entry(id).or_insert_with(new);
         let restarted = send_policy::is_another_start(entry.born, node.born);
         // Guards against waiting on connections to a process that is no more: its machine may have
@@ -196,7 +196,7 @@
         node.connections.retain(|c| !c.closed.get());
         let order = |c: &&Rc<Connection>| (c.quiet(now, QUIET), c.load(), !c.up.get());
         let least = node.connections.iter().min_by_key(order).cloned();
-        let good = |c: &Rc<Connection>| !c.quiet(now, QUIET) && c.load() < self.told.sockets.streams;
+        let good = |c: &Rc<Connection>| !c.quiet(now, QUIET) && c.load() < self.deployment.connections.max_streams;
         let free = least.as_ref().is_some_and(good);
         let life = node.life;
         if free || (least.is_some() && node.connections.len() >= MOST_CONNECTIONS) {
@@ -209,7 +209,7 @@
     /// node. Guards a fleet of more data nodes than there is room for: those met last would get no part at all.
     fn open(
         self: &Rc<Self>,
-        nodes: &mut BTreeMap<ReplicaId, Node>,
+        nodes: &mut BTreeMap<ReplicaId, DataNode>,
         replica: ReplicaId,
     ) -> Option<Rc<Connection>> {
         if !self.descriptors.take() {
@@ -243,12 +243,12 @@
             self.open(&mut nodes, replica)
         };
         let Some(fresh) = fresh else { return true };
-        by(latest, fresh.wait(|| fresh.up.get() || fresh.closed.get())).await;
+        timeout_at(latest, fresh.wait(|| fresh.up.get() || fresh.closed.get())).await;
         fresh.up.get() || fresh.local_failure.get()
     }
 }
 
-impl Transport for Nodes {
+impl Transport for DataNodes {
     type RequestContext = RequestContext;
 
     /// The life of one attempt: a place on a connection, the write, and the one thing that ends it.
@@ -274,10 +274,10 @@
             stop.wait().await;
             Outcome::Cancelled.into()
         };
-        let ended = by(call.deadline, ended.or(stopped)).await;
+        let ended = timeout_at(call.deadline, ended.or(stopped)).await;
         let ended = ended.unwrap_or(Outcome::TimedOut.into());
         if matches!(ended.outcome, Outcome::Cancelled | Outcome::TimedOut) {
-            connection.give_up(&item, self.told.settings.cancellation);
+            connection.give_up(&item, self.deployment.settings.cancellation);
         }
         debug!(self.log, "attempt ended"; "id" => &item.id, "replica" => call.replica.0,
             "outcome" => ?ended.outcome, "connection" => connection.number, "written" => item.permit.get().is_some());
@@ -288,10 +288,10 @@
         let latest = Instant::now() + PROBE_WAIT;
         let Some((connection, _)) = self.connection(replica) else { return (false, None) };
         let letter =
-            if self.told.settings.load_reporting == LoadReporting::OnHealthCheck { b'l' } else { b'p' };
+            if self.deployment.settings.load_reporting == LoadReporting::OnHealthCheck { b'l' } else { b'p' };
         let (send, done) = async_channel::bounded(1);
         connection.push(Out::Probe(letter, send));
-        by(latest, done.recv()).await.and_then(Result::ok).unwrap_or((false, None))
+        timeout_at(latest, done.recv()).await.and_then(Result::ok).unwrap_or((false, None))
     }
 
     fn close_idle(&self, replica: ReplicaId) {
--- a/src/net/discovery/mod.rs
+++ b/src/net/discovery/mod.rs
@@ -16,10 +16,10 @@
 use slog::{info, warn, Logger};
 
 use super::buffer::Buffer;
-use super::data_nodes::{Entry, Nodes};
+use super::data_nodes::{ListedDataNode, DataNodes};
 use super::http::{self, HttpError, Kind};
 use super::socket::{self, ConnectError, Stream};
-use super::{by, Ration};
+use super::{timeout_at, LogRateLimiter};
 use crate::balancer::interface::{self, CellId, Endpoint, EndpointState, EndpointUpdate, ZoneId};
 use crate::coordinator::{Clock, Coordinator};
 use crate::send_policy::{self, StartNotice};
@@ -35,8 +35,8 @@
     address: Cell<SocketAddr>,
     /// Where it is from now on, each time a new configuration says so.
     moves: Receiver<SocketAddr>,
-    core: Rc<Coordinator<Nodes>>,
-    nodes: Rc<Nodes>,
+    core: Rc<Coordinator<DataNodes>>,
+    nodes: Rc<DataNodes>,
     zones: Vec<String>,
     terms: Terms,
     /// When the last call began.
@@ -47,7 +47,7 @@
     slow: Cell<Duration>,
     /// Those of the listed ones that this coordinator works with.
     subset: RefCell<Subset>,
-    said: Ration,
+    said: LogRateLimiter,
     log: Logger,
 }
 
@@ -55,14 +55,14 @@
     pub fn new(
         address: SocketAddr,
         moves: Receiver<SocketAddr>,
-        core: Rc<Coordinator<Nodes>>,
-        nodes: Rc<Nodes>,
+        core: Rc<Coordinator<DataNodes>>,
+        nodes: Rc<DataNodes>,
         told: (interface::Discovery, Vec<String>),
         seed: u64,
         log: Logger,
     ) -> Discovery {
         let (address, called, slow) = (Cell::new(address), Cell::new(Instant::now()), Cell::default());
-        let (terms, zones, said) = (Terms::of(told.0), told.1, Ration::default());
+        let (terms, zones, said) = (Terms::of(told.0), told.1, LogRateLimiter::default());
         let (last_list, subset) = (Cell::new(None), RefCell::new(Subset::new(seed, subsetting::MOST)));
         Discovery { address, moves, core, nodes, zones, terms, called, last_list, slow, subset, said, log }
     }
@@ -94,7 +94,7 @@
             warn!(self.log, "unusable address of a data node"; "host" => &*host.host, "dial" => &*host.dial);
         }
         let address = address.or(unused)?;
-        let entry = Entry { name: host.host.to_string(), address, phase, born: host.born_ms };
+        let entry = ListedDataNode { name: host.host.to_string(), address, phase, born: host.born_ms };
         let (replica, started) = self.nodes.list_started(&entry, || {
             let by_wall_clock = clock.born(host.born_ms)?;
             let now = clock.at(Instant::now());
@@ -197,7 +197,7 @@
             if !self.terms.pushed && !matches!(e, DiscoveryError::Silent) {
                 return e;
             }
-            if let Some(spared) = self.said.line() {
+            if let Some(spared) = self.said.permit() {
                 warn!(self.log, "watch on discovery begun anew"; "error" => %e, "address" => %self.address.get(),
                     "seq" => *seq, "spared" => spared);
             }
@@ -221,7 +221,7 @@
                 http::read(&mut stream, &mut buffer, Kind::Answer, MOST_LIST).await
             };
             let latest = self.called.get() + self.terms.hold + self.terms.late + self.slow.get();
-            let answer = match by(latest, answer).await {
+            let answer = match timeout_at(latest, answer).await {
                 Some(Ok(answer)) => answer,
                 // Closed between two calls, just as we wrote the next one: no failure, and the watch goes on if that
                 // comes in time.
--- a/src/net/grpc/caller.rs
+++ b/src/net/grpc/caller.rs
@@ -12,7 +12,7 @@
 use super::exchange::Exchange;
 use super::status::{Code, Status};
 use super::wire::{self, Framer, Malformed};
-use crate::net::by;
+use crate::net::timeout_at;
 
 pub(super) fn malformed(e: Malformed) -> Status {
     let code =
@@ -165,7 +165,7 @@
         order.sort_by_key(|(shard, _)| *shard);
         let message = wire::concat(order.iter().map(|(_, value)| &value[..]))?;
         self.open(grpc_head()).ok()?;
-        by(deadline, self.write(message)).await?.ok()?;
+        timeout_at(deadline, self.write(message)).await?.ok()?;
         let mut trailers = wire::trailers(&Status::new(Code::Ok, ""));
         let named: Vec<String> = order.iter().map(|(shard, _)| shard.0.to_string()).collect();
         trailers.insert("marlgap-whole", HeaderValue::from_static(if whole { "1" } else { "0" }));
--- a/src/net/grpc/front.rs
+++ b/src/net/grpc/front.rs
@@ -38,8 +38,8 @@
 use crate::config::settings::Deployment;
 use crate::coordinator::{Coordinator, Query, QueryOutcome};
 use crate::grpc_routing::{self, Route, Routes};
-use crate::net::http_server::{Client, Closing};
-use crate::net::{by, Ration};
+use crate::net::http_server::{Client, GracefulShutdown};
+use crate::net::{timeout_at, LogRateLimiter};
 
 /// How long the end of a connection, or of a call, may take to leave.
 const LEAVE: Duration = Duration::from_secs(1);
@@ -50,7 +50,7 @@
 pub struct Table {
     pub routes: Routes,
     /// The settings with the classes of these routes.
-    pub told: Deployment,
+    pub deployment: Deployment,
 }
 
 pub struct Front {
@@ -59,7 +59,7 @@
     pub table: ArcSwap<Table>,
     pub limits: FrontLimits,
     pub budget: Budget,
-    pub closing: Rc<Closing>,
+    pub closing: Rc<GracefulShutdown>,
     /// Calls that are open, by the pattern of their route.
     pub open: RefCell<BTreeMap<String, usize>>,
     pub rng: RefCell<Pcg64Mcg>,
@@ -71,11 +71,11 @@
 /// How many lines of each sort were logged lately.
 #[derive(Default)]
 pub struct Said {
-    bad: Ration,
-    flood: Ration,
-    refused: Ration,
-    unanswered: Ration,
-    gone: Ration,
+    bad: LogRateLimiter,
+    flood: LogRateLimiter,
+    refused: LogRateLimiter,
+    unanswered: LogRateLimiter,
+    gone: LogRateLimiter,
 }
 
 /// Calls of one connection.
@@ -137,7 +137,7 @@
         };
         let shaken = async { Some(builder.handshake::<_, Bytes>(guarded.compat()).await) };
         // Guards against connections that never say what they are.
-        let Some(Some(Ok(mut connection))) = by(latest, shaken.or(unwanted)).await else { return };
+        let Some(Some(Ok(mut connection))) = timeout_at(latest, shaken.or(unwanted)).await else { return };
         let calls = Rc::new(Calls::default());
         let mut ending = false;
         loop {
@@ -192,12 +192,12 @@
                     self.executor.spawn(life).detach();
                 }
                 Next::Flood => {
-                    if let Some(spared) = self.said.flood.line() {
+                    if let Some(spared) = self.said.flood.permit() {
                         let kind = alarm.flood.get().map_or("", |f| f.name());
                         warn!(self.log, "flood on a client's connection"; "frames" => kind, "spared" => spared);
                     }
                     connection.abrupt_shutdown(Reason::ENHANCE_YOUR_CALM);
-                    by(Instant::now() + LEAVE, poll_fn(|cx| connection.poll_closed(cx))).await;
+                    timeout_at(Instant::now() + LEAVE, poll_fn(|cx| connection.poll_closed(cx))).await;
                     return;
                 }
                 Next::Idle => {
@@ -208,7 +208,7 @@
                         let closed = async {
                             while poll_fn(|cx| connection.poll_accept(cx)).await.is_some_and(|c| c.is_ok()) {}
                         };
-                        by(Instant::now() + LEAVE, closed).await;
+                        timeout_at(Instant::now() + LEAVE, closed).await;
                         return;
                     }
                 }
@@ -238,7 +238,7 @@
             }
         };
         if let Err(status) = result {
-            if let Some(spared) = self.said.bad.line() {
+            if let Some(spared) = self.said.bad.permit() {
                 warn!(self.log, "unusable call"; "path" => head.uri.path(), "status" => status.code.name(),
                     "error" => &status.message, "spared" => spared);
             }
@@ -276,7 +276,7 @@
         head: &http::request::Parts,
         client: &mut Caller,
     ) -> Result<(), Status> {
-        let class = table.told.settings.classes.get(usize::from(route.class.0));
+        let class = table.deployment.settings.classes.get(usize::from(route.class.0));
         let class = class.ok_or_else(|| Status::new(Code::Internal, "the route's class is not known"))?;
         let longest = span(class.deadline);
         let deadline = begun + timeout.unwrap_or(longest).min(longest);
@@ -290,7 +290,7 @@
             true => {
                 let taken = client.take(&mut framer, whole);
                 let late = Status::new(Code::DeadlineExceeded, "the request did not come in in time");
-                by(deadline, taken).await.unwrap_or(Err(Some(late))).map_err(|s| s.unwrap_or_else(gone))?
+                timeout_at(deadline, taken).await.unwrap_or(Err(Some(late))).map_err(|s| s.unwrap_or_else(gone))?
             }
         };
         let first = first.freeze();
@@ -332,11 +332,11 @@
         let query =
             Query { class, tenant, deadline, is_retry: repeat, parts, context: carried, protection: None };
         let Some(taken) = self.core.take(query) else {
-            if let Some(spared) = self.said.refused.line() {
+            if let Some(spared) = self.said.refused.permit() {
                 info!(self.log, "refused"; "why" => "as much is open as may be", "path" => head.uri.path(),
                     "open" => self.core.open(), "held" => self.core.open_parts(), "spared" => spared);
             }
-            let retry_after = table.told.settings.retry_after;
+            let retry_after = table.deployment.settings.retry_after;
             let status = Status::new(Code::ResourceExhausted, "as much is open as may be");
             client.end(wire::trailers(&Status { retry_after, ..status }));
             return Ok(());
@@ -349,7 +349,7 @@
             std::future::pending().await
         };
         let relay = Box::pin(client.relay(&exchange, framer));
-        let ended = by(deadline, relay.or(outcome)).await;
+        let ended = timeout_at(deadline, relay.or(outcome)).await;
         if let Some(Err(Left::Malformed(e))) = ended {
             // Dropping what was taken withdraws it.
             drop(taken);
@@ -357,7 +357,7 @@
         }
         if let Some(Err(Left::Gone)) = ended {
             // Dropping what was taken withdraws it.
-            if let Some(spared) = self.said.gone.line() {
+            if let Some(spared) = self.said.gone.permit() {
                 info!(self.log, "client gone"; "path" => head.uri.path(),
                     "after_ms" => begun.elapsed().as_millis() as u64, "spared" => spared);
             }
@@ -379,7 +379,7 @@
                 let begun_to_answer = matches!(client.side, Side::Body(_));
                 let last = exchange.last.borrow();
                 let status = status::ended(outcome, last.as_ref(), begun_to_answer, out_of_time);
-                if let Some(spared) = self.said.unanswered.line() {
+                if let Some(spared) = self.said.unanswered.permit() {
                     info!(self.log, "not answered"; "path" => head.uri.path(), "status" => status.code.name(),
                         "outcome" => ?outcome, "after_ms" => begun.elapsed().as_millis() as u64, "spared" => spared);
                 }
--- a/src/net/grpc/front/checks.rs
+++ b/src/net/grpc/front/checks.rs
@@ -38,7 +38,7 @@
         if *held >= most {
             let status =
                 Status::new(Code::ResourceExhausted, "as many calls of this method are open as may be");
-            return Err(Status { retry_after: table.told.settings.retry_after, ..status });
+            return Err(Status { retry_after: table.deployment.settings.retry_after, ..status });
         }
         *held += 1;
         Ok(Some(OfRoute(self, &route.pattern)))
@@ -47,7 +47,7 @@
     /// grpc.health.v1.Health, of the front itself.
     pub(super) async fn health(&self, path: &str, mut client: Caller) {
         let mut framer = Framer::new(1024, false);
-        let taken = by(Instant::now() + LEAVE, client.take(&mut framer, true)).await;
+        let taken = timeout_at(Instant::now() + LEAVE, client.take(&mut framer, true)).await;
         let Some(Ok(message)) = taken else {
             return client
                 .end(wire::trailers(&Status::new(Code::InvalidArgument, "no request that can be read")));
@@ -67,7 +67,7 @@
                 Ok(message) => {
                     let sent = client.open(grpc_head()).is_ok();
                     if sent
-                        && by(Instant::now() + LEAVE, client.write(message)).await.is_some_and(|w| w.is_ok())
+                        && timeout_at(Instant::now() + LEAVE, client.write(message)).await.is_some_and(|w| w.is_ok())
                     {
                         client.end(wire::trailers(&Status::new(Code::Ok, "")));
                     }
@@ -92,7 +92,7 @@
                     }
                     // Seldom enough to cost nothing, often enough for a balancer in front of us.
                     let later = Instant::now() + Duration::from_millis(200);
-                    if by(later, client.gone()).await.is_some() {
+                    if timeout_at(later, client.gone()).await.is_some() {
                         return;
                     }
                 }
--- a/src/net/grpc/mod.rs
+++ b/src/net/grpc/mod.rs
@@ -25,7 +25,7 @@
 use self::replay::Budget;
 use self::servers::Servers;
 use super::dns_sd::watcher::Watch;
-use super::http_server::Closing;
+use super::http_server::GracefulShutdown;
 use super::StartError;
 use crate::config::operator::Grpc;
 use crate::coordinator::Coordinator;
@@ -36,21 +36,21 @@
     seed: u64,
     descriptors: usize,
     executor: &Rc<LocalExecutor<'static>>,
-    closing: &Rc<Closing>,
+    closing: &Rc<GracefulShutdown>,
     log: &Logger,
 ) -> Result<Rc<Front>, StartError> {
-    let Grpc { source, routes, front: limits, pool, told, .. } = setup;
+    let Grpc { source, routes, front: limits, pool, deployment, .. } = setup;
     let (executor_of, log_of) = (executor.clone(), log.clone());
-    let servers = Servers::new(told.sockets, pool, limits.clone(), descriptors, seed, executor_of, log_of);
-    let settings = told.settings.clone();
-    let core = Coordinator::new(settings, seed, told.max_open, executor.clone(), servers.clone())
+    let servers = Servers::new(deployment.connections, pool, limits.clone(), descriptors, seed, executor_of, log_of);
+    let settings = deployment.settings.clone();
+    let core = Coordinator::new(settings, seed, deployment.max_open, executor.clone(), servers.clone())
         .map_err(StartError::Settings)?;
-    let (core_of, servers_of, zones) = (core.clone(), servers.clone(), told.zones.clone());
+    let (core_of, servers_of, zones) = (core.clone(), servers.clone(), deployment.zones.clone());
     let watch = Watch::begin(core_of, servers_of, zones, source, "gRPC", log.clone());
     executor.spawn(core.clone().run()).detach();
     executor.spawn(servers.clone().keep()).detach();
     executor.spawn(watch.map_err(StartError::Source)?.run()).detach();
-    let table = ArcSwap::from_pointee(Table { routes, told: (*told).clone() });
+    let table = ArcSwap::from_pointee(Table { routes, deployment: (*deployment).clone() });
     let (budget, rng) = (Budget::new(limits.replay_all), Pcg64Mcg::seed_from_u64(!seed).into());
     let (executor, closing, log) = (executor.clone(), closing.clone(), log.clone());
     let (open, said) = Default::default();
@@ -62,7 +62,7 @@
     /// says holds from the next start on.
     pub fn reread(&self, rows: &[crate::grpc_routing::Row]) -> Result<(), crate::grpc_routing::RowError> {
         let old = self.table.load_full();
-        let mut told = old.told.clone();
+        let mut told = old.deployment.clone();
         let known = told.settings.classes.len();
         let shards = told.shards.unwrap_or(1);
         let routes = crate::grpc_routing::Routes::compile(rows, &mut told, shards, self.limits.message)?;
@@ -72,7 +72,7 @@
             what: e.to_string(),
         };
         self.core.extend(&told.settings.classes[known..]).map_err(unfit)?;
-        self.table.store(std::sync::Arc::new(Table { routes, told }));
+        self.table.store(std::sync::Arc::new(Table { routes, deployment: told }));
         Ok(())
     }
 }
--- a/src/net/grpc/servers.rs
+++ b/src/net/grpc/servers.rs
@@ -21,13 +21,13 @@
 use super::exchange::Exchange;
 use crate::balancer::interface::*;
 use crate::config::operator::FrontLimits;
-use crate::config::settings::Sockets;
+use crate::config::settings::ConnectionSettings;
 use crate::connection_pool::{Assign, ConnectionId, Do, Limits, Pool, Why};
 use crate::coordinator::{AttemptResult, Call, CancellationToken, Clock, Transport};
 use crate::net::dns_sd::watcher::{Book, Change, Follows};
 use crate::net::dns_sd::zone_file::Server;
 use crate::net::socket::{self, Stream};
-use crate::net::{by, Ration};
+use crate::net::{timeout_at, LogRateLimiter};
 
 /// Time between looks at what is due for connections: a fifth of the least limit that goes by it.
 const LOOK: Duration = Duration::from_millis(20);
@@ -61,14 +61,14 @@
     /// Calls that wait for a place, by server.
     waiting: RefCell<BTreeMap<ReplicaId, usize>>,
     changed: Wake,
-    sockets: Sockets,
+    sockets: ConnectionSettings,
     pub(super) limits: FrontLimits,
     /// Descriptors that connections may take.
     room: usize,
     rng: RefCell<Pcg64Mcg>,
     executor: Rc<LocalExecutor<'static>>,
     log: Logger,
-    said: Ration,
+    said: LogRateLimiter,
 }
 
 impl Follows for Servers {
@@ -94,7 +94,7 @@
 
 impl Servers {
     pub fn new(
-        sockets: Sockets,
+        sockets: ConnectionSettings,
         pool: Limits,
         limits: FrontLimits,
         room: usize,
@@ -147,7 +147,7 @@
         match act {
             Do::Ping(_) => link.ask.set(true),
             Do::Close(_, why) => {
-                if let Some(spared) = matches!(why, Why::Silent).then(|| self.said.line()).flatten() {
+                if let Some(spared) = matches!(why, Why::Silent).then(|| self.said.permit()).flatten() {
                     info!(self.log, "connection to a server given up"; "why" => "no answer to a PING",
                         "connection" => id.0, "spared" => spared);
                 }
@@ -220,13 +220,13 @@
 
     /// The life of one connection: come up in time, with its server's settings in, then carry calls.
     async fn serve(self: Rc<Self>, id: ConnectionId, link: Rc<Link>, address: SocketAddr) {
-        let latest = Instant::now() + self.sockets.connect;
+        let latest = Instant::now() + self.sockets.connect_timeout;
         let closed = async {
             link.until(|| link.closed.get()).await;
             None
         };
         let up = async { self.come_up(id, &link, address).await };
-        let up = by(latest, up.or(closed)).await.flatten();
+        let up = timeout_at(latest, up.or(closed)).await.flatten();
         self.changed.notify(usize::MAX);
         match up {
             None => {
@@ -266,7 +266,7 @@
         link: &Link,
         address: SocketAddr,
     ) -> Option<(Carrier, PingPong)> {
-        let latest = Instant::now() + self.sockets.connect;
+        let latest = Instant::now() + self.sockets.connect_timeout;
         let stream = socket::connect(address, latest).await.ok()?;
         stream.set_nodelay();
         let limits = &self.limits;
@@ -365,14 +365,14 @@
         };
         // On the heap: as it stands it would be moved, kilobytes of it, at each layer round it.
         let attempt = Box::pin(self.attempt(&call, &stop));
-        let ended = by(call.deadline, attempt.or(stopped)).await;
+        let ended = timeout_at(call.deadline, attempt.or(stopped)).await;
         ended.unwrap_or(Outcome::TimedOut.into())
     }
 
     /// A server answers when a connection to it is up.
     async fn probe(self: Rc<Self>, replica: ReplicaId) -> (bool, Option<LoadReport>) {
         let latest = Instant::now() + PROBE_WAIT;
-        (by(latest, self.place(replica)).await.is_some_and(|place| place.is_ok()), None)
+        (timeout_at(latest, self.place(replica)).await.is_some_and(|place| place.is_ok()), None)
     }
 
     fn close_idle(&self, _: ReplicaId) {
--- a/src/net/http_server/acceptor.rs
+++ b/src/net/http_server/acceptor.rs
@@ -12,10 +12,10 @@
 use futures_lite::FutureExt;
 use slog::{warn, Logger};
 
-use super::{Client, Closing};
+use super::{Client, GracefulShutdown};
 use crate::net::descriptors::Descriptors;
 use crate::net::socket::{self, Accepted, Stream};
-use crate::net::{by, Ration};
+use crate::net::{timeout_at, LogRateLimiter};
 
 /// For how long a connection is left alone though others wait for room: one that rests between requests, and
 /// one whose first request is not in. Clients that have something to ask send it at once.
@@ -120,7 +120,7 @@
 /// Accept connections up to a number, each served by a task of its own.
 pub struct Acceptor {
     executor: Rc<LocalExecutor<'static>>,
-    closing: Rc<Closing>,
+    closing: Rc<GracefulShutdown>,
     seats: RefCell<BTreeMap<u64, Rc<Seat>>>,
     /// Connections that were accepted so far.
     accepted: Cell<u64>,
@@ -129,13 +129,13 @@
     /// Three quarters of the room are taken.
     crowded: Rc<Cell<bool>>,
     log: Logger,
-    said: Ration,
+    said: LogRateLimiter,
 }
 
 impl Acceptor {
     pub fn new(
         executor: Rc<LocalExecutor<'static>>,
-        closing: Rc<Closing>,
+        closing: Rc<GracefulShutdown>,
         descriptors: Rc<Descriptors>,
         log: Logger,
     ) -> Rc<Self> {
@@ -178,7 +178,7 @@
         while self.full() {
             let (freed, now) = (self.freed.listen(), Instant::now());
             let wait = self.make_way(now);
-            by(now + wait, freed.or(self.closing.idle())).await;
+            timeout_at(now + wait, freed.or(self.closing.idle())).await;
         }
     }
 
@@ -211,7 +211,7 @@
                     continue;
                 }
                 Accepted::Local(e) => {
-                    if let Some(spared) = self.said.line() {
+                    if let Some(spared) = self.said.permit() {
                         warn!(self.log, "could not accept a connection"; "error" => %e, "spared" => spared);
                     }
                     let now = Instant::now();
--- a/src/net/http_server/closing.rs
+++ b/src/net/http_server/closing.rs
@@ -25,7 +25,7 @@
 const _: () = assert!(STILL_COMING.as_millis() + LAST.as_millis() < LATE.as_millis());
 
 #[derive(Default)]
-pub struct Closing {
+pub struct GracefulShutdown {
     /// No new work is wanted: answers say that the connection closes.
     pub begun: Cell<bool>,
     /// Connections between requests are closed.
@@ -36,7 +36,7 @@
     wake: Wake,
 }
 
-impl Closing {
+impl GracefulShutdown {
     /// SIGTERM came at `now`. Where SIGKILL goes by it, `longest` is the longest deadline of all classes.
     pub fn begin(&self, now: Instant, longest: Option<Duration>) {
         self.begun.set(true);
@@ -46,7 +46,7 @@
     }
 
     /// Connections are no longer accepted, nor may they rest.
-    pub fn rest_no_more(&self) {
+    pub fn stop_keep_alive(&self) {
         self.idle.set(true);
         self.wake.notify(usize::MAX);
     }
--- a/src/net/http_server/mod.rs
+++ b/src/net/http_server/mod.rs
@@ -12,13 +12,13 @@
 use self::acceptor::{Doing, Seat};
 use self::input::Input;
 use super::buffer::Buffer;
-use super::by;
+use super::timeout_at;
 use super::http::{self, Answer, HttpError, Kind, Message, Reader};
 use super::invariants;
 use super::socket::Stream;
 use crate::send_policy::{self, Answered};
 pub use acceptor::Acceptor;
-pub use closing::{Closing, STILL_COMING};
+pub use closing::{GracefulShutdown, STILL_COMING};
 
 /// How long a connection may rest between requests, and an answer may take to leave.
 const IDLE: Duration = Duration::from_secs(60);
@@ -42,7 +42,7 @@
     stream: Stream,
     input: Input,
     seat: Rc<Seat>,
-    closing: Rc<Closing>,
+    closing: Rc<GracefulShutdown>,
     crowded: Rc<Cell<bool>>,
     accepted: Instant,
     /// Whether a request of its has come in.
@@ -53,7 +53,7 @@
     fn new(
         stream: Stream,
         seat: Rc<Seat>,
-        closing: Rc<Closing>,
+        closing: Rc<GracefulShutdown>,
         crowded: Rc<Cell<bool>>,
         accepted: Instant,
         unseen: Instant,
@@ -123,7 +123,7 @@
             closing.idle().or(seat.unwanted()).await;
             None
         };
-        match by(latest, some.or(closed)).await.flatten() {
+        match timeout_at(latest, some.or(closed)).await.flatten() {
             Some(Ok(n)) if n > 0 => Ok(()),
             Some(_) => Err(HttpError::Ended),
             None => {
@@ -167,7 +167,7 @@
             closing.late().or(seat.unwanted()).await;
             Err(HttpError::Unwanted)
         };
-        let message = by(latest, whole.or(closed)).await.unwrap_or(Err(HttpError::Late));
+        let message = timeout_at(latest, whole.or(closed)).await.unwrap_or(Err(HttpError::Late));
         if message.is_ok() {
             self.asked = true;
             self.seat.set(Doing::Working);
@@ -208,7 +208,7 @@
     /// answered too.
     async fn send(&mut self, answer: &Answer, keep_alive: bool, leave: Duration, owed: bool) -> bool {
         let bytes = answer.bytes(keep_alive);
-        let written = by(Instant::now() + leave, (&self.stream).write_all(&bytes)).await;
+        let written = timeout_at(Instant::now() + leave, (&self.stream).write_all(&bytes)).await;
         if matches!(written, Some(Ok(()))) && !keep_alive {
             self.leave(owed).await;
         }
@@ -236,6 +236,6 @@
                 }
             }
         };
-        by(Instant::now() + LINGER, drained.or(seat.closed())).await;
+        timeout_at(Instant::now() + LINGER, drained.or(seat.closed())).await;
     }
 }
--- a/src/net/mod.rs
+++ b/src/net/mod.rs
@@ -41,7 +41,7 @@
 impl std::error::Error for StartError {}
 
 /// What `work` gives, or `None` if `deadline` comes first.
-pub async fn by<T>(deadline: Instant, work: impl Future<Output = T>) -> Option<T> {
+pub async fn timeout_at<T>(deadline: Instant, work: impl Future<Output = T>) -> Option<T> {
     let work = async { Some(work.await) };
     let late = async {
         Timer::at(deadline).await;
@@ -53,27 +53,27 @@
 /// Bounds how many log lines of one sort are written. Guards the little processor time that there is against a
 /// flood of one cause: a line for each costs more than what it tells of.
 #[derive(Default)]
-pub struct Ration {
+pub struct LogRateLimiter {
     second: Cell<Option<Instant>>,
     written: Cell<u32>,
-    spared: Cell<u64>,
+    suppressed: Cell<u64>,
 }
 
-impl Ration {
+impl LogRateLimiter {
     const A_SECOND: u32 = 5;
 
     /// Whether a line may be written now, and how many were spared since the last one.
-    pub fn line(&self) -> Option<u64> {
+    pub fn permit(&self) -> Option<u64> {
         let now = Instant::now();
         if self.second.get().is_none_or(|s| now >= s + Duration::from_secs(1)) {
             self.second.set(Some(now));
             self.written.set(0);
         }
         if self.written.get() == Self::A_SECOND {
-            self.spared.set(self.spared.get() + 1);
+            self.suppressed.set(self.suppressed.get() + 1);
             return None;
         }
         self.written.set(self.written.get() + 1);
-        Some(self.spared.take())
+        Some(self.suppressed.take())
     }
 }
--- a/src/net/opensearch/mod.rs
+++ b/src/net/opensearch/mod.rs
@@ -15,7 +15,7 @@
 use self::query_api::Front;
 use self::servers::Servers;
 use super::dns_sd::watcher::Watch;
-use super::http_server::Closing;
+use super::http_server::GracefulShutdown;
 use super::StartError;
 use crate::config::operator::QueryApi;
 use crate::coordinator::Coordinator;
@@ -26,11 +26,11 @@
     seed: u64,
     descriptors: usize,
     executor: &Rc<LocalExecutor<'static>>,
-    closing: &Rc<Closing>,
+    closing: &Rc<GracefulShutdown>,
     log: &Logger,
 ) -> Result<Rc<Front>, StartError> {
-    let QueryApi { source, indices, shards, told: deployment, .. } = setup;
-    let servers = Servers::new(deployment.sockets, descriptors, log.clone());
+    let QueryApi { source, indices, shards, deployment, .. } = setup;
+    let servers = Servers::new(deployment.connections, descriptors, log.clone());
     let settings = deployment.settings.clone();
     let core = Coordinator::new(settings, seed, deployment.max_open, executor.clone(), servers.clone())
         .map_err(StartError::Settings)?;
--- a/src/net/opensearch/protected.rs
+++ b/src/net/opensearch/protected.rs
@@ -16,8 +16,8 @@
 use crate::cluster::takeover::{Ask, Key, Part, Record, Reply};
 use crate::coordinator::{AttemptGate, PendingGrant, PriorProgress, TakeoverProtection, Value};
 use crate::net::buffer::Buffer;
-use crate::net::by;
-use crate::net::cluster::{Execute, Fleet, Hold};
+use crate::net::timeout_at;
+use crate::net::cluster::{Execute, ClusterNode, Hold};
 use crate::net::http::{Answer, Message};
 
 /// The longest id that a search can be asked for under, in bytes.
@@ -28,7 +28,7 @@
 impl Front {
     /// Ask the fleet for the searches of its protected classes from here on, and execute those that fall to this
     /// member. The first fleet stays.
-    pub fn join(self: &Rc<Self>, fleet: Rc<Fleet>, executor: &Rc<LocalExecutor<'static>>) {
+    pub fn join(self: &Rc<Self>, fleet: Rc<ClusterNode>, executor: &Rc<LocalExecutor<'static>>) {
         let executor = executor.clone();
         if self.joined.set(Joined { fleet: fleet.clone(), executor }).is_ok() {
             fleet.executes(self.clone());
@@ -41,7 +41,7 @@
         message: &Message,
         buffer: &Buffer,
         ready: &Ready,
-    ) -> Option<(Rc<Fleet>, Ask)> {
+    ) -> Option<(Rc<ClusterNode>, Ask)> {
         let fleet = &self.joined.get()?.fleet;
         let class = ready.query.class.0;
         let Some(Ok(id)) = message.only(buffer, "X-Opaque-Id").filter(|_| fleet.protects(class)) else {
@@ -59,9 +59,9 @@
     }
 
     /// The fleet's answer to a search. `None`: it is to be run here, without protection.
-    pub(super) async fn asked(&self, fleet: &Fleet, ask: Ask, deadline: Instant) -> Option<Answer> {
+    pub(super) async fn asked(&self, fleet: &ClusterNode, ask: Ask, deadline: Instant) -> Option<Answer> {
         let latest = deadline.checked_add(FORGOTTEN).unwrap_or(deadline);
-        let reply = by(latest, fleet.ask(ask)).await.unwrap_or(Reply::Late);
+        let reply = timeout_at(latest, fleet.ask(ask)).await.unwrap_or(Reply::Late);
         Some(match reply {
             Reply::Outcome(bytes) => match outcome::decode(&bytes) {
                 Ok(answer) => answer,
@@ -126,7 +126,7 @@
     }
 
     fn spoilt(&self, what: &'static str, error: &outcome::Spoilt) {
-        if let Some(spared) = self.log_ration.line() {
+        if let Some(spared) = self.log_ration.permit() {
             warn!(self.log, "{}", what; "error" => %error, "spared" => spared);
         }
     }
--- a/src/net/opensearch/search.rs
+++ b/src/net/opensearch/search.rs
@@ -14,10 +14,10 @@
 use crate::balancer::interface::*;
 use crate::config::settings::Deployment;
 use crate::coordinator::{Coordinator, Query, QueryOutcome};
-use crate::net::cluster::Fleet;
+use crate::net::cluster::ClusterNode;
 use crate::net::http::Answer;
-use crate::net::http_server::Closing;
-use crate::net::Ration;
+use crate::net::http_server::GracefulShutdown;
+use crate::net::LogRateLimiter;
 
 /// An answer that comes this close before the end of its time was cut off by it.
 const END: Duration = Duration::from_millis(60);
@@ -28,16 +28,16 @@
     /// The index of each class, in the order of the classes, where it has one.
     pub indices: Vec<Option<String>>,
     pub shards: u32,
-    pub closing: Rc<Closing>,
+    pub closing: Rc<GracefulShutdown>,
     pub log: Logger,
-    pub log_ration: Ration,
+    pub log_ration: LogRateLimiter,
     /// The fleet that it belongs to, if any.
     pub(super) joined: OnceCell<Joined>,
 }
 
 /// What a front needs of the fleet.
 pub(super) struct Joined {
-    pub fleet: Rc<Fleet>,
+    pub fleet: Rc<ClusterNode>,
     pub executor: Rc<LocalExecutor<'static>>,
 }
 
@@ -64,7 +64,7 @@
         let index = segments(&path).first().copied().unwrap_or_default();
         let parameters = target.split_once('?').map_or("", |(_, parameters)| parameters);
         let refuse = |bad: BadQuery| {
-            if let Some(spared) = self.log_ration.line() {
+            if let Some(spared) = self.log_ration.permit() {
                 warn!(self.log, "unusable search"; "error" => %bad, "spared" => spared);
             }
             error(400, bad.kind, &bad.reason)
--- a/src/net/opensearch/servers.rs
+++ b/src/net/opensearch/servers.rs
@@ -12,10 +12,10 @@
 use super::merge::{self, Failure};
 use super::query::Search;
 use crate::balancer::interface::*;
-use crate::config::settings::Sockets;
+use crate::config::settings::ConnectionSettings;
 use crate::coordinator::{AttemptResult, Call, CancellationToken, Clock, Step, Transport};
 use crate::net::buffer::Buffer;
-use crate::net::by;
+use crate::net::timeout_at;
 use crate::net::dns_sd::watcher::{Book, Change, Follows};
 use crate::net::dns_sd::zone_file::Server;
 use crate::net::http::{self, HttpError, Kind, Message};
@@ -52,7 +52,7 @@
 pub struct Servers {
     book: RefCell<Book>,
     idle: RefCell<BTreeMap<ReplicaId, Idle>>,
-    sockets: Sockets,
+    sockets: ConnectionSettings,
     room: Cell<usize>,
     log: Logger,
 }
@@ -70,7 +70,7 @@
 }
 
 impl Servers {
-    pub fn new(sockets: Sockets, room: usize, log: Logger) -> Rc<Self> {
+    pub fn new(sockets: ConnectionSettings, room: usize, log: Logger) -> Rc<Self> {
         let (book, idle) = Default::default();
         Rc::new(Servers { book, idle, sockets, room: Cell::new(room), log })
     }
@@ -83,7 +83,7 @@
     /// An idle connection that is still open, else a new one.
     /// A connection to a server, or why an attempt there has ended: what we lack ourselves is not held against it.
     async fn connection(self: &Rc<Self>, replica: ReplicaId, address: SocketAddr) -> Result<Place, Outcome> {
-        let oldest = Instant::now().checked_sub(self.sockets.idle.mul_f64(IDLE_SHARE));
+        let oldest = Instant::now().checked_sub(self.sockets.idle_timeout.mul_f64(IDLE_SHARE));
         while let Some((stream, used)) = self.take_idle(replica) {
             self.room.set(self.room.get() + 1);
             if oldest.is_none_or(|oldest| used > oldest) && stream.is_idle() {
@@ -93,7 +93,7 @@
         if self.room.get() == 0 {
             return Err(Outcome::NeverSent);
         }
-        let latest = Instant::now() + self.sockets.connect;
+        let latest = Instant::now() + self.sockets.connect_timeout;
         // Counted before it is up: many may be coming up at once.
         let mut place = Place::reserve(self);
         let stream = socket::connect(address, latest).await.map_err(|e| match e {
@@ -253,7 +253,7 @@
             stop.wait().await;
             Outcome::Cancelled.into()
         };
-        let ended = by(call.deadline, self.ask(&call, &stop).or(stopped)).await;
+        let ended = timeout_at(call.deadline, self.ask(&call, &stop).or(stopped)).await;
         ended.unwrap_or(Outcome::TimedOut.into())
     }
 
@@ -268,7 +268,7 @@
             let answer = http::read(stream, &mut Buffer::default(), Kind::Answer, MOST_ANSWER).await;
             answer.ok().map(|m| m.status)
         };
-        (by(latest, probe).await.flatten() == Some(200), None)
+        (timeout_at(latest, probe).await.flatten() == Some(200), None)
     }
 
     fn close_idle(&self, replica: ReplicaId) {
--- a/src/net/platform_api.rs
+++ b/src/net/platform_api.rs
@@ -11,10 +11,10 @@
 use slog::{info, warn, Logger};
 
 use super::buffer::Buffer;
-use super::data_nodes::{Nodes, RequestContext};
+use super::data_nodes::{DataNodes, RequestContext};
 use super::http::{Answer, HttpError, Message};
-use super::http_server::{Client, Closing};
-use super::Ration;
+use super::http_server::{Client, GracefulShutdown};
+use super::LogRateLimiter;
 use crate::balancer::interface::*;
 use crate::config::settings::Deployment;
 use crate::coordinator::{Coordinator, Query, QueryOutcome};
@@ -40,7 +40,7 @@
 
 /// What is wrong with a request.
 #[derive(Debug)]
-enum Bad {
+enum RequestError {
     Missing(&'static str),
     Header(&'static str),
     Class,
@@ -50,23 +50,23 @@
     Open,
 }
 
-impl fmt::Display for Bad {
+impl fmt::Display for RequestError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Bad::Missing(name) => write!(f, "{name} is missing"),
-            Bad::Header(name) => write!(f, "{name} cannot be used"),
-            Bad::Class => f.write_str("Req-Kind names no class"),
-            Bad::Body(e) => write!(f, "body: {e}"),
-            Bad::Parts(what) => write!(f, "tablets: {what}"),
-            Bad::Open => f.write_str("Req-Id is that of a query that is still open"),
+            RequestError::Missing(name) => write!(f, "{name} is missing"),
+            RequestError::Header(name) => write!(f, "{name} cannot be used"),
+            RequestError::Class => f.write_str("Req-Kind names no class"),
+            RequestError::Body(e) => write!(f, "body: {e}"),
+            RequestError::Parts(what) => write!(f, "tablets: {what}"),
+            RequestError::Open => f.write_str("Req-Id is that of a query that is still open"),
         }
     }
 }
 
-pub struct Front {
-    pub core: Rc<Coordinator<Nodes>>,
-    pub told: Rc<Deployment>,
-    pub closing: Rc<Closing>,
+pub struct PlatformApi {
+    pub core: Rc<Coordinator<DataNodes>>,
+    pub deployment: Rc<Deployment>,
+    pub closing: Rc<GracefulShutdown>,
     /// The ids of the queries that are open.
     pub open: Rc<RefCell<BTreeSet<String>>>,
     pub log: Logger,
@@ -76,10 +76,10 @@
 /// How many lines of each sort were logged lately.
 #[derive(Default)]
 pub struct Said {
-    bad: Ration,
-    refused: Ration,
-    unanswered: Ration,
-    gone: Ration,
+    bad: LogRateLimiter,
+    refused: LogRateLimiter,
+    unanswered: LogRateLimiter,
+    gone: LogRateLimiter,
 }
 
 /// An id that is in use until this is dropped.
@@ -91,7 +91,7 @@
     }
 }
 
-impl Front {
+impl PlatformApi {
     /// The life of a client's connection and of each request on it, from its bytes to its one answer.
     pub async fn serve(self: Rc<Self>, mut client: Client) {
         loop {
@@ -99,7 +99,7 @@
                 Ok(message) => message,
                 Err(e) => {
                     if let Some(status) = e.status() {
-                        if let Some(spared) = self.said.bad.line() {
+                        if let Some(spared) = self.said.bad.permit() {
                             warn!(self.log, "unusable request"; "error" => %e, "spared" => spared);
                         }
                         client.write_error(&Answer::new(status, fault(&e))).await;
@@ -116,10 +116,10 @@
                 ("GET", "/_health") => self.health(),
                 ("POST", "/api") => match self.query(&message, client.buffer(), begun) {
                     Err(bad) => {
-                        if let Some(spared) = self.said.bad.line() {
+                        if let Some(spared) = self.said.bad.permit() {
                             warn!(self.log, "unusable query"; "error" => %bad, "spared" => spared);
                         }
-                        Answer::new(if matches!(bad, Bad::Open) { 409 } else { 400 }, fault(&bad))
+                        Answer::new(if matches!(bad, RequestError::Open) { 409 } else { 400 }, fault(&bad))
                     }
                     Ok((query, _open)) => match self.outcome(query, &mut client, &message, begun).await {
                         Ok(answer) => answer,
@@ -152,13 +152,13 @@
         let class = message.header(client.buffer(), "Req-Kind").unwrap_or_default().to_owned();
         let id = query.context.id.clone();
         let Some(taken) = self.core.take(query) else {
-            if let Some(spared) = self.said.refused.line() {
+            if let Some(spared) = self.said.refused.permit() {
                 info!(self.log, "refused"; "why" => "as much is open as may be", "id" => id, "class" => class,
                     "spared" => spared, "open" => self.core.open(), "held" => self.core.open_parts());
             }
-            return Ok(self.refused(429, self.told.settings.retry_after));
+            return Ok(self.refused(429, self.deployment.settings.retry_after));
         };
-        if let Some(spared) = self.core.is_full().then(|| self.said.refused.line()).flatten() {
+        if let Some(spared) = self.core.is_full().then(|| self.said.refused.permit()).flatten() {
             info!(self.log, "no room for another query"; "open" => self.core.open(),
                 "held" => self.core.open_parts(), "spared" => spared);
         }
@@ -174,13 +174,13 @@
         match &outcome {
             Ok(QueryOutcome::Answered { .. }) => {}
             Ok(outcome) => {
-                if let Some(spared) = self.said.unanswered.line() {
+                if let Some(spared) = self.said.unanswered.permit() {
                     info!(self.log, "not answered"; "outcome" => ?outcome, "id" => id, "class" => class,
                         "after_ms" => after, "spared" => spared);
                 }
             }
             Err(e) => {
-                if let Some(spared) = self.said.gone.line() {
+                if let Some(spared) = self.said.gone.permit() {
                     info!(self.log, "client gone"; "error" => %e, "id" => id, "class" => class, "after_ms" => after,
                         "spared" => spared);
                 }
@@ -206,53 +206,53 @@
         message: &Message,
         buffer: &Buffer,
         now: Instant,
-    ) -> Result<(Query<RequestContext>, Taken), Bad> {
+    ) -> Result<(Query<RequestContext>, Taken), RequestError> {
         let header = |name| match message.only(buffer, name) {
             Some(Ok(value)) => Ok(value),
-            Some(Err(())) => Err(Bad::Header(name)),
-            None => Err(Bad::Missing(name)),
+            Some(Err(())) => Err(RequestError::Header(name)),
+            None => Err(RequestError::Missing(name)),
         };
         let id = header("Req-Id")?;
         // It goes into the lines of frames, where a dot, a space or a line end would stand for something else.
         if !(1..=MOST_ID).contains(&id.len())
             || !id.bytes().all(|b| b.is_ascii_alphanumeric() || matches!(b, b'-' | b'_'))
         {
-            return Err(Bad::Header("Req-Id"));
+            return Err(RequestError::Header("Req-Id"));
         }
         if self.open.borrow().contains(id) {
-            return Err(Bad::Open);
+            return Err(RequestError::Open);
         }
         let kind = header("Req-Kind")?;
         let class =
-            self.told.class_names.iter().position(|c| !c.is_empty() && c == kind).ok_or(Bad::Class)?;
-        let tenant = match self.told.tenant_names.is_empty() {
+            self.deployment.class_names.iter().position(|c| !c.is_empty() && c == kind).ok_or(RequestError::Class)?;
+        let tenant = match self.deployment.tenant_names.is_empty() {
             true => None,
-            false => message.only(buffer, "Req-Owner").transpose().map_err(|()| Bad::Header("Req-Owner"))?,
+            false => message.only(buffer, "Req-Owner").transpose().map_err(|()| RequestError::Header("Req-Owner"))?,
         };
-        let tenant = self.told.tenant(tenant);
+        let tenant = self.deployment.tenant(tenant);
         let wait = header("Req-Deadline-Ms")?;
         let digits = wait.bytes().all(|b| b.is_ascii_digit());
-        let wait = wait.parse().ok().filter(|ms| digits && *ms > 0).ok_or(Bad::Header("Req-Deadline-Ms"))?;
+        let wait = wait.parse().ok().filter(|ms| digits && *ms > 0).ok_or(RequestError::Header("Req-Deadline-Ms"))?;
         let deadline = now + Duration::from_millis(wait).min(LONGEST);
         let repeat = message.header(buffer, "Req-Retry") == Some("1");
         let body = message.body(buffer);
-        let body: Body = serde_json::from_slice(&body).map_err(Bad::Body)?;
+        let body: Body = serde_json::from_slice(&body).map_err(RequestError::Body)?;
         let mut parts: Vec<(ShardId, f64)> =
             body.tablets.iter().map(|t| (ShardId(t.tablet), t.fraction)).collect();
-        let shards = self.told.shards.unwrap_or(u32::MAX);
+        let shards = self.deployment.shards.unwrap_or(u32::MAX);
         if parts.is_empty() || parts.iter().any(|(s, f)| s.0 >= shards || !(0.0..=1.0 + ROUNDING).contains(f))
         {
-            return Err(Bad::Parts("none, one that does not exist, or a fraction out of range"));
+            return Err(RequestError::Parts("none, one that does not exist, or a fraction out of range"));
         }
         parts.sort_by_key(|p| p.0);
         if parts.windows(2).any(|w| w[0].0 == w[1].0) {
-            return Err(Bad::Parts("one is named twice"));
+            return Err(RequestError::Parts("one is named twice"));
         }
         // Shares that were rounded on their way must not make a whole answer look short of its class's need;
         // shares that make no whole are not made one.
         let sum: f64 = parts.iter().map(|p| p.1).sum();
         if (sum - 1.0).abs() > ROUNDING * parts.len() as f64 {
-            return Err(Bad::Parts("the fractions do not add up to 1"));
+            return Err(RequestError::Parts("the fractions do not add up to 1"));
         }
         parts.iter_mut().for_each(|p| p.1 /= sum);
         // Copied: attempts are written long after the buffer has moved on.
--- a/src/net/socket.rs
+++ b/src/net/socket.rs
@@ -14,7 +14,7 @@
 use futures_io::{AsyncRead, AsyncWrite};
 use rustix::io::Errno;
 
-use super::by;
+use super::timeout_at;
 
 /// Connections that the machine may take for us before we accept them. Guards a client's against being dropped,
 /// and tried again by its machine a second later, when hundreds come at once.
@@ -103,7 +103,7 @@
             Timer::at(Instant::now() + RETRY).await;
         }
     };
-    let connected = by(latest, connected).await;
+    let connected = timeout_at(latest, connected).await;
     connected.unwrap_or_else(|| Err(last.map_or(ConnectError::Late, lasting)))
 }
 
--- a/src/shard_layout/change.rs
+++ b/src/shard_layout/change.rs
@@ -4,7 +4,7 @@
 
 use super::{District, TileId, Weight};
 use crate::balancer::interface::ReplicaId;
-use crate::cluster::FleetTime;
+use crate::cluster::HybridTimestamp;
 
 /// What becomes of a tile's history where its servers change.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
@@ -44,7 +44,7 @@
     Name { district: District, name: Arc<str> },
     /// A server states from when to when it keeps a tile's history, in place of what was known of it. Without an end
     /// it serves the tile from now on; with an end at its start it keeps nothing.
-    Keep { tile: TileId, server: ReplicaId, from: FleetTime, until: Option<FleetTime> },
+    Keep { tile: TileId, server: ReplicaId, from: HybridTimestamp, until: Option<HybridTimestamp> },
 }
 
 /// A change of the layout, all of it or nothing.
@@ -55,7 +55,7 @@
     /// The lease that it was proposed under ([`super::Closer::stamp`]).
     pub lease: u64,
     /// From when on it holds.
-    pub valid: FleetTime,
+    pub valid: HybridTimestamp,
     /// What all tiles weigh together after it, where the plan states it.
     pub ground: Option<Weight>,
     pub edits: Vec<Edit>,
@@ -70,12 +70,12 @@
     Lease {
         number: u64,
         life: u64,
-        until: FleetTime,
-        closed: FleetTime,
+        until: HybridTimestamp,
+        closed: HybridTimestamp,
     },
     /// What was before need not be kept.
     Horizon {
-        at: FleetTime,
+        at: HybridTimestamp,
     },
 }
 
@@ -153,20 +153,20 @@
     },
     /// It would hold at or before a time that is closed.
     Closed {
-        closed: FleetTime,
+        closed: HybridTimestamp,
     },
     /// It would hold before the version that it was planned on.
     Order {
-        last: FleetTime,
+        last: HybridTimestamp,
     },
     /// It would hold more than [`super::state::AHEAD_MS`] after all that is closed or leased.
     Far {
-        most: FleetTime,
+        most: HybridTimestamp,
     },
     /// A horizon behind the present one, or at a time that is not closed.
     Horizon {
-        horizon: FleetTime,
-        closed: FleetTime,
+        horizon: HybridTimestamp,
+        closed: HybridTimestamp,
     },
     /// As many versions as are kept; a later horizon makes room.
     Full {
--- a/src/shard_layout/closed_timestamp.rs
+++ b/src/shard_layout/closed_timestamp.rs
@@ -18,7 +18,7 @@
 use super::change::{Change, Entry, Refused};
 use super::state::{Guard, Layouts};
 use super::Edit;
-use crate::cluster::FleetTime;
+use crate::cluster::HybridTimestamp;
 
 /// Changes of its own that a holder has under way at most: they are planned by people, or by one plan at a time.
 const MOST_PENDING: usize = 1024;
@@ -28,7 +28,7 @@
 pub struct Told {
     pub lease: u64,
     pub index: u64,
-    pub closed: FleetTime,
+    pub closed: HybridTimestamp,
 }
 
 /// The side that says what is closed and lets changes through: whoever leads the log.
@@ -38,9 +38,9 @@
     lag_ms: u64,
     span_ms: u64,
     /// All that was ever said, under any lease of this life.
-    promised: FleetTime,
+    promised: HybridTimestamp,
     /// Changes under way, by the time from which they would be valid, and on how many bases.
-    pending: BTreeMap<FleetTime, Vec<u64>>,
+    pending: BTreeMap<HybridTimestamp, Vec<u64>>,
     /// The lease that those were stamped under.
     number: u64,
     without: Option<u8>,
@@ -50,7 +50,7 @@
     /// `life` is this run of the process: a number that no other run of any member has. What is said lags `lag_ms`
     /// behind the fleet's time; a lease reaches `span_ms` ahead of it.
     pub fn new(life: u64, lag_ms: u64, span_ms: u64) -> Closer {
-        let promised = FleetTime::ZERO;
+        let promised = HybridTimestamp::ZERO;
         Closer { life, lag_ms, span_ms, promised, pending: BTreeMap::new(), number: 0, without: None }
     }
 
@@ -72,14 +72,14 @@
     }
 
     /// The entry by which whoever leads the log takes the lease.
-    pub fn take(&self, layouts: &Layouts, now: FleetTime) -> Entry {
+    pub fn take(&self, layouts: &Layouts, now: HybridTimestamp) -> Entry {
         self.entry(layouts.lease().number.saturating_add(1), now)
     }
 
     /// The entry that is due now to go on holding it, if one is: a third of its span before its end, so that a lost
     /// proposal does no harm. A change of its own that is under way for a span may be lost, or may still come: it holds
     /// closed time up, and the next number bars it.
-    pub fn renew(&self, layouts: &Layouts, now: FleetTime) -> Option<Entry> {
+    pub fn renew(&self, layouts: &Layouts, now: HybridTimestamp) -> Option<Entry> {
         if !self.holds(layouts) {
             return None;
         }
@@ -91,7 +91,7 @@
         due.then(|| self.entry(lease.number, now))
     }
 
-    fn entry(&self, number: u64, now: FleetTime) -> Entry {
+    fn entry(&self, number: u64, now: HybridTimestamp) -> Entry {
         Entry::Lease { number, life: self.life, until: now.plus_ms(self.span_ms), closed: self.promised }
     }
 
@@ -101,7 +101,7 @@
         &mut self,
         layouts: &Layouts,
         base: u64,
-        valid: FleetTime,
+        valid: HybridTimestamp,
         edits: Vec<Edit>,
     ) -> Result<Entry, Refused> {
         let lease = layouts.lease().number;
@@ -148,7 +148,7 @@
     }
 
     /// What can be said to be closed now; none where this run holds no lease.
-    pub fn tell(&mut self, layouts: &Layouts, now: FleetTime) -> Option<Told> {
+    pub fn tell(&mut self, layouts: &Layouts, now: HybridTimestamp) -> Option<Told> {
         if !self.holds(layouts) {
             return None;
         }
@@ -169,7 +169,7 @@
 /// What a member knows to be closed. It goes on knowing that while it is cut off.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub struct Known {
-    closed: FleetTime,
+    closed: HybridTimestamp,
     /// Said for places in the log that are not applied yet: the next to become true, and the last that came.
     next: Option<Told>,
     last: Option<Told>,
@@ -189,7 +189,7 @@
     }
 
     /// The latest time that is known to be closed.
-    pub fn closed(&self) -> FleetTime {
+    pub fn closed(&self) -> HybridTimestamp {
         self.closed
     }
 
--- a/src/shard_layout/route.rs
+++ b/src/shard_layout/route.rs
@@ -14,7 +14,7 @@
 use super::version::{Tile, Version};
 use super::{less, plus, zero, District, TileId, Weight};
 use crate::balancer::interface::ReplicaId;
-use crate::cluster::FleetTime;
+use crate::cluster::HybridTimestamp;
 
 /// Sources of one part at most: a finer cut is not followed, and what is left of the part is lost.
 pub const MOST_SOURCES: usize = 1024;
@@ -23,11 +23,11 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum At {
     Now,
-    Past(FleetTime),
+    Past(HybridTimestamp),
 }
 
 impl At {
-    fn past(self) -> Option<FleetTime> {
+    fn past(self) -> Option<HybridTimestamp> {
         match self {
             At::Now => None,
             At::Past(at) => Some(at),
@@ -104,15 +104,15 @@
 pub enum ReadError {
     /// What was then is kept no more.
     BeforeHorizon {
-        horizon: FleetTime,
+        horizon: HybridTimestamp,
     },
     /// Not come yet; it is `now` here.
     Future {
-        now: FleetTime,
+        now: HybridTimestamp,
     },
     /// The layout of then may still change, as far as this member knows; it is when `closed` has passed that time.
     NotYet {
-        closed: FleetTime,
+        closed: HybridTimestamp,
         behind_ms: u64,
     },
     /// No such tile at that time.
@@ -159,8 +159,8 @@
         &self,
         which: Which<'_>,
         at: At,
-        now: FleetTime,
-        closed: FleetTime,
+        now: HybridTimestamp,
+        closed: HybridTimestamp,
     ) -> Result<Routed, ReadError> {
         if let At::Past(at) = at {
             if at < self.horizon() {
--- a/src/shard_layout/state.rs
+++ b/src/shard_layout/state.rs
@@ -14,7 +14,7 @@
 use super::change::{Change, Entry, Refused};
 use super::limits::Limits;
 use super::version::{add_up, Version};
-use crate::cluster::FleetTime;
+use crate::cluster::HybridTimestamp;
 
 /// How far ahead of all that is closed or leased a change may be: a year and a day. One at the end of time would be the last.
 pub const AHEAD_MS: u64 = 366 * 86_400_000;
@@ -26,15 +26,15 @@
     /// A run of a process, by a number that no other run has: one that restarts has forgotten its promises.
     pub life: u64,
     /// The latest time that its holder may say to be closed.
-    pub until: FleetTime,
+    pub until: HybridTimestamp,
 }
 
 /// What an entry did.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Applied {
-    Version { number: u64, valid: FleetTime },
-    Lease { number: u64, closed: FleetTime },
-    Horizon { at: FleetTime, versions: usize },
+    Version { number: u64, valid: HybridTimestamp },
+    Lease { number: u64, closed: HybridTimestamp },
+    Horizon { at: HybridTimestamp, versions: usize },
 }
 
 /// A rule that keeps the invariants, by name: finders leave one out and must then find a broken order.
@@ -65,8 +65,8 @@
 pub struct Layouts {
     pub(super) limits: Limits,
     pub(super) applied: u64,
-    pub(super) closed: FleetTime,
-    pub(super) horizon: FleetTime,
+    pub(super) closed: HybridTimestamp,
+    pub(super) horizon: HybridTimestamp,
     pub(super) lease: Lease,
     pub(super) versions: Vec<Version>,
     /// The last of them.
@@ -85,8 +85,8 @@
         Layouts {
             limits,
             applied: 0,
-            closed: FleetTime::ZERO,
-            horizon: FleetTime::ZERO,
+            closed: HybridTimestamp::ZERO,
+            horizon: HybridTimestamp::ZERO,
             lease: Lease::default(),
             versions: vec![Version::empty()],
             newest: Version::empty(),
@@ -107,11 +107,11 @@
     }
 
     /// No change valid at or before this comes any more, by the log alone; [`super::Known`] may know of more.
-    pub fn closed(&self) -> FleetTime {
+    pub fn closed(&self) -> HybridTimestamp {
         self.closed
     }
 
-    pub fn horizon(&self) -> FleetTime {
+    pub fn horizon(&self) -> HybridTimestamp {
         self.horizon
     }
 
@@ -131,7 +131,7 @@
 
     /// The version that is valid at a time: the last that is valid from then or before. Within one instant the last in
     /// the log.
-    pub fn version_at(&self, at: FleetTime) -> &Version {
+    pub fn version_at(&self, at: HybridTimestamp) -> &Version {
         let after = self.versions.partition_point(|v| v.valid <= at);
         self.versions.get(after.saturating_sub(1)).unwrap_or(&self.newest)
     }
@@ -194,8 +194,8 @@
         &mut self,
         number: u64,
         life: u64,
-        until: FleetTime,
-        closed: FleetTime,
+        until: HybridTimestamp,
+        closed: HybridTimestamp,
     ) -> Result<Applied, Refused> {
         let before = self.lease;
         let renewed = number == before.number && life == before.life;
@@ -213,7 +213,7 @@
 
     /// The versions behind the horizon go; the last of them is the first that is kept, without what was gone by then. Those
     /// after it are made anew from it, so that they go on sharing.
-    fn forget(&mut self, at: FleetTime) -> Result<Applied, Refused> {
+    fn forget(&mut self, at: HybridTimestamp) -> Result<Applied, Refused> {
         if at < self.horizon || at > self.closed {
             return Err(Refused::Horizon { horizon: self.horizon, closed: self.closed });
         }
@@ -230,7 +230,7 @@
 /// Versions out of a first one and the changes behind it, and the last of them once more.
 pub(super) fn replay(
     base: Version,
-    later: impl Iterator<Item = ((FleetTime, u64), Arc<[super::Edit]>)>,
+    later: impl Iterator<Item = ((HybridTimestamp, u64), Arc<[super::Edit]>)>,
     limits: &Limits,
 ) -> Result<(Vec<Version>, Version), super::PlanError> {
     let (mut versions, mut last) = (vec![base.clone()], base);
--- a/src/shard_layout/tally.rs
+++ b/src/shard_layout/tally.rs
@@ -13,7 +13,7 @@
 use super::state::Layouts;
 use super::{less, plus, zero, TileId, Weight};
 use crate::balancer::interface::ReplicaId;
-use crate::cluster::FleetTime;
+use crate::cluster::HybridTimestamp;
 
 #[derive(Clone, Debug)]
 struct Waiting {
@@ -127,7 +127,7 @@
 
     /// Go by the layout that is valid now. Pieces that are asked as before keep their plan, so that what is under way
     /// for them counts; the others are asked by a new one.
-    pub fn redirect(&mut self, layouts: &Layouts, now: FleetTime) {
+    pub fn redirect(&mut self, layouts: &Layouts, now: HybridTimestamp) {
         let held = layouts.version_at(now);
         // Only forward: another member's clock may be a little behind.
         if held.number <= self.held {
--- a/src/shard_layout/version.rs
+++ b/src/shard_layout/version.rs
@@ -12,7 +12,7 @@
 use super::limits::Limits;
 use super::{plus, zero, District, TileId, Weight};
 use crate::balancer::interface::ReplicaId;
-use crate::cluster::FleetTime;
+use crate::cluster::HybridTimestamp;
 
 mod edit;
 
@@ -20,12 +20,12 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct Keep {
     pub server: ReplicaId,
-    pub from: FleetTime,
-    pub until: Option<FleetTime>,
+    pub from: HybridTimestamp,
+    pub until: Option<HybridTimestamp>,
 }
 
 impl Keep {
-    pub fn covers(&self, at: FleetTime) -> bool {
+    pub fn covers(&self, at: HybridTimestamp) -> bool {
         self.from <= at && self.until.is_none_or(|until| at < until)
     }
 }
@@ -33,8 +33,8 @@
 /// A tile, as one version knows it. It is valid from `born` to just before `died`.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Tile {
-    pub born: FleetTime,
-    pub died: Option<FleetTime>,
+    pub born: HybridTimestamp,
+    pub died: Option<HybridTimestamp>,
     /// The number of the version that made it: parents come before children.
     pub made: u64,
     pub weight: Weight,
@@ -42,13 +42,13 @@
     pub parents: Vec<TileId>,
     pub children: Vec<TileId>,
     /// From when on its history went to its children's servers, if it did.
-    pub passed: Option<FleetTime>,
+    pub passed: Option<HybridTimestamp>,
     pub keeps: Vec<Keep>,
 }
 
 impl Tile {
     /// Who keeps its history over a time, or with none serves it now; each once.
-    pub fn holders(&self, at: Option<FleetTime>) -> Vec<ReplicaId> {
+    pub fn holders(&self, at: Option<HybridTimestamp>) -> Vec<ReplicaId> {
         let holds = |k: &&Keep| at.map_or(k.until.is_none(), |at| k.covers(at));
         let mut servers: Vec<ReplicaId> = self.keeps.iter().filter(holds).map(|k| k.server).collect();
         servers.sort();
@@ -57,12 +57,12 @@
     }
 
     /// From when on the servers of now have its history, by the one that has the most of it.
-    fn reach(&self, otherwise: FleetTime) -> FleetTime {
+    fn reach(&self, otherwise: HybridTimestamp) -> HybridTimestamp {
         self.keeps.iter().filter(|k| k.until.is_none()).map(|k| k.from).min().unwrap_or(otherwise)
     }
 
     /// What those who serve it now keep once they do no more.
-    fn leave(&mut self, at: FleetTime, history: History, but: &[ReplicaId]) {
+    fn leave(&mut self, at: HybridTimestamp, history: History, but: &[ReplicaId]) {
         self.keeps.retain_mut(|k| {
             if k.until.is_none() && !but.contains(&k.server) {
                 match history {
@@ -85,7 +85,7 @@
 #[derive(Clone, Debug)]
 pub struct Version {
     pub number: u64,
-    pub valid: FleetTime,
+    pub valid: HybridTimestamp,
     /// Its place in the log: the order of versions within one instant.
     pub index: u64,
     /// What all that live weigh.
@@ -102,7 +102,7 @@
     pub(super) fn empty() -> Version {
         Version {
             number: 0,
-            valid: FleetTime::ZERO,
+            valid: HybridTimestamp::ZERO,
             index: 0,
             ground: zero(),
             edits: Arc::new([]),
@@ -152,7 +152,7 @@
     /// known: those that a later horizon let go of.
     pub(super) fn next(
         &self,
-        (valid, index): (FleetTime, u64),
+        (valid, index): (HybridTimestamp, u64),
         edits: &Arc<[Edit]>,
         limits: &Limits,
         lenient: bool,
@@ -227,7 +227,7 @@
 
     /// This version as the first that is kept: without tiles that were gone by the horizon and history that ended by
     /// then. No read at or after it begins at one of those, and none is led there: children live later.
-    pub(super) fn pruned(&self, horizon: FleetTime) -> Version {
+    pub(super) fn pruned(&self, horizon: HybridTimestamp) -> Version {
         let mut base = self.clone();
         base.edits = Arc::new([]);
         for (tile, held) in &self.tiles {
--- a/src/shard_layout/version/edit.rs
+++ b/src/shard_layout/version/edit.rs
@@ -4,7 +4,7 @@
 
 use super::{add_up, Keep, Tile, Version};
 use crate::balancer::interface::ReplicaId;
-use crate::cluster::FleetTime;
+use crate::cluster::HybridTimestamp;
 use crate::shard_layout::change::{Edit, History, Piece, PlanError};
 use crate::shard_layout::limits::Limits;
 use crate::shard_layout::{less, plus, zero, District, TileId};
@@ -115,7 +115,7 @@
         piece: &Piece,
         district: District,
         parents: Vec<TileId>,
-        from: FleetTime,
+        from: HybridTimestamp,
         limits: &Limits,
     ) -> Result<(), PlanError> {
         let Piece { tile, weight, servers } = piece;
@@ -144,7 +144,7 @@
     }
 
     /// A tile's end: from when on its children's servers have its history.
-    fn end(&mut self, tile: TileId, history: History, children: Vec<TileId>) -> Result<FleetTime, PlanError> {
+    fn end(&mut self, tile: TileId, history: History, children: Vec<TileId>) -> Result<HybridTimestamp, PlanError> {
         let valid = self.valid;
         let held = self.change(tile).ok_or(PlanError::Unknown(tile))?;
         let from = if history == History::Stays { valid } else { held.reach(valid) };
--- a/src/shard_layout/wire.rs
+++ b/src/shard_layout/wire.rs
@@ -12,7 +12,7 @@
 use super::version::{self, Version};
 use super::{District, TileId, Told, Weight};
 use crate::balancer::interface::ReplicaId;
-use crate::cluster::FleetTime;
+use crate::cluster::HybridTimestamp;
 
 /// The largest entry, in bytes: a frame between members.
 pub const MOST_ENTRY: usize = 1 << 20;
--- a/src/shard_layout/wire/convert.rs
+++ b/src/shard_layout/wire/convert.rs
@@ -3,17 +3,17 @@
 use super::version::{Keep, Tile};
 use super::*;
 
-pub fn to_time(t: FleetTime) -> Time {
+pub fn to_time(t: HybridTimestamp) -> Time {
     Time { ms: t.ms, logical: t.logical }
 }
 
 /// Nothing is the first point in time, as with every number in this encoding.
-pub fn time_of(t: Option<Time>) -> FleetTime {
-    t.map_or(FleetTime::ZERO, |t| FleetTime { ms: t.ms, logical: t.logical })
+pub fn time_of(t: Option<Time>) -> HybridTimestamp {
+    t.map_or(HybridTimestamp::ZERO, |t| HybridTimestamp { ms: t.ms, logical: t.logical })
 }
 
-fn some_time(t: Option<Time>) -> Option<FleetTime> {
-    t.map(|t| FleetTime { ms: t.ms, logical: t.logical })
+fn some_time(t: Option<Time>) -> Option<HybridTimestamp> {
+    t.map(|t| HybridTimestamp { ms: t.ms, logical: t.logical })
 }
 
 pub fn to_amount(w: Weight) -> Option<Amount> {
--- a/src/wire.rs
+++ b/src/wire.rs
@@ -4,7 +4,7 @@
 use std::io::{Read, Write};
 
 use crate::balancer::interface::*;
-use crate::config::settings::{self, Deployment, ReportValue};
+use crate::config::settings::{self, Deployment, LoadReportField};
 use crate::Balancer;
 
 const EVENT_BYTES: usize = 48;
@@ -68,7 +68,7 @@
     out.copy_from_slice(&replica.0.to_be_bytes()[2..8]);
 }
 
-fn report(record: &Fields, at: usize, names: &[ReportValue]) -> Result<Option<LoadReport>, WireError> {
+fn report(record: &Fields, at: usize, names: &[LoadReportField]) -> Result<Option<LoadReport>, WireError> {
     let n = usize::from(record.u8(at));
     if n > 4 {
         return bad(format!("load report of {n} values, at most 4 fit"));
@@ -82,7 +82,7 @@
 
 struct Instance {
     balancer: Balancer,
-    names: Vec<ReportValue>,
+    names: Vec<LoadReportField>,
     events: Vec<Event>,
 }
 
@@ -139,7 +139,7 @@
     fn spawn(&mut self, number: u16, r: &Fields, tail: &[u8]) -> Result<(), WireError> {
         let info = slice(tail, r.u32(9), r.u32(13), 1, "BootInfo")?;
         let told = settings::parse(info).map_err(|e| WireError(e.to_string()))?;
-        let Deployment { settings, reports: names, .. } = told;
+        let Deployment { settings, report_fields: names, .. } = told;
         let balancer = Balancer::new(settings, r.u64(1)).map_err(|e| WireError(e.to_string()))?;
         self.instances.insert(number, Instance { balancer, names, events: Vec::new() });
         Ok(())
--- a/tests/clients_order.rs
+++ b/tests/clients_order.rs
@@ -7,15 +7,15 @@
 use async_executor::LocalExecutor;
 use futures_lite::future::yield_now;
 use marlgap::net::descriptors::Descriptors;
-use marlgap::net::http_server::{self, Acceptor, Closing};
+use marlgap::net::http_server::{self, Acceptor, GracefulShutdown};
 use marlgap::net::socket;
 
 const REQUEST: &[u8] = b"GET /x HTTP/1.1\r\n\r\n";
 
 /// A client of an acceptor whose connections note each request that is read and are then at its end.
-fn with(crosses: impl AsyncFn(&Closing, &mut TcpStream, &RefCell<Vec<bool>>)) -> Vec<bool> {
+fn with(crosses: impl AsyncFn(&GracefulShutdown, &mut TcpStream, &RefCell<Vec<bool>>)) -> Vec<bool> {
     let executor = Rc::new(LocalExecutor::new());
-    let (closing, read) = (Rc::new(Closing::default()), Rc::new(RefCell::new(Vec::new())));
+    let (closing, read) = (Rc::new(GracefulShutdown::default()), Rc::new(RefCell::new(Vec::new())));
     let listener = socket::bind(SocketAddr::from(([127, 0, 0, 1], 0))).expect("bound");
     let address = listener.get_ref().local_addr().expect("bound");
     let log = slog::Logger::root(slog::Discard, slog::o!());
@@ -54,7 +54,7 @@
     let read = with(async |closing, client, _| {
         // Neither is seen before the other one is there.
         client.write_all(REQUEST).expect("written");
-        closing.rest_no_more();
+        closing.stop_keep_alive();
     });
     assert_eq!(read, [true]);
 }
@@ -62,7 +62,7 @@
 #[test]
 fn a_request_behind_the_end_is_drained_and_its_connection_not_reset() {
     let read = with(async |closing, client, read| {
-        closing.rest_no_more();
+        closing.stop_keep_alive();
         client.set_nonblocking(true).expect("set");
         let ended = loop {
             match client.read(&mut [0]) {
--- a/tests/configuration.rs
+++ b/tests/configuration.rs
@@ -7,7 +7,7 @@
 
 use common::configure;
 use marlgap::cluster::takeover::WhenFull;
-use marlgap::config::operator::Operator;
+use marlgap::config::operator::OperatorConfig;
 
 /// What cannot be used ends the program with one line and a status that is not zero.
 #[test]
@@ -60,10 +60,10 @@
     assert!(run(&good, &api.replace("\"zone\"", "\"nozone\""), &search).contains("cannot read"));
 }
 
-fn parse(fleet: &str) -> Result<Operator, String> {
+fn parse(fleet: &str) -> Result<OperatorConfig, String> {
     let all = include_str!("../deploy/marlgap.json5");
     let text = all.trim_end().strip_suffix('}').expect("an object").to_owned() + "fleet: " + fleet + "}";
-    Operator::parse(&text, Path::new("d/f")).map_err(|e| e.to_string())
+    OperatorConfig::parse(&text, Path::new("d/f")).map_err(|e| e.to_string())
 }
 
 const SOUND: &str = r#"{ cluster: "accra", name: "c2", listen: "127.0.0.1:7401", store: "c2.redb",
@@ -72,7 +72,7 @@
 
 #[test]
 fn a_sound_section_is_taken_over_whole() {
-    let fleet = parse(SOUND).expect("sound").fleet.expect("there");
+    let fleet = parse(SOUND).expect("sound").cluster.expect("there");
     let names: Vec<_> = fleet.members.iter().map(|m| &*m.id.name).collect();
     assert_eq!((names, &*fleet.zone()), (vec!["c1", "c2"], "b"));
     assert_eq!((fleet.store, fleet.frame), (Some("d/c2.redb".into()), 1 << 20));
@@ -84,7 +84,7 @@
         rule.repeats && rule.guards == 3 && rule.slack_ms == 2500 && rule.when_full == WhenFull::Unprotected
     );
     let plain = include_str!("../deploy/marlgap.json5");
-    assert!(Operator::parse(plain, Path::new("f")).expect("sound").fleet.is_none(), "off unless asked for");
+    assert!(OperatorConfig::parse(plain, Path::new("f")).expect("sound").cluster.is_none(), "off unless asked for");
 }
 
 #[test]
--- a/tests/fleet_links.rs
+++ b/tests/fleet_links.rs
@@ -11,9 +11,9 @@
 use marlgap::cluster::bootstrap::first_configuration::{Kind, Note, Round};
 use marlgap::cluster::takeover::{Ask, Key, Record, Reply};
 use marlgap::cluster::Configuration;
-use marlgap::config::operator::Operator;
+use marlgap::config::operator::OperatorConfig;
 use marlgap::net::cluster::frames::{parse, Frame, Hello};
-use marlgap::net::cluster::{Execute, Fleet, Hold};
+use marlgap::net::cluster::{Execute, ClusterNode, Hold};
 use slog::{o, Drain, Logger};
 
 const PATIENCE: Duration = Duration::from_secs(20);
@@ -40,7 +40,7 @@
 
 /// Executes what this member owns: each part is sent once it is granted, and the outcome names who finished it.
 struct Front {
-    fleet: Rc<Fleet>,
+    fleet: Rc<ClusterNode>,
     executor: Rc<LocalExecutor<'static>>,
     /// It begins, and never ends.
     idles: bool,
@@ -87,7 +87,7 @@
             let decorator = slog_term::PlainSyncDecorator::new(Lines(send));
             let log = Logger::root(slog_term::FullFormat::new(decorator).build().fuse(), o!());
             let executor = Rc::new(LocalExecutor::new());
-            let fleet = Fleet::new(&section(name, places), &log);
+            let fleet = ClusterNode::new(&section(name, places), &log);
             fleet.executes(Rc::new(Front { fleet: fleet.clone(), executor: executor.clone(), idles }));
             fleet.begin(Async::new(listener).expect("a listener"), &executor);
             let (runs, asking) = (executor.clone(), fleet.clone());
@@ -144,7 +144,7 @@
     }
 }
 
-fn section(name: &str, places: [SocketAddr; 3]) -> marlgap::config::operator::OperatorFleet {
+fn section(name: &str, places: [SocketAddr; 3]) -> marlgap::config::operator::ClusterConfig {
     let members: Vec<String> = NAMES
         .iter()
         .zip(places)
@@ -156,7 +156,7 @@
         protect: {{'field-lookup': {{}}}}}}}}",
         members.join(",")
     );
-    Operator::parse(&text, Path::new("f")).unwrap_or_else(|e| panic!("{e}")).fleet.expect("there")
+    OperatorConfig::parse(&text, Path::new("f")).unwrap_or_else(|e| panic!("{e}")).cluster.expect("there")
 }
 
 fn hello(name: &str, incarnation: u64) -> Hello {
--- a/tests/fleet_parts/time.rs
+++ b/tests/fleet_parts/time.rs
@@ -1,25 +1,25 @@
 //! The fleet's time: stamps, and the bound on the clocks' offsets.
-use marlgap::cluster::hybrid_clock::{Beyond, Clock, FleetTime, Offsets, Standing, BOUND_MS};
+use marlgap::cluster::hybrid_clock::{Beyond, HybridClock, HybridTimestamp, Offsets, Standing, BOUND_MS};
 use marlgap::cluster::MemberId;
 
 #[test]
 fn stamps_rise_while_the_wall_clock_steps_back_and_the_counter_runs_over() {
-    let mut clock = Clock::new(BOUND_MS);
+    let mut clock = HybridClock::new(BOUND_MS);
     let first = clock.now(1000);
     assert!(clock.now(400) > first);
-    let before = clock.observe(1000, FleetTime::new(1000, u32::MAX - 1)).expect("within the bound");
-    assert_eq!(before, FleetTime::new(1000, u32::MAX), "the counter's last");
-    assert_eq!(clock.now(400), FleetTime::from_ms(before.ms + 1));
-    assert_eq!(FleetTime::from_ms(5).prev().next(), FleetTime::from_ms(5));
-    assert_eq!((FleetTime::ZERO.prev(), FleetTime::MAX.next()), (FleetTime::ZERO, FleetTime::MAX));
+    let before = clock.observe(1000, HybridTimestamp::new(1000, u32::MAX - 1)).expect("within the bound");
+    assert_eq!(before, HybridTimestamp::new(1000, u32::MAX), "the counter's last");
+    assert_eq!(clock.now(400), HybridTimestamp::from_ms(before.ms + 1));
+    assert_eq!(HybridTimestamp::from_ms(5).prev().next(), HybridTimestamp::from_ms(5));
+    assert_eq!((HybridTimestamp::ZERO.prev(), HybridTimestamp::MAX.next()), (HybridTimestamp::ZERO, HybridTimestamp::MAX));
 }
 
 #[test]
 fn a_stamp_beyond_the_bound_is_refused_and_carries_no_clock_away() {
-    let mut clock = Clock::new(250);
-    let near = FleetTime::new(1250, 7);
+    let mut clock = HybridClock::new(250);
+    let near = HybridTimestamp::new(1250, 7);
     assert!(clock.observe(1000, near).expect("within the bound") > near);
-    let far = clock.observe(1000, FleetTime::from_ms(1251));
+    let far = clock.observe(1000, HybridTimestamp::from_ms(1251));
     assert_eq!(far, Err(Beyond { ahead_ms: 251, bound_ms: 250 }));
     assert_eq!(clock.now(1000).ms, 1250);
 }
--- a/tests/golden_wire/layout.rs
+++ b/tests/golden_wire/layout.rs
@@ -1,14 +1,14 @@
 //! Entries of the layout's log, each step of a change among them, and a snapshot of what they make.
 use marlgap::balancer::interface::ReplicaId;
-use marlgap::cluster::FleetTime;
+use marlgap::cluster::HybridTimestamp;
 use marlgap::shard_layout::{
     Change, District, Edit, Entry, History, Keep, Layouts, Limits, Piece, Tile, Weight,
 };
 
 use crate::fixtures::{assert_same_bytes, records};
 
-fn time(ms: u64, logical: u32) -> FleetTime {
-    FleetTime::new(ms, logical)
+fn time(ms: u64, logical: u32) -> HybridTimestamp {
+    HybridTimestamp::new(ms, logical)
 }
 
 fn servers(numbers: &[u64]) -> Vec<ReplicaId> {
@@ -155,7 +155,7 @@
     layouts
 }
 
-fn keep(server: u64, from: FleetTime, until: Option<FleetTime>) -> Keep {
+fn keep(server: u64, from: HybridTimestamp, until: Option<HybridTimestamp>) -> Keep {
     Keep { server: ReplicaId(server), from, until }
 }
 
--- a/tests/grpc_decisions.rs
+++ b/tests/grpc_decisions.rs
@@ -5,7 +5,7 @@
 
 use bytes::Bytes;
 use marlgap::balancer::interface::{EndpointState, ReplicaId, ShardId};
-use marlgap::config::operator::{FrontLimits, Operator};
+use marlgap::config::operator::{FrontLimits, OperatorConfig};
 use marlgap::connection_pool::{Assign, ConnectionId, Do, Limits, Pool, Why};
 use marlgap::grpc_routing::{field, first_message, stable_hash, Field, NoShard};
 use marlgap::net::grpc::guard::{Flood, Guard};
@@ -14,13 +14,13 @@
 use proptest::prelude::*;
 
 /// The operator's file with these routes.
-fn operator(routes: &str) -> Result<Operator, String> {
+fn operator(routes: &str) -> Result<OperatorConfig, String> {
     let text = format!(
         r#"{{ settings: {{ Classes: [{{Name: "c", AimS: 1, DeadlineS: 2, Worth: 1, Semantics: "pure"}}],
         FamilyInfo: {{Shards: 24, Positions: 12, InARow: 4}}, Limits: {{MostTries: 4}} }},
         grpc: {{ listen: "127.0.0.1:1", records: "r", service: "s.", routes: [{routes}] }} }}"#
     );
-    Operator::parse(&text, Path::new("f")).map_err(|e| e.to_string())
+    OperatorConfig::parse(&text, Path::new("f")).map_err(|e| e.to_string())
 }
 
 fn row(pattern: &str, more: &str) -> String {
@@ -60,7 +60,7 @@
     let grpc = operator(&rows.concat()).expect("sound").grpc.expect("there");
     let class = |path: &str| grpc.routes.find(path).map(|r| r.class.0);
     assert_eq!(["/a.S/A", "/a.S/B", "/a.S/C", "/x.Y/Z"].map(class), [Some(1), Some(1), Some(0), Some(2)]);
-    assert_eq!(grpc.told.class_names, ["c", "c", "c"]);
+    assert_eq!(grpc.deployment.class_names, ["c", "c", "c"]);
 }
 
 proptest! {
--- a/tests/layout/closed.rs
+++ b/tests/layout/closed.rs
@@ -3,7 +3,7 @@
 //! between them but the model's log.
 use std::collections::BTreeSet;
 
-use marlgap::cluster::FleetTime;
+use marlgap::cluster::HybridTimestamp;
 use marlgap::shard_layout::{Closer, District, Edit, Entry, Guard, Known, Layouts, Limits, Told};
 use stateright::{Checker, HasDiscoveries, Model, Property};
 
@@ -69,7 +69,7 @@
         Closer::new(life, 0, SPAN).without(self.0)
     }
 
-    fn upto(&self, state: &State, closed: FleetTime) -> usize {
+    fn upto(&self, state: &State, closed: HybridTimestamp) -> usize {
         self.layouts(&state.log).versions().iter().filter(|v| v.valid <= closed).count()
     }
 }
--- a/tests/layout/histories.rs
+++ b/tests/layout/histories.rs
@@ -1,7 +1,7 @@
 //! Random histories of changes, each seed one: routing, tallies, snapshots and horizons against the model.
 use std::collections::BTreeSet;
 
-use marlgap::cluster::FleetTime;
+use marlgap::cluster::HybridTimestamp;
 use marlgap::shard_layout::{
     At, District, Entry, Layouts, Limits, Part, ReadError, Routed, Tally, Weight, Which,
 };
@@ -23,7 +23,7 @@
 }
 
 /// The sources of a part cut its ground without rest or overlap, and each holder has what it is asked for.
-fn check_part(world: &World, part: &Part, at: Option<FleetTime>, now: FleetTime) {
+fn check_part(world: &World, part: &Part, at: Option<HybridTimestamp>, now: HybridTimestamp) {
     let all = &world.ever[&part.tile];
     assert_eq!(part.weight, weight(all));
     let mut covered = Atoms::new();
--- a/tests/layout/reference.rs
+++ b/tests/layout/reference.rs
@@ -2,7 +2,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 use marlgap::balancer::interface::ReplicaId;
-use marlgap::cluster::FleetTime;
+use marlgap::cluster::HybridTimestamp;
 use marlgap::shard_layout::{
     At, Change, District, Edit, Entry, History, Layouts, Limits, Piece, Source, TileId, Weight, Which,
 };
@@ -12,7 +12,7 @@
 pub type Atoms = BTreeSet<u32>;
 
 /// A server keeps history from a time to just before another.
-type Span = (ReplicaId, FleetTime, Option<FleetTime>);
+type Span = (ReplicaId, HybridTimestamp, Option<HybridTimestamp>);
 
 pub const ATOMS: u32 = 24;
 
@@ -21,13 +21,13 @@
     Weight::new(atoms.len() as u64, 9)
 }
 
-pub fn ms(ms: u64) -> FleetTime {
-    FleetTime::from_ms(ms)
+pub fn ms(ms: u64) -> HybridTimestamp {
+    HybridTimestamp::from_ms(ms)
 }
 
 #[derive(Clone, Debug, Default)]
 pub struct Copy {
-    pub valid: FleetTime,
+    pub valid: HybridTimestamp,
     pub tiles: BTreeMap<TileId, (Atoms, District)>,
     pub names: BTreeMap<District, String>,
     pub keeps: BTreeMap<u32, Vec<Span>>,
@@ -48,8 +48,8 @@
         }
     }
 
-    pub fn holds(&self, server: ReplicaId, atom: u32, at: Option<FleetTime>) -> bool {
-        let covers = |from: FleetTime, until: Option<FleetTime>| match at {
+    pub fn holds(&self, server: ReplicaId, atom: u32, at: Option<HybridTimestamp>) -> bool {
+        let covers = |from: HybridTimestamp, until: Option<HybridTimestamp>| match at {
             Some(at) => from <= at && until.is_none_or(|u| at < u),
             None => until.is_none(),
         };
@@ -120,7 +120,7 @@
         done.map(|_| ()).map_err(|e| e.to_string())
     }
 
-    pub fn change(&mut self, valid: FleetTime, edits: Vec<Edit>) -> Entry {
+    pub fn change(&mut self, valid: HybridTimestamp, edits: Vec<Edit>) -> Entry {
         let (base, lease) = (self.layouts.newest().number, self.layouts.lease().number);
         Entry::Change(Change { base, lease, valid, ground: None, edits })
     }
@@ -220,7 +220,7 @@
         self.copies.push(copy);
     }
 
-    pub fn copy_at(&self, at: FleetTime) -> &Copy {
+    pub fn copy_at(&self, at: HybridTimestamp) -> &Copy {
         self.copies.iter().rev().find(|c| c.valid <= at).expect("the first is at zero")
     }
 
--- a/tests/nodes.rs
+++ b/tests/nodes.rs
@@ -12,7 +12,7 @@
 use common::*;
 use marlgap::balancer::interface::{EndpointState, Outcome, ReplicaId, ShardId};
 use marlgap::coordinator::{AttemptResult, Call, CancellationToken, Step, Transport};
-use marlgap::net::data_nodes::{Entry, Nodes, RequestContext};
+use marlgap::net::data_nodes::{ListedDataNode, DataNodes, RequestContext};
 use marlgap::net::descriptors::Descriptors;
 
 /// A statement that no socket's buffers hold.
@@ -21,7 +21,7 @@
 /// One data node and all that speaks to it.
 struct World {
     executor: Rc<LocalExecutor<'static>>,
-    nodes: Rc<Nodes>,
+    nodes: Rc<DataNodes>,
     replica: ReplicaId,
     listener: TcpListener,
     carried: Rc<RequestContext>,
@@ -41,7 +41,7 @@
         change(&mut told);
         let executor = Rc::new(LocalExecutor::new());
         let log = slog::Logger::root(slog::Discard, slog::o!());
-        let nodes = Nodes::new(told, Rc::new(Descriptors::new(64)), executor.clone(), log);
+        let nodes = DataNodes::new(told, Rc::new(Descriptors::new(64)), executor.clone(), log);
         let replica = nodes.list(&entry(address));
         let carried = Rc::new(RequestContext::new("a1".to_owned(), b"hi".to_vec()));
         World { executor, nodes, replica, listener, carried }
@@ -89,8 +89,8 @@
     }
 }
 
-fn entry(address: SocketAddr) -> Entry {
-    Entry { name: "n0".to_owned(), address, phase: EndpointState::Ready, born: 0 }
+fn entry(address: SocketAddr) -> ListedDataNode {
+    ListedDataNode { name: "n0".to_owned(), address, phase: EndpointState::Ready, born: 0 }
 }
 
 fn send(mut stream: &TcpStream, text: &str) {
@@ -240,7 +240,7 @@
 #[test]
 fn answers_to_all_that_was_given_up_are_known_at_any_number_of_places() {
     const PLACES: u32 = 150;
-    let world = World::new("nodes_many", |told| told.sockets.streams = PLACES as usize);
+    let world = World::new("nodes_many", |told| told.connections.max_streams = PLACES as usize);
     let mut begun: Vec<_> = (0..PLACES).map(|n| world.begin(n)).collect();
     let stream = world.accept(PLACES as usize);
     let kept = begun.pop().expect("begun");
@@ -307,7 +307,7 @@
 /// Guards against requests that cross a data node's close: what was called off unwritten is no use of a connection.
 #[test]
 fn a_connection_rests_on_while_all_that_is_queued_there_is_called_off() {
-    let world = World::new("nodes_rest", |told| told.sockets.idle = Duration::from_secs(1));
+    let world = World::new("nodes_rest", |told| told.connections.idle_timeout = Duration::from_secs(1));
     let one = world.begin(1);
     let stream = world.accept(1);
     send(&stream, "a a1.1 served 1 -\nV");
--- a/tests/parts.rs
+++ b/tests/parts.rs
@@ -10,7 +10,7 @@
 use common::*;
 use marlgap::balancer::interface::{EndpointState, Outcome, ReplicaId, ShardId};
 use marlgap::coordinator::{Call, CancellationToken, Step, Transport};
-use marlgap::net::data_nodes::{Entry, Nodes, RequestContext};
+use marlgap::net::data_nodes::{ListedDataNode, DataNodes, RequestContext};
 use marlgap::net::descriptors::Descriptors;
 
 fn deployment(node: SocketAddr) -> marlgap::config::settings::Deployment {
@@ -35,8 +35,8 @@
     let address = listener.local_addr().expect("bound");
     let executor = Rc::new(LocalExecutor::new());
     let log = slog::Logger::root(slog::Discard, slog::o!());
-    let nodes = Nodes::new(deployment(address), descriptors(8), executor.clone(), log);
-    let replica = nodes.list(&Entry { name: "n0".to_owned(), address, phase: EndpointState::Ready, born: 0 });
+    let nodes = DataNodes::new(deployment(address), descriptors(8), executor.clone(), log);
+    let replica = nodes.list(&ListedDataNode { name: "n0".to_owned(), address, phase: EndpointState::Ready, born: 0 });
     let carried = Rc::new(RequestContext::new("a1".to_owned(), b"hi".to_vec()));
     let deadline = Instant::now() + PATIENCE;
     let begin = |shard| {
@@ -63,13 +63,13 @@
     let address = listener.local_addr().expect("bound");
     let executor = Rc::new(LocalExecutor::new());
     // One connection, of 32 places.
-    let nodes = Nodes::new(
+    let nodes = DataNodes::new(
         deployment(address),
         descriptors(1),
         executor.clone(),
         slog::Logger::root(slog::Discard, slog::o!()),
     );
-    let replica = nodes.list(&Entry { name: "n0".to_owned(), address, phase: EndpointState::Ready, born: 0 });
+    let replica = nodes.list(&ListedDataNode { name: "n0".to_owned(), address, phase: EndpointState::Ready, born: 0 });
     let carried = Rc::new(RequestContext::new("a1".to_owned(), b"hi".to_vec()));
     let deadline = Instant::now() + PATIENCE;
     let begin = |shard| {
@@ -118,13 +118,13 @@
     let listener = TcpListener::bind("127.0.0.1:0").expect("bound");
     let address = listener.local_addr().expect("bound");
     let executor = Rc::new(LocalExecutor::new());
-    let nodes = Nodes::new(
+    let nodes = DataNodes::new(
         deployment(address),
         descriptors(8),
         executor.clone(),
         slog::Logger::root(slog::Discard, slog::o!()),
     );
-    let replica = nodes.list(&Entry { name: "n0".to_owned(), address, phase: EndpointState::Ready, born: 0 });
+    let replica = nodes.list(&ListedDataNode { name: "n0".to_owned(), address, phase: EndpointState::Ready, born: 0 });
     let carried = Rc::new(RequestContext::new("a1".to_owned(), b"hi".to_vec()));
     let deadline = Instant::now() + PATIENCE;
     let begin = |shard| {
@@ -161,7 +161,7 @@
     let listeners: Vec<_> = (0..12).map(|_| TcpListener::bind("127.0.0.1:0").expect("bound")).collect();
     let addresses: Vec<_> = listeners.iter().map(|l| l.local_addr().expect("bound")).collect();
     let log = slog::Logger::root(slog::Discard, slog::o!());
-    let nodes = Nodes::new(deployment(addresses[0]), descriptors(4), executor.clone(), log);
+    let nodes = DataNodes::new(deployment(addresses[0]), descriptors(4), executor.clone(), log);
     let servers = listeners.into_iter().map(|listener| {
         std::thread::spawn(move || {
             let mut stream = listener.accept().expect("accepted").0;
@@ -172,7 +172,7 @@
     });
     let servers: Vec<_> = servers.collect();
     for (n, address) in addresses.iter().enumerate() {
-        let entry = Entry { name: format!("n{n}"), address: *address, phase: EndpointState::Ready, born: 0 };
+        let entry = ListedDataNode { name: format!("n{n}"), address: *address, phase: EndpointState::Ready, born: 0 };
         let replica = nodes.list(&entry);
         let carried = Rc::new(RequestContext::new("a1".to_owned(), b"hi".to_vec()));
         let call = Call::alone(replica, carried, ShardId(0), Step::First, Instant::now() + PATIENCE);
@@ -203,13 +203,13 @@
     let listener = TcpListener::bind("127.0.0.1:0").expect("bound");
     let address = listener.local_addr().expect("bound");
     let executor = Rc::new(LocalExecutor::new());
-    let nodes = Nodes::new(
+    let nodes = DataNodes::new(
         deployment(address),
         descriptors(8),
         executor.clone(),
         slog::Logger::root(slog::Discard, slog::o!()),
     );
-    let replica = nodes.list(&Entry { name: "n0".to_owned(), address, phase: EndpointState::Ready, born: 0 });
+    let replica = nodes.list(&ListedDataNode { name: "n0".to_owned(), address, phase: EndpointState::Ready, born: 0 });
     let carried = Rc::new(RequestContext::new("a1".to_owned(), b"hi".to_vec()));
     let deadline = Instant::now() + PATIENCE;
     let begin = |shard| {
@@ -243,13 +243,13 @@
     let listener = TcpListener::bind("127.0.0.1:0").expect("bound");
     let address = listener.local_addr().expect("bound");
     let executor = Rc::new(LocalExecutor::new());
-    let nodes = Nodes::new(
+    let nodes = DataNodes::new(
         deployment(address),
         descriptors(8),
         executor.clone(),
         slog::Logger::root(slog::Discard, slog::o!()),
     );
-    let replica = nodes.list(&Entry { name: "n0".to_owned(), address, phase: EndpointState::Ready, born: 0 });
+    let replica = nodes.list(&ListedDataNode { name: "n0".to_owned(), address, phase: EndpointState::Ready, born: 0 });
     let carried = Rc::new(RequestContext::new("a1".to_owned(), b"hi".to_vec()));
     let ask = |shard, wait| {
         let (carried, deadline) = (carried.clone(), Instant::now() + Duration::from_millis(wait));
@@ -307,8 +307,8 @@
 fn data_nodes_long_gone_are_forgotten_and_their_numbers_never_given_again() {
     let address = SocketAddr::from(([127, 0, 0, 1], 9));
     let log = slog::Logger::root(slog::Discard, slog::o!());
-    let nodes = Nodes::new(deployment(address), descriptors(8), Rc::new(LocalExecutor::new()), log);
-    let list = |n: u32, phase| nodes.list(&Entry { name: format!("n{n}"), address, phase, born: 0 });
+    let nodes = DataNodes::new(deployment(address), descriptors(8), Rc::new(LocalExecutor::new()), log);
+    let list = |n: u32, phase| nodes.list(&ListedDataNode { name: format!("n{n}"), address, phase, born: 0 });
     let first: Vec<_> = (0..3).map(|n| list(n, EndpointState::Ready)).collect();
     nodes.keep_only(&first[1..].iter().copied().collect());
     let now = Instant::now();
@@ -332,8 +332,8 @@
     {
         let executor = Rc::new(LocalExecutor::new());
         let log = slog::Logger::root(slog::Discard, slog::o!());
-        let nodes = Nodes::new(deployment.clone(), descriptors(8), executor.clone(), log);
-        let entry = |phase, born| Entry { name: "n0".to_owned(), address, phase, born };
+        let nodes = DataNodes::new(deployment.clone(), descriptors(8), executor.clone(), log);
+        let entry = |phase, born| ListedDataNode { name: "n0".to_owned(), address, phase, born };
         let replica = nodes.list(&entry(EndpointState::Ready, 0));
         assert_eq!(replica, ReplicaId(1));
         let carried = Rc::new(RequestContext::new("a1".to_owned(), b"hi".to_vec()));
--- a/tests/settings_effects.rs
+++ b/tests/settings_effects.rs
@@ -7,7 +7,7 @@
 use async_executor::LocalExecutor;
 use marlgap::balancer::interface::*;
 use marlgap::coordinator::*;
-use marlgap::net::data_nodes::{Entry, Nodes, RequestContext};
+use marlgap::net::data_nodes::{ListedDataNode, DataNodes, RequestContext};
 use marlgap::net::descriptors::Descriptors;
 
 mod common;
@@ -107,7 +107,7 @@
 }
 
 /// The first attempt of a part fails; the second goes to the data nodes.
-struct Second(Rc<Nodes>, std::cell::Cell<Option<Instant>>, ReplicaId);
+struct Second(Rc<DataNodes>, std::cell::Cell<Option<Instant>>, ReplicaId);
 
 impl Transport for Second {
     type RequestContext = RequestContext;
@@ -134,13 +134,13 @@
     let config: serde_json::Value = serde_json::from_str(&config).expect("JSON");
     let mut told =
         marlgap::config::settings::parse(config["settings"].to_string().as_bytes()).expect("settings");
-    told.sockets.streams = 1;
+    told.connections.max_streams = 1;
     told.settings.classes[0] =
         Class { idempotency: Idempotency::Keyed { window: WINDOW }, ..common::class() };
     told.settings.reach = 1;
     let (executor, log) = (Rc::new(LocalExecutor::new()), slog::Logger::root(slog::Discard, slog::o!()));
-    let nodes = Nodes::new(told.clone(), Rc::new(Descriptors::new(2)), executor.clone(), log);
-    let replica = nodes.list(&Entry { name: "n0".to_owned(), address, phase: EndpointState::Ready, born: 0 });
+    let nodes = DataNodes::new(told.clone(), Rc::new(Descriptors::new(2)), executor.clone(), log);
+    let replica = nodes.list(&ListedDataNode { name: "n0".to_owned(), address, phase: EndpointState::Ready, born: 0 });
     let transport = Rc::new(Second(nodes.clone(), Default::default(), replica));
     let core = Coordinator::new(told.settings, 1, 100, executor.clone(), transport.clone()).expect("served");
     let listed = |n| Endpoint {
--- a/tests/single_copy.rs
+++ b/tests/single_copy.rs
@@ -11,12 +11,12 @@
 use common::*;
 use marlgap::balancer::interface::{EndpointState, Outcome, ReplicaId, ShardId};
 use marlgap::coordinator::{AttemptResult, Call, CancellationToken, Step, Transport};
-use marlgap::net::data_nodes::{Entry, Nodes, RequestContext};
+use marlgap::net::data_nodes::{ListedDataNode, DataNodes, RequestContext};
 use marlgap::net::descriptors::Descriptors;
 
 struct World {
     executor: Rc<LocalExecutor<'static>>,
-    nodes: Rc<Nodes>,
+    nodes: Rc<DataNodes>,
     replica: ReplicaId,
     held: Vec<async_channel::Sender<std::convert::Infallible>>,
 }
@@ -34,9 +34,9 @@
         told.settings.hedging = copies;
         let executor = Rc::new(LocalExecutor::new());
         let log = slog::Logger::root(slog::Discard, slog::o!());
-        let nodes = Nodes::new(told, Rc::new(Descriptors::new(64)), executor.clone(), log);
+        let nodes = DataNodes::new(told, Rc::new(Descriptors::new(64)), executor.clone(), log);
         let replica =
-            nodes.list(&Entry { name: "n0".to_owned(), address, phase: EndpointState::Ready, born: 0 });
+            nodes.list(&ListedDataNode { name: "n0".to_owned(), address, phase: EndpointState::Ready, born: 0 });
         std::thread::spawn(move || node(listener));
         World { executor, nodes, replica, held: Vec::new() }
     }
