--- a/benches/scale/sockets.rs
+++ b/benches/scale/sockets.rs
@@ -8,7 +8,7 @@
 use async_executor::LocalExecutor;
 use marlgap::balancer::interface::{EndpointState, Outcome, ShardId};
 use marlgap::coordinator::{Call, CancellationToken, Step, Transport};
-use marlgap::net::data_nodes::{ListedDataNode, DataNodes, RequestContext};
+use marlgap::net::data_nodes::{DataNodes, ListedDataNode, RequestContext};
 use marlgap::net::descriptors::Descriptors;
 
 use crate::client::deployment;
@@ -99,7 +99,8 @@
     let log = slog::Logger::root(slog::Discard, slog::o!());
     let room = Rc::new(Descriptors::new(4 * connections));
     let nodes = DataNodes::new(told, room, executor.clone(), log);
-    let entry = |n: usize| ListedDataNode { name: format!("n{n}"), address, phase: EndpointState::Ready, born: 0 };
+    let entry =
+        |n: usize| ListedDataNode { name: format!("n{n}"), address, phase: EndpointState::Ready, born: 0 };
     let replicas: Vec<_> = (0..connections).map(|n| nodes.list(&entry(n))).collect();
     let carried = Rc::new(RequestContext::new("a1".to_owned(), vec![b's'; statement]));
     let mut served = 0;
--- a/src/balancer/attempts.rs
+++ b/src/balancer/attempts.rs
@@ -44,7 +44,9 @@
         r.used = self.now;
         r.sent.keep(self.now, self.s.slow_start.map_or(0.0, |rule| rule.overload_window));
         r.earned -= 1.0;
-        if let Some(until) = self.replica_stats.zones.get_mut(&r.listed.zone).and_then(|room| room.until.as_mut()) {
+        if let Some(until) =
+            self.replica_stats.zones.get_mut(&r.listed.zone).and_then(|room| room.until.as_mut())
+        {
             *until = self.now + between.max(EJECT);
         }
         self.sent(replica, (part, n), Flight { sent, class, paused, ..Flight::default() });
@@ -98,7 +100,9 @@
         match out.clone().all(|a| suspect(a) && self.now > a.sent) {
             true => Some(Why::Retry),
             // Guards against hedging all that is out when nothing reaches us at all.
-            false => (!self.replica_stats.stalled && out.all(|a| now - a.sent > hedge_after)).then_some(Why::Hedge),
+            false => {
+                (!self.replica_stats.stalled && out.all(|a| now - a.sent > hedge_after)).then_some(Why::Hedge)
+            }
         }
     }
 
--- a/src/balancer/interface.rs
+++ b/src/balancer/interface.rs
@@ -1,6 +1,7 @@
-//! The events that go into a [`Balancer`](crate::Balancer) and the actions that come out: plain types, no behaviour.
+//! The events that go into a [`Balancer`](crate::Balancer) and the actions that come out: plain types, no
+//! behaviour.
 //!
-//! One `Balancer` is made for each co-ordinator. Once a round it is handed the time and the events that
+//! One `Balancer` is made for each coordinator. Once a round it is handed the time and the events that
 //! came in since the last round, and gives back the actions to carry out, in order. Times are seconds on
 //! any clock that only goes forward. Nothing here is told of the transport.
 //!
@@ -122,7 +123,7 @@
     pub utilization: Option<f64>,
     /// Recent service time without waiting, in seconds.
     pub service_time: Option<f64>,
-    /// Requests served a second, of all co-ordinators together.
+    /// Requests served a second, of all coordinators together.
     pub rate: Option<f64>,
 }
 
@@ -162,7 +163,7 @@
     }
 }
 
-/// What a co-ordinator is told.
+/// What a coordinator is told.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Event {
     /// A query; its parts follow in the same round.
@@ -225,7 +226,7 @@
     Timer,
 }
 
-/// What a co-ordinator does.
+/// What a coordinator does.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
     /// An attempt of a part; those of a part are numbered in order, from the attempts that were spent before.
--- a/src/balancer/interface/settings.rs
+++ b/src/balancer/interface/settings.rs
@@ -1,4 +1,4 @@
-//! What a deployment tells a co-ordinator at its start.
+//! What a deployment tells a coordinator at its start.
 use super::ZoneId;
 
 /// What a repeat of a part may do.
@@ -48,7 +48,7 @@
 /// A tenant.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Tenant {
-    /// Queries a second over all co-ordinators that count as inside its share.
+    /// Queries a second over all coordinators that count as inside its share.
     pub quota: f64,
 }
 
@@ -92,7 +92,7 @@
     pub overload_window: f64,
 }
 
-/// What a deployment tells a co-ordinator at its start.
+/// What a deployment tells a coordinator at its start.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Settings {
     pub classes: Vec<Class>,
@@ -106,7 +106,7 @@
     pub zone: ZoneId,
     /// Clients mark their repeats.
     pub clients_mark_retries: bool,
-    /// Co-ordinators in all, this one included.
+    /// Coordinators in all, this one included.
     pub coordinators: u32,
     pub load_reporting: LoadReporting,
     pub discovery: Discovery,
--- a/src/balancer/latency.rs
+++ b/src/balancer/latency.rs
@@ -23,7 +23,8 @@
 impl Balancer {
     /// Response times of the whole fleet, by which each replica and each part is judged.
     pub(super) fn measure(&mut self, id: ReplicaId, took: f64) {
-        let (clock, weights) = (self.memory(), [TOOK_WEIGHT[0], TOOK_WEIGHT[usize::from(self.replica_stats.thin)]]);
+        let (clock, weights) =
+            (self.memory(), [TOOK_WEIGHT[0], TOOK_WEIGHT[usize::from(self.replica_stats.thin)]]);
         self.replicas.get_mut(&id).into_iter().for_each(|r| r.took.take(took, clock, weights));
         self.pace.tail *= 1.0 + GAIN * if took < self.pace.tail { -0.1 } else { 0.9 };
         self.pace.typical += GAIN * (took - self.pace.typical);
@@ -47,7 +48,8 @@
 
     /// Now, the half-life of a replica's response time, which lasts until it is met again, and the base.
     fn memory(&self) -> (f64, f64, f64) {
-        let half_life = if self.replica_stats.thin { TOOK_MEETINGS * self.replica_stats.between } else { TOOK_HALF };
+        let half_life =
+            if self.replica_stats.thin { TOOK_MEETINGS * self.replica_stats.between } else { TOOK_HALF };
         (self.now, half_life, self.pace.typical)
     }
 
--- a/src/balancer/mod.rs
+++ b/src/balancer/mod.rs
@@ -1,4 +1,4 @@
-//! All decisions of a co-ordinator. Types, events and actions: `src/balancer/interface.rs`; what is kept
+//! All decisions of a coordinator. Types, events and actions: `src/balancer/interface.rs`; what is kept
 //! between rounds: `src/balancer/state/`. The ordinary path is NetClone's (`docs/design.md`): draw two
 //! replicas of a shard; both idle: to both, the first answer wins; else to the shorter queue. The rest acts
 //! through who may be drawn and how ties fall.
@@ -42,7 +42,7 @@
 const PROBE_SHARE: f64 = 0.1;
 const PROBE_EVERY: f64 = 0.3;
 
-/// The decisions of one co-ordinator.
+/// The decisions of one coordinator.
 pub struct Balancer {
     pub(crate) s: Settings,
     pub(crate) rng: Pcg64Mcg,
@@ -65,7 +65,7 @@
 }
 
 impl Balancer {
-    /// A co-ordinator that knows no replica yet. Settings that cannot be served are refused.
+    /// A coordinator that knows no replica yet. Settings that cannot be served are refused.
     pub fn new(settings: Settings, seed: u64) -> Result<Self, SettingsError> {
         check(&settings)?;
         let aim = settings.classes.iter().map(|c| c.latency_objective).fold(f64::MAX, f64::min);
--- a/src/balancer/replica_selection.rs
+++ b/src/balancer/replica_selection.rs
@@ -94,13 +94,15 @@
         let (Some(rule), now, warm) = (self.s.slow_start, self.now, self.replica_stats.warm) else { return };
         let served = std::mem::take(&mut self.replica_stats.borne) / warm;
         let span = RECENT.min(now - self.born).max(rule.overload_window);
-        self.replica_stats.window = self.recent.borne.count(now - RECENT) / warm * rule.overload_window / span;
+        self.replica_stats.window =
+            self.recent.borne.count(now - RECENT) / warm * rule.overload_window / span;
         let headroom = self.headroom();
         let earns = served > 0.0 && now >= self.born + rule.overload_window;
         for id in self.census.cold(earns) {
             let Some(r) = self.replicas.get_mut(&id) else { continue };
             let share = COLD_CAUTION * r.stands(now, rule) * headroom;
-            r.earned = (r.earned + share * served).min((share * self.replica_stats.window).max(1.0 - r.phase));
+            r.earned =
+                (r.earned + share * served).min((share * self.replica_stats.window).max(1.0 - r.phase));
         }
     }
 
--- a/src/balancer/state/mod.rs
+++ b/src/balancer/state/mod.rs
@@ -1,4 +1,4 @@
-//! What a co-ordinator keeps between rounds, and the check of its settings. Nothing here decides or holds a
+//! What a coordinator keeps between rounds, and the check of its settings. Nothing here decides or holds a
 //! tuned value; decisions are in `src/balancer/`.
 //!
 //! Sums and indexes over what is kept, which decide nothing: `replica_index.rs` of the replicas,
@@ -359,7 +359,7 @@
     Failed,
 }
 
-/// Settings that no co-ordinator could serve.
+/// Settings that no coordinator could serve.
 pub fn check(s: &Settings) -> Result<(), SettingsError> {
     let positive = |n: f64| n.is_finite() && n > 0.0;
     let share = |n: f64| (0.0..=1.0).contains(&n);
--- a/src/cli/show.rs
+++ b/src/cli/show.rs
@@ -11,7 +11,8 @@
 
 /// The servers of a source; what is wrong with its records stands in the file's line.
 fn servers(path: &Path, at: &str, source: &Source) -> Result<Vec<Server>, OperatorConfigError> {
-    let error = |what: String| OperatorConfigError { file: path.into(), path: at.to_owned(), place: None, what };
+    let error =
+        |what: String| OperatorConfigError { file: path.into(), path: at.to_owned(), place: None, what };
     watcher::read(source).map_err(|e| error(e.to_string()))
 }
 
@@ -82,8 +83,12 @@
     metadata: &[(String, String)],
     message: Option<&Path>,
 ) -> Result<String, OperatorConfigError> {
-    let error =
-        |at: &str, what: String| OperatorConfigError { file: path.into(), path: at.into(), place: None, what };
+    let error = |at: &str, what: String| OperatorConfigError {
+        file: path.into(),
+        path: at.into(),
+        place: None,
+        what,
+    };
     let operator = OperatorConfig::read(path)?;
     let Grpc { routes, deployment, source, .. } =
         operator.grpc.ok_or_else(|| error("grpc", "the file describes no gRPC front".into()))?;
--- a/src/config/operator/mod.rs
+++ b/src/config/operator/mod.rs
@@ -171,7 +171,8 @@
 impl OperatorConfig {
     /// Read and check the file; nothing is opened but what it names.
     pub fn read(path: &Path) -> Result<OperatorConfig, OperatorConfigError> {
-        let bare = |what: String| OperatorConfigError { file: path.into(), path: String::new(), place: None, what };
+        let bare =
+            |what: String| OperatorConfigError { file: path.into(), path: String::new(), place: None, what };
         let text = std::fs::read_to_string(path).map_err(|e| bare(e.to_string()))?;
         OperatorConfig::parse(&text, path)
     }
@@ -248,7 +249,11 @@
                 at(&here, what)
             })
         });
-        Ok(OperatorConfig { query_api: query_api.transpose()?, grpc: grpc.transpose()?, cluster: fleet.transpose()? })
+        Ok(OperatorConfig {
+            query_api: query_api.transpose()?,
+            grpc: grpc.transpose()?,
+            cluster: fleet.transpose()?,
+        })
     }
 }
 
--- a/src/config/platform.rs
+++ b/src/config/platform.rs
@@ -1,4 +1,4 @@
-//! What the platform tells a co-ordinator at its start.
+//! What the platform tells a coordinator at its start.
 use std::fmt;
 use std::io;
 use std::net::SocketAddr;
@@ -91,7 +91,7 @@
     settings: &'a RawValue,
 }
 
-/// What this co-ordinator serves, and with what.
+/// What this coordinator serves, and with what.
 pub struct Config {
     pub platform: Option<Platform>,
     /// The fronts of the operator's own file: off unless it is named.
--- a/src/config/settings.rs
+++ b/src/config/settings.rs
@@ -21,7 +21,7 @@
 
 impl std::error::Error for SettingsParseError {}
 
-/// All that a deployment tells a co-ordinator: what its decisions go by, and what its sockets do.
+/// All that a deployment tells a coordinator: what its decisions go by, and what its sockets do.
 #[derive(Clone, Debug)]
 pub struct Deployment {
     pub settings: Settings,
@@ -165,8 +165,8 @@
 
 /// Read the settings object, as an instance gets it on the simulator's wire or in a configuration file.
 pub fn parse(bytes: &[u8]) -> Result<Deployment, SettingsParseError> {
-    let v: Value =
-        serde_json::from_slice(bytes).map_err(|e| SettingsParseError(format!("settings are not valid JSON: {e}")))?;
+    let v: Value = serde_json::from_slice(bytes)
+        .map_err(|e| SettingsParseError(format!("settings are not valid JSON: {e}")))?;
     form(&v)?;
     let mut classes = Vec::new();
     for (i, c) in list(&v, "Classes")?.iter().enumerate() {
@@ -174,7 +174,8 @@
     }
     let mut tenants = Vec::new();
     for t in list(&v, "Tenants")? {
-        let quota = at_least(t, "QuotaPerS", 0.0).map_err(|e| SettingsParseError(format!("{e} (Tenants)")))?;
+        let quota =
+            at_least(t, "QuotaPerS", 0.0).map_err(|e| SettingsParseError(format!("{e} (Tenants)")))?;
         tenants.push(Tenant { quota: quota.unwrap_or(f64::MAX) });
     }
     let mut names = Vec::new();
--- a/src/coordinator/mod.rs
+++ b/src/coordinator/mod.rs
@@ -1,4 +1,4 @@
-//! The core of a co-ordinator, which knows no wire. It owns the [`Balancer`], its clock, its timer and its
+//! The core of a coordinator, which knows no wire. It owns the [`Balancer`], its clock, its timer and its
 //! rounds; takes a query with its parts and deadline and gives back exactly one final outcome. What carries
 //! the attempts is a [`Transport`].
 mod attempt;
--- a/src/coordinator/query.rs
+++ b/src/coordinator/query.rs
@@ -60,7 +60,7 @@
 
 /// A query that was taken. Dropping it before its final outcome withdraws it.
 pub struct QueryHandle<T: Transport> {
-    core: Weak<Coordinator<T>>,
+    coordinator: Weak<Coordinator<T>>,
     query: QueryId,
     deadline: Instant,
     context: Rc<T::RequestContext>,
@@ -91,7 +91,7 @@
 
 impl<T: Transport> Drop for QueryHandle<T> {
     fn drop(&mut self) {
-        if let Some(core) = self.core.upgrade() {
+        if let Some(core) = self.coordinator.upgrade() {
             core.withdraw(self.query);
         }
     }
@@ -136,7 +136,7 @@
         state.open.insert(id, open);
         self.wake.notify(1);
         Some(QueryHandle {
-            core: Rc::downgrade(self),
+            coordinator: Rc::downgrade(self),
             query: id,
             deadline: query.deadline,
             context: carried,
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,4 +1,4 @@
-//! Decisions of a co-ordinator of queries over replicated shards.
+//! Decisions of a coordinator of queries over replicated shards.
 //!
 //! [`Balancer`] decides; [`balancer::interface`] holds the plain types that go in and come out.
 pub mod balancer;
--- a/src/main.rs
+++ b/src/main.rs
@@ -1,4 +1,4 @@
-//! One co-ordinator: configuration, signals and wiring.
+//! One coordinator: configuration, signals and wiring.
 mod signals;
 
 use std::net::{SocketAddr, TcpListener};
@@ -25,7 +25,7 @@
 use marlgap::net::discovery::Discovery;
 use marlgap::net::http_server::{Acceptor, GracefulShutdown, STILL_COMING};
 use marlgap::net::platform_api::PlatformApi;
-use marlgap::net::{timeout_at, grpc, invariants, opensearch, socket};
+use marlgap::net::{grpc, invariants, opensearch, socket, timeout_at};
 use signals::{Request, SignalHandlers};
 
 /// Time between lines of counts.
@@ -108,7 +108,14 @@
         info!(log, "listening"; "name" => &platform.name, "address" => %address);
         let (open, said) = Default::default();
         let (core_of, closing_of) = (core.clone(), closing.clone());
-        let front = Rc::new(PlatformApi { core: core_of, deployment: told, closing: closing_of, open, log: log.clone(), said });
+        let front = Rc::new(PlatformApi {
+            coordinator: core_of,
+            deployment: told,
+            closing: closing_of,
+            open,
+            log: log.clone(),
+            log_limiters: said,
+        });
         let acceptor = acceptor(descriptors);
         let accept = acceptor.clone().accept(listener, move |client| front.clone().serve(client));
         accepted.push((acceptor, executor.spawn(accept)));
@@ -137,7 +144,7 @@
         }
         let listener = listen(address).await?;
         info!(log, "query API listening"; "address" => %listener.get_ref().local_addr().unwrap_or(address));
-        executor.spawn(count(front.core.clone(), "query API", log.clone())).detach();
+        executor.spawn(count(front.coordinator.clone(), "query API", log.clone())).detach();
         let acceptor = acceptor(Rc::new(Descriptors::new(all)));
         let accept = acceptor.clone().accept(listener, move |client| front.clone().serve(client));
         accepted.push((acceptor, executor.spawn(accept)));
@@ -151,7 +158,7 @@
         routed = Some(front.clone());
         let listener = listen(address).await?;
         info!(log, "gRPC listening"; "address" => %listener.get_ref().local_addr().unwrap_or(address));
-        executor.spawn(count(front.core.clone(), "gRPC", log.clone())).detach();
+        executor.spawn(count(front.coordinator.clone(), "gRPC", log.clone())).detach();
         let acceptor = acceptor(Rc::new(Descriptors::new(all)));
         let accept = acceptor.clone().accept(listener, move |client| front.clone().serve(client));
         accepted.push((acceptor, executor.spawn(accept)));
--- a/src/net/cluster/accept.rs
+++ b/src/net/cluster/accept.rs
@@ -12,8 +12,8 @@
 use super::frames::{self, Frame, FrameError};
 use crate::cluster::MemberId;
 use crate::net::buffer::Buffer;
-use crate::net::timeout_at;
 use crate::net::socket::{self, Accepted, Stream};
+use crate::net::timeout_at;
 
 /// Connections whose hello is not in: others wait in the machine's backlog. Guards the descriptors.
 pub const GREETING: usize = 64;
--- a/src/net/cluster/driver.rs
+++ b/src/net/cluster/driver.rs
@@ -54,7 +54,7 @@
     timer_changed: Wake,
     pub idle: Wake,
     log: Logger,
-    log_ration: LogRateLimiter,
+    log_limiter: LogRateLimiter,
 }
 
 impl Driver {
@@ -87,7 +87,7 @@
             timer_changed: Wake::new(),
             idle: Wake::new(),
             log,
-            log_ration: LogRateLimiter::default(),
+            log_limiter: LogRateLimiter::default(),
             me,
         })
     }
@@ -240,8 +240,8 @@
     }
 
     fn warn(&self, what: &'static str, peer: &dyn fmt::Display, why: &dyn fmt::Display) {
-        if let Some(spared) = self.log_ration.permit() {
-            warn!(self.log, "{}", what; "peer" => %peer, "error" => %why, "spared" => spared);
+        if let Some(suppressed) = self.log_limiter.permit() {
+            warn!(self.log, "{}", what; "peer" => %peer, "error" => %why, "suppressed" => suppressed);
         }
     }
 
--- a/src/net/cluster/link.rs
+++ b/src/net/cluster/link.rs
@@ -12,8 +12,8 @@
 use super::outbox::Outbox;
 use crate::cluster::MemberId;
 use crate::net::buffer::Buffer;
-use crate::net::timeout_at;
 use crate::net::socket::{self, Stream};
+use crate::net::timeout_at;
 
 /// Rests between two dials: short at first, since a member that restarts is back at once.
 const REST: Duration = Duration::from_millis(20);
--- a/src/net/data_nodes/exchange.rs
+++ b/src/net/data_nodes/exchange.rs
@@ -12,10 +12,10 @@
 use crate::config::settings;
 use crate::coordinator::AttemptResult;
 use crate::net::buffer::Buffer;
-use crate::net::timeout_at;
 use crate::net::data_nodes::frames::{self, Frame};
 use crate::net::invariants;
 use crate::net::socket::{self, ConnectError, Stream};
+use crate::net::timeout_at;
 use crate::send_policy::{Denied, SendConditions, FRAME_TIME};
 
 /// Share of the time after which a data node would close an idle connection: we do it then. A request that
@@ -168,10 +168,10 @@
     /// out on the connection may have run, and its data node may be sound.
     fn stalled(&self, replica: ReplicaId, connection: &Connection) {
         invariants::stalled();
-        if let Some(spared) = self.said.permit() {
+        if let Some(suppressed) = self.log_limiter.permit() {
             let unfinished = connection.under_way.borrow().first().map(|item| item.id.clone());
             info!(self.log, "a data node does not read"; "replica" => replica.0, "unfinished" => unfinished,
-                "out" => connection.waiting.borrow().len(), "spared" => spared);
+                "out" => connection.waiting.borrow().len(), "suppressed" => suppressed);
         }
         connection.silent.set(true);
     }
@@ -271,8 +271,8 @@
             }
             let used = match frames::parse(buffer.unread()) {
                 Ok(Some((Frame::Error { words }, _))) => {
-                    if let Some(spared) = self.said.permit() {
-                        warn!(self.log, "data node could not use a frame"; "words" => words, "spared" => spared);
+                    if let Some(suppressed) = self.log_limiter.permit() {
+                        warn!(self.log, "data node could not use a frame"; "words" => words, "suppressed" => suppressed);
                     }
                     return;
                 }
@@ -305,8 +305,8 @@
     /// What came cannot be used, nor can the connection from here on. Behind a good answer, with nothing out,
     /// that costs no more than the connection.
     fn unusable(&self, connection: &Connection, error: impl std::fmt::Display, bytes: &[u8]) {
-        if let Some(spared) = self.said.permit() {
-            warn!(self.log, "unusable frame from a data node"; "error" => %error, "spared" => spared,
+        if let Some(suppressed) = self.log_limiter.permit() {
+            warn!(self.log, "unusable frame from a data node"; "error" => %error, "suppressed" => suppressed,
                 "out" => connection.waiting.borrow().len());
         }
         connection.spoil(frames::named(bytes), self.alone());
--- a/src/net/data_nodes/mod.rs
+++ b/src/net/data_nodes/mod.rs
@@ -13,8 +13,8 @@
 use futures_lite::FutureExt;
 use slog::{debug, Logger};
 
-use super::timeout_at;
 use super::descriptors::Descriptors;
+use super::timeout_at;
 use super::LogRateLimiter;
 use crate::balancer::interface::*;
 use crate::config::settings::Deployment;
@@ -81,7 +81,7 @@
     }
 }
 
-/// A data node as discovery lists it, in this co-ordinator's terms.
+/// A data node as discovery lists it, in this coordinator's terms.
 pub struct ListedDataNode {
     pub name: String,
     pub address: SocketAddr,
@@ -99,7 +99,7 @@
     deployment: Deployment,
     executor: Rc<LocalExecutor<'static>>,
     log: Logger,
-    said: LogRateLimiter,
+    log_limiter: LogRateLimiter,
     descriptors: Rc<Descriptors>,
 }
 
@@ -111,7 +111,17 @@
         log: Logger,
     ) -> Rc<Self> {
         let (nodes, names, last, opened, said) = Default::default();
-        Rc::new(DataNodes { nodes, names, last, opened, deployment: told, executor, log, said, descriptors })
+        Rc::new(DataNodes {
+            nodes,
+            names,
+            last,
+            opened,
+            deployment: told,
+            executor,
+            log,
+            log_limiter: said,
+            descriptors,
+        })
     }
 
     /// The number under which a data node is known to the module; the same for as long as it is known.
@@ -196,7 +206,8 @@
         node.connections.retain(|c| !c.closed.get());
         let order = |c: &&Rc<Connection>| (c.quiet(now, QUIET), c.load(), !c.up.get());
         let least = node.connections.iter().min_by_key(order).cloned();
-        let good = |c: &Rc<Connection>| !c.quiet(now, QUIET) && c.load() < self.deployment.connections.max_streams;
+        let good =
+            |c: &Rc<Connection>| !c.quiet(now, QUIET) && c.load() < self.deployment.connections.max_streams;
         let free = least.as_ref().is_some_and(good);
         let life = node.life;
         if free || (least.is_some() && node.connections.len() >= MOST_CONNECTIONS) {
--- a/src/net/discovery/mod.rs
+++ b/src/net/discovery/mod.rs
@@ -16,7 +16,7 @@
 use slog::{info, warn, Logger};
 
 use super::buffer::Buffer;
-use super::data_nodes::{ListedDataNode, DataNodes};
+use super::data_nodes::{DataNodes, ListedDataNode};
 use super::http::{self, HttpError, Kind};
 use super::socket::{self, ConnectError, Stream};
 use super::{timeout_at, LogRateLimiter};
@@ -35,7 +35,7 @@
     address: Cell<SocketAddr>,
     /// Where it is from now on, each time a new configuration says so.
     moves: Receiver<SocketAddr>,
-    core: Rc<Coordinator<DataNodes>>,
+    coordinator: Rc<Coordinator<DataNodes>>,
     nodes: Rc<DataNodes>,
     zones: Vec<String>,
     terms: Terms,
@@ -47,7 +47,7 @@
     slow: Cell<Duration>,
     /// Those of the listed ones that this coordinator works with.
     subset: RefCell<Subset>,
-    said: LogRateLimiter,
+    log_limiter: LogRateLimiter,
     log: Logger,
 }
 
@@ -64,12 +64,25 @@
         let (address, called, slow) = (Cell::new(address), Cell::new(Instant::now()), Cell::default());
         let (terms, zones, said) = (Terms::of(told.0), told.1, LogRateLimiter::default());
         let (last_list, subset) = (Cell::new(None), RefCell::new(Subset::new(seed, subsetting::MOST)));
-        Discovery { address, moves, core, nodes, zones, terms, called, last_list, slow, subset, said, log }
+        Discovery {
+            address,
+            moves,
+            coordinator: core,
+            nodes,
+            zones,
+            terms,
+            called,
+            last_list,
+            slow,
+            subset,
+            log_limiter: said,
+            log,
+        }
     }
 
     /// Hand a list on: to the connections first, whose writes it may stop, then to the module.
     pub fn apply(&self, list: &List, news: EndpointUpdate) {
-        let clock = self.core.clock();
+        let clock = self.coordinator.clock();
         let entries: Vec<Endpoint> = list.hosts.iter().filter_map(|h| self.entry(h, &clock)).collect();
         if news != EndpointUpdate::Delta {
             self.nodes.keep_only(&entries.iter().map(|e| e.replica).collect());
@@ -78,7 +91,7 @@
             "entries" => entries.len());
         self.nodes.forget(Instant::now());
         let entries = self.subset.borrow_mut().update(news, entries);
-        self.core.update_endpoints(news, entries);
+        self.coordinator.update_endpoints(news, entries);
     }
 
     fn entry(&self, host: &Host, clock: &Clock) -> Option<Endpoint> {
@@ -117,10 +130,10 @@
         }
         let late = async {
             Timer::at(Instant::now() + START).await;
-            if !self.core.ready() {
+            if !self.coordinator.ready() {
                 warn!(self.log, "no list from discovery yet"; "known" => known.map(|k| k.hosts.len()));
                 known.iter().for_each(|k| self.apply(k, EndpointUpdate::Cached));
-                self.core.stop_waiting_for_endpoints();
+                self.coordinator.stop_waiting_for_endpoints();
             }
             std::future::pending().await
         };
@@ -131,7 +144,7 @@
     /// once, whether a watch runs, has failed or was never begun. Guards against a drain that only the new
     /// place tells, while we wait for the old one to close.
     async fn watch(&self, mut seq: Option<u64>) {
-        let subscriptions = self.core.subscriptions();
+        let subscriptions = self.coordinator.subscriptions();
         let (mut to, mut latest) = (None, self.terms.pushed.then(Instant::now));
         loop {
             if to.is_none() {
@@ -172,7 +185,7 @@
                         "seq" => seq);
                     // Asked for before this end: it was begun already.
                     while subscriptions.try_recv().is_ok() {}
-                    self.core.update_endpoints(EndpointUpdate::Failed, Vec::new());
+                    self.coordinator.update_endpoints(EndpointUpdate::Failed, Vec::new());
                     latest = Some(Instant::now() + PAUSE);
                 }
             }
@@ -197,9 +210,9 @@
             if !self.terms.pushed && !matches!(e, DiscoveryError::Silent) {
                 return e;
             }
-            if let Some(spared) = self.said.permit() {
+            if let Some(suppressed) = self.log_limiter.permit() {
                 warn!(self.log, "watch on discovery begun anew"; "error" => %e, "address" => %self.address.get(),
-                    "seq" => *seq, "spared" => spared);
+                    "seq" => *seq, "suppressed" => suppressed);
             }
             Timer::at(self.called.get() + PACE).await;
         }
--- a/src/net/grpc/front.rs
+++ b/src/net/grpc/front.rs
@@ -54,7 +54,7 @@
 }
 
 pub struct Front {
-    pub core: Rc<Coordinator<Servers>>,
+    pub coordinator: Rc<Coordinator<Servers>>,
     pub servers: Rc<Servers>,
     pub table: ArcSwap<Table>,
     pub limits: FrontLimits,
@@ -65,12 +65,12 @@
     pub rng: RefCell<Pcg64Mcg>,
     pub executor: Rc<LocalExecutor<'static>>,
     pub log: Logger,
-    pub said: Said,
+    pub log_limiters: LogLimiters,
 }
 
 /// How many lines of each sort were logged lately.
 #[derive(Default)]
-pub struct Said {
+pub struct LogLimiters {
     bad: LogRateLimiter,
     flood: LogRateLimiter,
     refused: LogRateLimiter,
@@ -192,9 +192,9 @@
                     self.executor.spawn(life).detach();
                 }
                 Next::Flood => {
-                    if let Some(spared) = self.said.flood.permit() {
+                    if let Some(suppressed) = self.log_limiters.flood.permit() {
                         let kind = alarm.flood.get().map_or("", |f| f.name());
-                        warn!(self.log, "flood on a client's connection"; "frames" => kind, "spared" => spared);
+                        warn!(self.log, "flood on a client's connection"; "frames" => kind, "suppressed" => suppressed);
                     }
                     connection.abrupt_shutdown(Reason::ENHANCE_YOUR_CALM);
                     timeout_at(Instant::now() + LEAVE, poll_fn(|cx| connection.poll_closed(cx))).await;
@@ -238,9 +238,9 @@
             }
         };
         if let Err(status) = result {
-            if let Some(spared) = self.said.bad.permit() {
+            if let Some(suppressed) = self.log_limiters.bad.permit() {
                 warn!(self.log, "unusable call"; "path" => head.uri.path(), "status" => status.code.name(),
-                    "error" => &status.message, "spared" => spared);
+                    "error" => &status.message, "suppressed" => suppressed);
             }
             client.end(wire::trailers(&status));
         }
@@ -290,7 +290,10 @@
             true => {
                 let taken = client.take(&mut framer, whole);
                 let late = Status::new(Code::DeadlineExceeded, "the request did not come in in time");
-                timeout_at(deadline, taken).await.unwrap_or(Err(Some(late))).map_err(|s| s.unwrap_or_else(gone))?
+                timeout_at(deadline, taken)
+                    .await
+                    .unwrap_or(Err(Some(late)))
+                    .map_err(|s| s.unwrap_or_else(gone))?
             }
         };
         let first = first.freeze();
@@ -331,10 +334,10 @@
         let (class, parts) = (carried.route.class, shards.iter().map(|s| (*s, weight)).collect());
         let query =
             Query { class, tenant, deadline, is_retry: repeat, parts, context: carried, protection: None };
-        let Some(taken) = self.core.take(query) else {
-            if let Some(spared) = self.said.refused.permit() {
+        let Some(taken) = self.coordinator.take(query) else {
+            if let Some(suppressed) = self.log_limiters.refused.permit() {
                 info!(self.log, "refused"; "why" => "as much is open as may be", "path" => head.uri.path(),
-                    "open" => self.core.open(), "held" => self.core.open_parts(), "spared" => spared);
+                    "open" => self.coordinator.open(), "held" => self.coordinator.open_parts(), "suppressed" => suppressed);
             }
             let retry_after = table.deployment.settings.retry_after;
             let status = Status::new(Code::ResourceExhausted, "as much is open as may be");
@@ -357,9 +360,9 @@
         }
         if let Some(Err(Left::Gone)) = ended {
             // Dropping what was taken withdraws it.
-            if let Some(spared) = self.said.gone.permit() {
+            if let Some(suppressed) = self.log_limiters.gone.permit() {
                 info!(self.log, "client gone"; "path" => head.uri.path(),
-                    "after_ms" => begun.elapsed().as_millis() as u64, "spared" => spared);
+                    "after_ms" => begun.elapsed().as_millis() as u64, "suppressed" => suppressed);
             }
             return Ok(());
         }
@@ -379,9 +382,9 @@
                 let begun_to_answer = matches!(client.side, Side::Body(_));
                 let last = exchange.last.borrow();
                 let status = status::ended(outcome, last.as_ref(), begun_to_answer, out_of_time);
-                if let Some(spared) = self.said.unanswered.permit() {
+                if let Some(suppressed) = self.log_limiters.unanswered.permit() {
                     info!(self.log, "not answered"; "path" => head.uri.path(), "status" => status.code.name(),
-                        "outcome" => ?outcome, "after_ms" => begun.elapsed().as_millis() as u64, "spared" => spared);
+                        "outcome" => ?outcome, "after_ms" => begun.elapsed().as_millis() as u64, "suppressed" => suppressed);
                 }
                 wire::trailers(&status)
             }
--- a/src/net/grpc/front/checks.rs
+++ b/src/net/grpc/front/checks.rs
@@ -61,13 +61,16 @@
                 return client.end(wire::trailers(&bad));
             }
         };
-        let state = || health::state(&asked, &table.routes, self.core.ready(), self.closing.begun.get());
+        let state =
+            || health::state(&asked, &table.routes, self.coordinator.ready(), self.closing.begun.get());
         match path.strip_prefix(health::SERVICE) {
             Some("Check") => match health::check(state()) {
                 Ok(message) => {
                     let sent = client.open(grpc_head()).is_ok();
                     if sent
-                        && timeout_at(Instant::now() + LEAVE, client.write(message)).await.is_some_and(|w| w.is_ok())
+                        && timeout_at(Instant::now() + LEAVE, client.write(message))
+                            .await
+                            .is_some_and(|w| w.is_ok())
                     {
                         client.end(wire::trailers(&Status::new(Code::Ok, "")));
                     }
--- a/src/net/grpc/mod.rs
+++ b/src/net/grpc/mod.rs
@@ -41,7 +41,8 @@
 ) -> Result<Rc<Front>, StartError> {
     let Grpc { source, routes, front: limits, pool, deployment, .. } = setup;
     let (executor_of, log_of) = (executor.clone(), log.clone());
-    let servers = Servers::new(deployment.connections, pool, limits.clone(), descriptors, seed, executor_of, log_of);
+    let servers =
+        Servers::new(deployment.connections, pool, limits.clone(), descriptors, seed, executor_of, log_of);
     let settings = deployment.settings.clone();
     let core = Coordinator::new(settings, seed, deployment.max_open, executor.clone(), servers.clone())
         .map_err(StartError::Settings)?;
@@ -54,7 +55,19 @@
     let (budget, rng) = (Budget::new(limits.replay_all), Pcg64Mcg::seed_from_u64(!seed).into());
     let (executor, closing, log) = (executor.clone(), closing.clone(), log.clone());
     let (open, said) = Default::default();
-    Ok(Rc::new(Front { core, servers, table, limits, budget, closing, open, rng, executor, log, said }))
+    Ok(Rc::new(Front {
+        coordinator: core,
+        servers,
+        table,
+        limits,
+        budget,
+        closing,
+        open,
+        rng,
+        executor,
+        log,
+        log_limiters: said,
+    }))
 }
 
 impl Front {
@@ -71,7 +84,7 @@
             key: None,
             what: e.to_string(),
         };
-        self.core.extend(&told.settings.classes[known..]).map_err(unfit)?;
+        self.coordinator.extend(&told.settings.classes[known..]).map_err(unfit)?;
         self.table.store(std::sync::Arc::new(Table { routes, deployment: told }));
         Ok(())
     }
--- a/src/net/grpc/servers.rs
+++ b/src/net/grpc/servers.rs
@@ -68,7 +68,7 @@
     rng: RefCell<Pcg64Mcg>,
     executor: Rc<LocalExecutor<'static>>,
     log: Logger,
-    said: LogRateLimiter,
+    log_limiter: LogRateLimiter,
 }
 
 impl Follows for Servers {
@@ -117,7 +117,7 @@
             rng,
             executor,
             log,
-            said,
+            log_limiter: said,
         })
     }
 
@@ -147,9 +147,11 @@
         match act {
             Do::Ping(_) => link.ask.set(true),
             Do::Close(_, why) => {
-                if let Some(spared) = matches!(why, Why::Silent).then(|| self.said.permit()).flatten() {
+                if let Some(suppressed) =
+                    matches!(why, Why::Silent).then(|| self.log_limiter.permit()).flatten()
+                {
                     info!(self.log, "connection to a server given up"; "why" => "no answer to a PING",
-                        "connection" => id.0, "spared" => spared);
+                        "connection" => id.0, "suppressed" => suppressed);
                 }
                 link.closed.set(Some(why));
             }
--- a/src/net/http_server/acceptor.rs
+++ b/src/net/http_server/acceptor.rs
@@ -129,7 +129,7 @@
     /// Three quarters of the room are taken.
     crowded: Rc<Cell<bool>>,
     log: Logger,
-    said: LogRateLimiter,
+    log_limiter: LogRateLimiter,
 }
 
 impl Acceptor {
@@ -140,7 +140,17 @@
         log: Logger,
     ) -> Rc<Self> {
         let (seats, accepted, freed, crowded, said) = Default::default();
-        Rc::new(Acceptor { executor, closing, seats, accepted, freed, descriptors, crowded, log, said })
+        Rc::new(Acceptor {
+            executor,
+            closing,
+            seats,
+            accepted,
+            freed,
+            descriptors,
+            crowded,
+            log,
+            log_limiter: said,
+        })
     }
 
     /// Connections that are being served.
@@ -211,8 +221,8 @@
                     continue;
                 }
                 Accepted::Local(e) => {
-                    if let Some(spared) = self.said.permit() {
-                        warn!(self.log, "could not accept a connection"; "error" => %e, "spared" => spared);
+                    if let Some(suppressed) = self.log_limiter.permit() {
+                        warn!(self.log, "could not accept a connection"; "error" => %e, "suppressed" => suppressed);
                     }
                     let now = Instant::now();
                     unseen.get_or_insert(now);
--- a/src/net/mod.rs
+++ b/src/net/mod.rs
@@ -62,7 +62,7 @@
 impl LogRateLimiter {
     const A_SECOND: u32 = 5;
 
-    /// Whether a line may be written now, and how many were spared since the last one.
+    /// Whether a line may be written now, and how many were suppressed since the last one.
     pub fn permit(&self) -> Option<u64> {
         let now = Instant::now();
         if self.second.get().is_none_or(|s| now >= s + Duration::from_secs(1)) {
--- a/src/net/opensearch/mod.rs
+++ b/src/net/opensearch/mod.rs
@@ -38,6 +38,6 @@
     let watch = Watch::begin(core_of, servers, zones, source, "query API", log.clone());
     executor.spawn(core.clone().run()).detach();
     executor.spawn(watch.map_err(StartError::Source)?.run()).detach();
-    let (closing, log, (log_ration, joined)) = (closing.clone(), log.clone(), Default::default());
-    Ok(Rc::new(Front { core, deployment, indices, shards, closing, log, log_ration, joined }))
+    let (closing, log, (log_limiter, joined)) = (closing.clone(), log.clone(), Default::default());
+    Ok(Rc::new(Front { coordinator: core, deployment, indices, shards, closing, log, log_limiter, joined }))
 }
--- a/src/net/opensearch/protected.rs
+++ b/src/net/opensearch/protected.rs
@@ -16,9 +16,9 @@
 use crate::cluster::takeover::{Ask, Key, Part, Record, Reply};
 use crate::coordinator::{AttemptGate, PendingGrant, PriorProgress, TakeoverProtection, Value};
 use crate::net::buffer::Buffer;
-use crate::net::timeout_at;
-use crate::net::cluster::{Execute, ClusterNode, Hold};
+use crate::net::cluster::{ClusterNode, Execute, Hold};
 use crate::net::http::{Answer, Message};
+use crate::net::timeout_at;
 
 /// The longest id that a search can be asked for under, in bytes.
 const MOST_ID: usize = 128;
@@ -116,7 +116,7 @@
         let gate = Rc::new(Held { hold: hold.clone(), notes: ready.notes.clone() });
         ready.query.protection = Some(TakeoverProtection { gate, earlier });
         let Ready { search, notes, parts, begun, deadline, query } = ready;
-        match self.core.take(query) {
+        match self.coordinator.take(query) {
             None => self.refused("too many searches are open"),
             Some(taken) => {
                 let outcome = taken.outcome().await;
@@ -126,8 +126,8 @@
     }
 
     fn spoilt(&self, what: &'static str, error: &outcome::Spoilt) {
-        if let Some(spared) = self.log_ration.permit() {
-            warn!(self.log, "{}", what; "error" => %error, "spared" => spared);
+        if let Some(suppressed) = self.log_limiter.permit() {
+            warn!(self.log, "{}", what; "error" => %error, "suppressed" => suppressed);
         }
     }
 }
--- a/src/net/opensearch/search.rs
+++ b/src/net/opensearch/search.rs
@@ -23,14 +23,14 @@
 const END: Duration = Duration::from_millis(60);
 
 pub struct Front {
-    pub core: Rc<Coordinator<Servers>>,
+    pub coordinator: Rc<Coordinator<Servers>>,
     pub deployment: Rc<Deployment>,
     /// The index of each class, in the order of the classes, where it has one.
     pub indices: Vec<Option<String>>,
     pub shards: u32,
     pub closing: Rc<GracefulShutdown>,
     pub log: Logger,
-    pub log_ration: LogRateLimiter,
+    pub log_limiter: LogRateLimiter,
     /// The fleet that it belongs to, if any.
     pub(super) joined: OnceCell<Joined>,
 }
@@ -64,8 +64,8 @@
         let index = segments(&path).first().copied().unwrap_or_default();
         let parameters = target.split_once('?').map_or("", |(_, parameters)| parameters);
         let refuse = |bad: BadQuery| {
-            if let Some(spared) = self.log_ration.permit() {
-                warn!(self.log, "unusable search"; "error" => %bad, "spared" => spared);
+            if let Some(suppressed) = self.log_limiter.permit() {
+                warn!(self.log, "unusable search"; "error" => %bad, "suppressed" => suppressed);
             }
             error(400, bad.kind, &bad.reason)
         };
--- a/src/net/opensearch/servers.rs
+++ b/src/net/opensearch/servers.rs
@@ -15,12 +15,12 @@
 use crate::config::settings::ConnectionSettings;
 use crate::coordinator::{AttemptResult, Call, CancellationToken, Clock, Step, Transport};
 use crate::net::buffer::Buffer;
-use crate::net::timeout_at;
 use crate::net::dns_sd::watcher::{Book, Change, Follows};
 use crate::net::dns_sd::zone_file::Server;
 use crate::net::http::{self, HttpError, Kind, Message};
 use crate::net::invariants;
 use crate::net::socket::{self, ConnectError, Stream};
+use crate::net::timeout_at;
 use crate::send_policy::{Permit, SendConditions};
 
 const PROBE_WAIT: Duration = Duration::from_millis(250);
--- a/src/net/platform_api.rs
+++ b/src/net/platform_api.rs
@@ -64,18 +64,18 @@
 }
 
 pub struct PlatformApi {
-    pub core: Rc<Coordinator<DataNodes>>,
+    pub coordinator: Rc<Coordinator<DataNodes>>,
     pub deployment: Rc<Deployment>,
     pub closing: Rc<GracefulShutdown>,
     /// The ids of the queries that are open.
     pub open: Rc<RefCell<BTreeSet<String>>>,
     pub log: Logger,
-    pub said: Said,
+    pub log_limiters: LogLimiters,
 }
 
 /// How many lines of each sort were logged lately.
 #[derive(Default)]
-pub struct Said {
+pub struct LogLimiters {
     bad: LogRateLimiter,
     refused: LogRateLimiter,
     unanswered: LogRateLimiter,
@@ -99,8 +99,8 @@
                 Ok(message) => message,
                 Err(e) => {
                     if let Some(status) = e.status() {
-                        if let Some(spared) = self.said.bad.permit() {
-                            warn!(self.log, "unusable request"; "error" => %e, "spared" => spared);
+                        if let Some(suppressed) = self.log_limiters.bad.permit() {
+                            warn!(self.log, "unusable request"; "error" => %e, "suppressed" => suppressed);
                         }
                         client.write_error(&Answer::new(status, fault(&e))).await;
                     }
@@ -116,8 +116,8 @@
                 ("GET", "/_health") => self.health(),
                 ("POST", "/api") => match self.query(&message, client.buffer(), begun) {
                     Err(bad) => {
-                        if let Some(spared) = self.said.bad.permit() {
-                            warn!(self.log, "unusable query"; "error" => %bad, "spared" => spared);
+                        if let Some(suppressed) = self.log_limiters.bad.permit() {
+                            warn!(self.log, "unusable query"; "error" => %bad, "suppressed" => suppressed);
                         }
                         Answer::new(if matches!(bad, RequestError::Open) { 409 } else { 400 }, fault(&bad))
                     }
@@ -151,16 +151,18 @@
         let query = Query { deadline: self.closing.cut(query.deadline), ..query };
         let class = message.header(client.buffer(), "Req-Kind").unwrap_or_default().to_owned();
         let id = query.context.id.clone();
-        let Some(taken) = self.core.take(query) else {
-            if let Some(spared) = self.said.refused.permit() {
+        let Some(taken) = self.coordinator.take(query) else {
+            if let Some(suppressed) = self.log_limiters.refused.permit() {
                 info!(self.log, "refused"; "why" => "as much is open as may be", "id" => id, "class" => class,
-                    "spared" => spared, "open" => self.core.open(), "held" => self.core.open_parts());
+                    "suppressed" => suppressed, "open" => self.coordinator.open(), "held" => self.coordinator.open_parts());
             }
             return Ok(self.refused(429, self.deployment.settings.retry_after));
         };
-        if let Some(spared) = self.core.is_full().then(|| self.said.refused.permit()).flatten() {
-            info!(self.log, "no room for another query"; "open" => self.core.open(),
-                "held" => self.core.open_parts(), "spared" => spared);
+        if let Some(suppressed) =
+            self.coordinator.is_full().then(|| self.log_limiters.refused.permit()).flatten()
+        {
+            info!(self.log, "no room for another query"; "open" => self.coordinator.open(),
+                "held" => self.coordinator.open_parts(), "suppressed" => suppressed);
         }
         let ended = async { Ok(taken.outcome().await) };
         let over = async {
@@ -174,15 +176,15 @@
         match &outcome {
             Ok(QueryOutcome::Answered { .. }) => {}
             Ok(outcome) => {
-                if let Some(spared) = self.said.unanswered.permit() {
+                if let Some(suppressed) = self.log_limiters.unanswered.permit() {
                     info!(self.log, "not answered"; "outcome" => ?outcome, "id" => id, "class" => class,
-                        "after_ms" => after, "spared" => spared);
+                        "after_ms" => after, "suppressed" => suppressed);
                 }
             }
             Err(e) => {
-                if let Some(spared) = self.said.gone.permit() {
+                if let Some(suppressed) = self.log_limiters.gone.permit() {
                     info!(self.log, "client gone"; "error" => %e, "id" => id, "class" => class, "after_ms" => after,
-                        "spared" => spared);
+                        "suppressed" => suppressed);
                 }
             }
         }
@@ -191,7 +193,7 @@
 
     /// Ready once queries can be served.
     fn health(&self) -> Answer {
-        let ready = self.core.ready() && !self.closing.begun.get();
+        let ready = self.coordinator.ready() && !self.closing.begun.get();
         Answer::new(
             if ready { 200 } else { 503 },
             if ready { "{\"ready\":true}" } else { "{\"ready\":false}" },
@@ -223,16 +225,27 @@
             return Err(RequestError::Open);
         }
         let kind = header("Req-Kind")?;
-        let class =
-            self.deployment.class_names.iter().position(|c| !c.is_empty() && c == kind).ok_or(RequestError::Class)?;
+        let class = self
+            .deployment
+            .class_names
+            .iter()
+            .position(|c| !c.is_empty() && c == kind)
+            .ok_or(RequestError::Class)?;
         let tenant = match self.deployment.tenant_names.is_empty() {
             true => None,
-            false => message.only(buffer, "Req-Owner").transpose().map_err(|()| RequestError::Header("Req-Owner"))?,
+            false => message
+                .only(buffer, "Req-Owner")
+                .transpose()
+                .map_err(|()| RequestError::Header("Req-Owner"))?,
         };
         let tenant = self.deployment.tenant(tenant);
         let wait = header("Req-Deadline-Ms")?;
         let digits = wait.bytes().all(|b| b.is_ascii_digit());
-        let wait = wait.parse().ok().filter(|ms| digits && *ms > 0).ok_or(RequestError::Header("Req-Deadline-Ms"))?;
+        let wait = wait
+            .parse()
+            .ok()
+            .filter(|ms| digits && *ms > 0)
+            .ok_or(RequestError::Header("Req-Deadline-Ms"))?;
         let deadline = now + Duration::from_millis(wait).min(LONGEST);
         let repeat = message.header(buffer, "Req-Retry") == Some("1");
         let body = message.body(buffer);
--- a/src/shard_layout/version/edit.rs
+++ b/src/shard_layout/version/edit.rs
@@ -144,7 +144,12 @@
     }
 
     /// A tile's end: from when on its children's servers have its history.
-    fn end(&mut self, tile: TileId, history: History, children: Vec<TileId>) -> Result<HybridTimestamp, PlanError> {
+    fn end(
+        &mut self,
+        tile: TileId,
+        history: History,
+        children: Vec<TileId>,
+    ) -> Result<HybridTimestamp, PlanError> {
         let valid = self.valid;
         let held = self.change(tile).ok_or(PlanError::Unknown(tile))?;
         let from = if history == History::Stays { valid } else { held.reach(valid) };
--- a/tests/configuration.rs
+++ b/tests/configuration.rs
@@ -84,7 +84,10 @@
         rule.repeats && rule.guards == 3 && rule.slack_ms == 2500 && rule.when_full == WhenFull::Unprotected
     );
     let plain = include_str!("../deploy/marlgap.json5");
-    assert!(OperatorConfig::parse(plain, Path::new("f")).expect("sound").cluster.is_none(), "off unless asked for");
+    assert!(
+        OperatorConfig::parse(plain, Path::new("f")).expect("sound").cluster.is_none(),
+        "off unless asked for"
+    );
 }
 
 #[test]
--- a/tests/decisions/faults.rs
+++ b/tests/decisions/faults.rs
@@ -147,7 +147,7 @@
     assert!(sound >= 30, "{sound} of 100 parts of the sound class");
 }
 
-/// Guards against many co-ordinators that each allow themselves one part: all together keep the allowance.
+/// Guards against many coordinators that each allow themselves one part: all together keep the allowance.
 #[test]
 fn many_co_ordinators_together_spare_a_cold_replica() {
     let cold = SlowStart { initial_capacity: 0.2, ramp: 10.0, overload_factor: 2.0, overload_window: 1.0 };
--- a/tests/fleet_links.rs
+++ b/tests/fleet_links.rs
@@ -13,7 +13,7 @@
 use marlgap::cluster::Configuration;
 use marlgap::config::operator::OperatorConfig;
 use marlgap::net::cluster::frames::{parse, Frame, Hello};
-use marlgap::net::cluster::{Execute, ClusterNode, Hold};
+use marlgap::net::cluster::{ClusterNode, Execute, Hold};
 use slog::{o, Drain, Logger};
 
 const PATIENCE: Duration = Duration::from_secs(20);
--- a/tests/fleet_parts/time.rs
+++ b/tests/fleet_parts/time.rs
@@ -11,7 +11,10 @@
     assert_eq!(before, HybridTimestamp::new(1000, u32::MAX), "the counter's last");
     assert_eq!(clock.now(400), HybridTimestamp::from_ms(before.ms + 1));
     assert_eq!(HybridTimestamp::from_ms(5).prev().next(), HybridTimestamp::from_ms(5));
-    assert_eq!((HybridTimestamp::ZERO.prev(), HybridTimestamp::MAX.next()), (HybridTimestamp::ZERO, HybridTimestamp::MAX));
+    assert_eq!(
+        (HybridTimestamp::ZERO.prev(), HybridTimestamp::MAX.next()),
+        (HybridTimestamp::ZERO, HybridTimestamp::MAX)
+    );
 }
 
 #[test]
--- a/tests/golden_wire/data_nodes_lines.rs
+++ b/tests/golden_wire/data_nodes_lines.rs
@@ -8,7 +8,7 @@
 use async_executor::LocalExecutor;
 use marlgap::balancer::interface::{EndpointState, ShardId};
 use marlgap::coordinator::{Call, CancellationToken, Step, Transport};
-use marlgap::net::data_nodes::{ListedDataNode, DataNodes, RequestContext};
+use marlgap::net::data_nodes::{DataNodes, ListedDataNode, RequestContext};
 use marlgap::net::descriptors::Descriptors;
 
 use crate::common::{configure, PATIENCE};
@@ -48,7 +48,8 @@
     let executor = Rc::new(LocalExecutor::new());
     let log = slog::Logger::root(slog::Discard, slog::o!());
     let nodes = DataNodes::new(told, Rc::new(Descriptors::new(64)), executor.clone(), log);
-    let replica = nodes.list(&ListedDataNode { name: "n0".to_owned(), address, phase: EndpointState::Ready, born: 0 });
+    let replica =
+        nodes.list(&ListedDataNode { name: "n0".to_owned(), address, phase: EndpointState::Ready, born: 0 });
     let carried = Rc::new(RequestContext::new("query-id".to_owned(), b"the statement".to_vec()));
     let call = Call::alone(replica, carried, ShardId(shard), step, Instant::now() + DEADLINE);
     let (hold, stop) = CancellationToken::new();
--- a/tests/nodes.rs
+++ b/tests/nodes.rs
@@ -12,7 +12,7 @@
 use common::*;
 use marlgap::balancer::interface::{EndpointState, Outcome, ReplicaId, ShardId};
 use marlgap::coordinator::{AttemptResult, Call, CancellationToken, Step, Transport};
-use marlgap::net::data_nodes::{ListedDataNode, DataNodes, RequestContext};
+use marlgap::net::data_nodes::{DataNodes, ListedDataNode, RequestContext};
 use marlgap::net::descriptors::Descriptors;
 
 /// A statement that no socket's buffers hold.
--- a/tests/parts.rs
+++ b/tests/parts.rs
@@ -10,7 +10,7 @@
 use common::*;
 use marlgap::balancer::interface::{EndpointState, Outcome, ReplicaId, ShardId};
 use marlgap::coordinator::{Call, CancellationToken, Step, Transport};
-use marlgap::net::data_nodes::{ListedDataNode, DataNodes, RequestContext};
+use marlgap::net::data_nodes::{DataNodes, ListedDataNode, RequestContext};
 use marlgap::net::descriptors::Descriptors;
 
 fn deployment(node: SocketAddr) -> marlgap::config::settings::Deployment {
@@ -36,7 +36,8 @@
     let executor = Rc::new(LocalExecutor::new());
     let log = slog::Logger::root(slog::Discard, slog::o!());
     let nodes = DataNodes::new(deployment(address), descriptors(8), executor.clone(), log);
-    let replica = nodes.list(&ListedDataNode { name: "n0".to_owned(), address, phase: EndpointState::Ready, born: 0 });
+    let replica =
+        nodes.list(&ListedDataNode { name: "n0".to_owned(), address, phase: EndpointState::Ready, born: 0 });
     let carried = Rc::new(RequestContext::new("a1".to_owned(), b"hi".to_vec()));
     let deadline = Instant::now() + PATIENCE;
     let begin = |shard| {
@@ -69,7 +70,8 @@
         executor.clone(),
         slog::Logger::root(slog::Discard, slog::o!()),
     );
-    let replica = nodes.list(&ListedDataNode { name: "n0".to_owned(), address, phase: EndpointState::Ready, born: 0 });
+    let replica =
+        nodes.list(&ListedDataNode { name: "n0".to_owned(), address, phase: EndpointState::Ready, born: 0 });
     let carried = Rc::new(RequestContext::new("a1".to_owned(), b"hi".to_vec()));
     let deadline = Instant::now() + PATIENCE;
     let begin = |shard| {
@@ -124,7 +126,8 @@
         executor.clone(),
         slog::Logger::root(slog::Discard, slog::o!()),
     );
-    let replica = nodes.list(&ListedDataNode { name: "n0".to_owned(), address, phase: EndpointState::Ready, born: 0 });
+    let replica =
+        nodes.list(&ListedDataNode { name: "n0".to_owned(), address, phase: EndpointState::Ready, born: 0 });
     let carried = Rc::new(RequestContext::new("a1".to_owned(), b"hi".to_vec()));
     let deadline = Instant::now() + PATIENCE;
     let begin = |shard| {
@@ -172,7 +175,8 @@
     });
     let servers: Vec<_> = servers.collect();
     for (n, address) in addresses.iter().enumerate() {
-        let entry = ListedDataNode { name: format!("n{n}"), address: *address, phase: EndpointState::Ready, born: 0 };
+        let entry =
+            ListedDataNode { name: format!("n{n}"), address: *address, phase: EndpointState::Ready, born: 0 };
         let replica = nodes.list(&entry);
         let carried = Rc::new(RequestContext::new("a1".to_owned(), b"hi".to_vec()));
         let call = Call::alone(replica, carried, ShardId(0), Step::First, Instant::now() + PATIENCE);
@@ -209,7 +213,8 @@
         executor.clone(),
         slog::Logger::root(slog::Discard, slog::o!()),
     );
-    let replica = nodes.list(&ListedDataNode { name: "n0".to_owned(), address, phase: EndpointState::Ready, born: 0 });
+    let replica =
+        nodes.list(&ListedDataNode { name: "n0".to_owned(), address, phase: EndpointState::Ready, born: 0 });
     let carried = Rc::new(RequestContext::new("a1".to_owned(), b"hi".to_vec()));
     let deadline = Instant::now() + PATIENCE;
     let begin = |shard| {
@@ -249,7 +254,8 @@
         executor.clone(),
         slog::Logger::root(slog::Discard, slog::o!()),
     );
-    let replica = nodes.list(&ListedDataNode { name: "n0".to_owned(), address, phase: EndpointState::Ready, born: 0 });
+    let replica =
+        nodes.list(&ListedDataNode { name: "n0".to_owned(), address, phase: EndpointState::Ready, born: 0 });
     let carried = Rc::new(RequestContext::new("a1".to_owned(), b"hi".to_vec()));
     let ask = |shard, wait| {
         let (carried, deadline) = (carried.clone(), Instant::now() + Duration::from_millis(wait));
--- a/tests/settings_effects.rs
+++ b/tests/settings_effects.rs
@@ -7,7 +7,7 @@
 use async_executor::LocalExecutor;
 use marlgap::balancer::interface::*;
 use marlgap::coordinator::*;
-use marlgap::net::data_nodes::{ListedDataNode, DataNodes, RequestContext};
+use marlgap::net::data_nodes::{DataNodes, ListedDataNode, RequestContext};
 use marlgap::net::descriptors::Descriptors;
 
 mod common;
@@ -140,7 +140,8 @@
     told.settings.reach = 1;
     let (executor, log) = (Rc::new(LocalExecutor::new()), slog::Logger::root(slog::Discard, slog::o!()));
     let nodes = DataNodes::new(told.clone(), Rc::new(Descriptors::new(2)), executor.clone(), log);
-    let replica = nodes.list(&ListedDataNode { name: "n0".to_owned(), address, phase: EndpointState::Ready, born: 0 });
+    let replica =
+        nodes.list(&ListedDataNode { name: "n0".to_owned(), address, phase: EndpointState::Ready, born: 0 });
     let transport = Rc::new(Second(nodes.clone(), Default::default(), replica));
     let core = Coordinator::new(told.settings, 1, 100, executor.clone(), transport.clone()).expect("served");
     let listed = |n| Endpoint {
--- a/tests/single_copy.rs
+++ b/tests/single_copy.rs
@@ -11,7 +11,7 @@
 use common::*;
 use marlgap::balancer::interface::{EndpointState, Outcome, ReplicaId, ShardId};
 use marlgap::coordinator::{AttemptResult, Call, CancellationToken, Step, Transport};
-use marlgap::net::data_nodes::{ListedDataNode, DataNodes, RequestContext};
+use marlgap::net::data_nodes::{DataNodes, ListedDataNode, RequestContext};
 use marlgap::net::descriptors::Descriptors;
 
 struct World {
@@ -35,8 +35,12 @@
         let executor = Rc::new(LocalExecutor::new());
         let log = slog::Logger::root(slog::Discard, slog::o!());
         let nodes = DataNodes::new(told, Rc::new(Descriptors::new(64)), executor.clone(), log);
-        let replica =
-            nodes.list(&ListedDataNode { name: "n0".to_owned(), address, phase: EndpointState::Ready, born: 0 });
+        let replica = nodes.list(&ListedDataNode {
+            name: "n0".to_owned(),
+            address,
+            phase: EndpointState::Ready,
+            born: 0,
+        });
         std::thread::spawn(move || node(listener));
         World { executor, nodes, replica, held: Vec::new() }
     }
