--- a/benches/scale/control/plane/watches.rs
+++ b/benches/scale/control/plane/watches.rs
@@ -106,7 +106,7 @@
             links: Links::new(seed, 0),
             served: Flow::default(),
             asked: Flow::default(),
-            terms: Terms::of(interface::Discovery::Ask { within: 0.0 }),
+            terms: Terms::of(interface::Discovery::Poll { poll_within: 0.0 }),
             queue: Queue::new(),
             held: Vec::new(),
             busy_until: 0,
--- a/benches/scale/meetings.rs
+++ b/benches/scale/meetings.rs
@@ -1,6 +1,6 @@
 //! Who meets whom: connections of a coordinator, callers of a data node, and how much a coordinator may have open.
 use marlgap::balancer::interface::SettingsError;
-use marlgap::balancer::stretch;
+use marlgap::balancer::query_time_factor;
 use marlgap::net::descriptors::Descriptors;
 
 use crate::client::DESCRIPTORS;
@@ -110,7 +110,8 @@
 /// that time that it may take.
 fn hopeless(options: &Options) -> Row {
     let sizes = options.sizes(TARGET.parts, 2.0);
-    let points = sizes.into_iter().map(|n| (n, 1000.0 * ANSWER_SECONDS / stretch(n as usize, 1))).collect();
+    let points =
+        sizes.into_iter().map(|n| (n, 1000.0 * ANSWER_SECONDS / query_time_factor(n as usize, 1))).collect();
     let figure = "the mean part's time over which a query is turned away";
     let mut row = row("coordinator", figure, "ms", "parts a query", TARGET.parts, points);
     row.carried_by = "src/balancer/latency.rs".to_owned();
--- a/src/balancer/admission.rs
+++ b/src/balancer/admission.rs
@@ -1,115 +1,87 @@
-//! Queries and parts as they come in, how many parts may be open, and which waiting queries go first.
-use super::*;
+//! Queries as they come in, and which waiting ones are admitted first.
+use super::interface::{Action, Class, ClassId, Event, QueryNumber};
+use super::state::Query;
+use super::{Balancer, RECENT_SECONDS};
 
-/// Step of the running median of a class's patience, and how far under it a try counts as cut short.
-const USUAL_STEP: f64 = 0.01;
-const USUAL_SLACK: f64 = 0.07;
-/// Parts open at the start for each replica, the least limit, its step and cut, and seconds after a cut in
-/// which its step comes back.
-const LIMIT_START: f64 = 6.0;
-const LIMIT_LEAST: f64 = 4.0;
-const LIMIT_STEP: f64 = 0.3;
-const LIMIT_CUT: f64 = 0.85;
-const EASED: f64 = 2.0;
-/// Expected time of a query over its aim, under which the limit grows and over which it shrinks.
-const STRAIN_LOW: f64 = 0.4;
-const STRAIN_HIGH: f64 = 0.5;
+/// Step of the running median of how long a class's clients wait, as a share of itself.
+const USUAL_TIME_LEFT_STEP: f64 = 0.01;
+/// How far under the median, as a share of it, an attempt counts as one that was cut short.
+const USUAL_TIME_LEFT_SLACK: f64 = 0.07;
+/// Least number of recent queries that a tenant may have within its quota.
+const MIN_RECENT_QUOTA: f64 = 2.0;
 
 impl Balancer {
-    pub(super) fn take_query(&mut self, event: &Event) {
-        let &Event::Query { query, number, class: id, tenant, time_left, is_retry, .. } = event else {
+    /// A query comes in, and waits to be admitted. One of a class that is not known fails.
+    pub(super) fn accept_query(&mut self, event: &Event) {
+        let &Event::Query { query, number, class: class_id, tenant, time_left, is_retry, .. } = event else {
             return;
         };
-        self.recent.taken.add(self.now);
-        let Some(class) = self.s.classes.get(usize::from(id.0)).copied() else {
-            return self.out.push(Action::Fail { query });
+        self.recent.received.record(self.now);
+        let Some(class) = self.settings.classes.get(usize::from(class_id.0)).copied() else {
+            return self.actions.push(Action::Fail { query });
         };
-        self.recent.ask(tenant, self.now);
-        // A first try, where repeats are marked, has waited for nothing: a client may simply want it soon.
-        let first_try = self.s.clients_mark_retries && !is_retry;
-        let waited = self.waited(id, &class, time_left) * f64::from(u8::from(!first_try));
-        let aim = self.now + class.latency_objective - waited;
-        let q = Query::new(query, id, class, tenant, self.now + time_left, aim);
-        self.out.push(Action::Timer { after: (time_left - self.margin).max(0.0) });
+        self.recent.record_query(tenant, self.now);
+        // A first try, where clients mark retries, has waited for nothing: its client may simply want it
+        // soon.
+        let is_first_try = self.settings.clients_mark_retries && !is_retry;
+        let waited = self.time_already_waited(class_id, &class, time_left) * f64::from(!is_first_try);
+        let objective_at = self.now + class.latency_objective - waited;
+        let accepted = Query::new(query, (class_id, class), tenant, self.now + time_left, objective_at);
+        self.actions.push(Action::Timer { after: (time_left - self.answer_margin).max(0.0) });
         // A number used again while its query is open: the old one still gets its answer.
         if let Some(mut old) = self.queries.remove(&number) {
-            self.give_up(&old);
+            self.reject_or_fail(&old);
             self.drop_parts(&mut old);
-            self.agenda.leave(number, old.id);
+            self.open_queries.remove(number, old.id);
         }
-        self.agenda.enter(number, &q, self.margin);
-        self.queries.insert(number, q);
+        self.open_queries.insert(number, &accepted, self.answer_margin);
+        self.queries.insert(number, accepted);
     }
 
-    /// How long the client has waited before this try: one that may last clearly less than usual is bounded
-    /// by the class's deadline instead.
-    fn waited(&mut self, id: ClassId, class: &Class, patience: f64) -> f64 {
-        let usual = self.recent.usual.entry(id).or_insert(patience);
-        *usual *= if patience < *usual { 1.0 - USUAL_STEP } else { 1.0 + USUAL_STEP };
-        let cut = patience < *usual * (1.0 - USUAL_SLACK);
-        (class.deadline - patience).max(0.0) * f64::from(u8::from(cut))
+    /// Seconds that the client has waited before this try: one that will wait clearly less than usual is
+    /// assumed to have waited for the rest of its class's deadline.
+    fn time_already_waited(&mut self, class_id: ClassId, class: &Class, time_left: f64) -> f64 {
+        let usual = self.recent.usual_time_left.entry(class_id).or_insert(time_left);
+        *usual *= if time_left < *usual { 1.0 - USUAL_TIME_LEFT_STEP } else { 1.0 + USUAL_TIME_LEFT_STEP };
+        let is_cut_short = time_left < *usual * (1.0 - USUAL_TIME_LEFT_SLACK);
+        (class.deadline - time_left).max(0.0) * f64::from(is_cut_short)
     }
 
-    /// Parts that are out, and all of an admitted query on probation: what it holds back comes in one go.
-    /// Parts that wait for a retry hold no room.
-    pub(super) fn open(&mut self) -> f64 {
-        if self.recent.suspect <= self.now {
-            return self.agenda.out() as f64;
-        }
-        self.agenda.through += self.queries.len();
-        let room = |(number, q): (&QueryNumber, &Query)| match self.on_probation(q) {
-            true => q.parts.len() as f64 * q.class.target_coverage,
-            false => self.agenda.out_of(*number) as f64,
-        };
-        self.queries.iter().filter(|(_, q)| q.admitted).map(room).sum()
-    }
-
-    /// The number of parts that may be open grows while they come back well within their class's aim, and
-    /// shrinks when they don't or are turned away, once a response time at most.
-    pub(super) fn steer(&mut self, part: PartId, outcome: Outcome) {
-        let number = self.parts.get(&part).map(|p| p.number);
-        let Some(class) = number.and_then(|n| self.queries.get(&n)).map(|q| q.class) else { return };
-        let strain = self.expected(&class) / class.latency_objective;
-        let worse = outcome == Outcome::Rejected || strain > STRAIN_HIGH;
-        if worse && self.now - self.pace.eased > self.pace.typical {
-            self.pace.eased = self.now;
-            self.pace.limit = (self.pace.limit * LIMIT_CUT).max(LIMIT_LEAST);
-        } else if outcome == Outcome::Succeeded && strain < STRAIN_LOW && self.open() > 0.5 * self.pace.limit
-        {
-            self.pace.limit += LIMIT_STEP * ((self.now - self.pace.eased) / EASED).min(1.0);
-        }
-    }
-
-    /// Let waiting queries in while there is room, the worthiest for their parts first, then the newest.
-    /// Nothing of a query that must wait is sent.
-    pub(super) fn admit(&mut self) {
-        if self.pace.limit == 0.0 {
-            let all = f64::from(self.s.coordinators.max(1));
-            self.pace.limit = (self.replica_stats.ready * LIMIT_START / all).max(LIMIT_LEAST);
-        }
-        let waiting = self.agenda.waiting();
+    /// Admit waiting queries while the concurrency limit has room, the one with the highest priority for each
+    /// of its parts first, then the newest. Nothing of a query that must wait is sent.
+    pub(super) fn admit_queries(&mut self) {
+        self.initialize_concurrency_limit();
+        let waiting = self.open_queries.not_admitted();
         if waiting.is_empty() {
             return;
         }
-        let mut order: Vec<(f64, QueryNumber)> = waiting.iter().map(|n| (self.density(*n), *n)).collect();
+        let mut order: Vec<(f64, QueryNumber)> =
+            waiting.iter().map(|number| (self.priority_per_part(*number), *number)).collect();
         order.sort_by(|a, b| b.0.total_cmp(&a.0).then(b.1.cmp(&a.1)));
-        let mut open = self.open();
+        let mut open = self.open_parts();
         for (_, number) in order {
-            if let Some(q) = self.queries.get_mut(&number).filter(|_| open < self.pace.limit) {
-                q.admitted = true;
-                open += q.parts.len() as f64;
-                self.agenda.admit(number);
+            let has_room = open < self.concurrency.limit;
+            if let Some(query) = self.queries.get_mut(&number).filter(|_| has_room) {
+                query.admitted = true;
+                open += query.parts.len() as f64;
+                self.open_queries.admit(number);
             }
         }
     }
 
-    /// Worth of a query for each of its parts; what is over our part of a tenant's share counts for less.
-    fn density(&mut self, number: QueryNumber) -> f64 {
-        let (since, Some(q)) = (self.now - RECENT, self.queries.get(&number)) else { return 0.0 };
-        let quota = self.s.tenants.get(usize::from(q.tenant.0)).map_or(f64::MAX, |t| t.quota);
-        let share = (quota * RECENT / f64::from(self.s.coordinators.max(1))).max(2.0);
-        let over = self.recent.tenants.get_mut(&q.tenant).is_some_and(|t| t.count(since) > share);
-        let parts = q.parts.len() as f64 + f64::from(q.class.second_step_parts);
-        q.class.priority_weight / parts.max(1.0) * if over { self.s.over_quota_weight } else { 1.0 }
+    /// Priority weight of a query for each of its parts, those of its second step included; a query over our
+    /// share of its tenant's quota counts for less.
+    fn priority_per_part(&mut self, number: QueryNumber) -> f64 {
+        let since = self.now - RECENT_SECONDS;
+        let Some(query) = self.queries.get(&number) else { return 0.0 };
+        let tenant = self.settings.tenants.get(usize::from(query.tenant.0));
+        let quota = tenant.map_or(f64::MAX, |t| t.quota);
+        let coordinators = f64::from(self.settings.coordinators.max(1));
+        let own_quota = (quota * RECENT_SECONDS / coordinators).max(MIN_RECENT_QUOTA);
+        let sent = self.recent.queries_by_tenant.get_mut(&query.tenant);
+        let is_over_quota = sent.is_some_and(|window| window.count_since(since) > own_quota);
+        let parts = query.parts.len() as f64 + f64::from(query.class.second_step_parts);
+        let factor = if is_over_quota { self.settings.over_quota_weight } else { 1.0 };
+        query.class.priority_weight / parts.max(1.0) * factor
     }
 }
--- a/src/balancer/attempts.rs
+++ b/src/balancer/attempts.rs
@@ -1,221 +1,173 @@
-//! Attempts of a part: the first, copies, hedges and retries, within their caps, and how each ends.
-use super::*;
+//! Attempts of a part: the first one, clones, hedges and retries, within their caps.
+use super::idle_connections::IDLE_CONNECTION_SECONDS;
+use super::interface::{Action, Class, Idempotency, Outcome, PartId, ReplicaId};
+use super::state::{Attempt, AttemptReason, InFlightAttempt, Part, Query, Replica};
+use super::{Balancer, DEADLINE_MARGIN_SECONDS, HEDGE_AFTER_P90S, RECENT_SECONDS, STALE_AFTER_SECONDS};
 
-/// Copies stay under this share of recent parts (the design's tenth).
-const COPY_SHARE: f64 = 0.1;
-/// Share of the budget open to copies, hedges and retries: some is kept for parts with nothing out.
-const PURSES: [f64; 4] = [0.4, 0.8, 1.0, f64::INFINITY];
-/// Seconds unused after which a connection may be dropped unseen, and the share of losses that shows it.
-const PAUSE: f64 = 0.3;
-const PAUSE_LOSS: f64 = 0.25;
+/// Clones stay under this share of recent parts (the design's tenth).
+const CLONE_SHARE: f64 = 0.1;
+/// Most attempts of a part in flight at once.
+const MAX_IN_FLIGHT: usize = 2;
+/// Where attempts have a timeout, it is this many times the age at which a part is hedged.
+const TIMEOUT_HEDGE_DELAYS: f64 = 2.0;
 
 impl Balancer {
-    pub(super) fn first_send(&mut self, query: &Query, part: PartId) {
+    /// Send a part's first attempt; to both replicas of an idle pair, if a clone is allowed.
+    pub(super) fn send_first_attempt(&mut self, query: &Query, part: PartId) {
         let Some((class, shard)) = self.parts.get(&part).map(|p| (p.class, p.shard)) else { return };
-        let pair = self.draw(class, shard, &[]);
-        if self.may_copy(&query.class, &pair) && !self.on_probation(query) {
-            self.send(part, pair[0], None);
-            self.send(part, pair[1], Some(Why::Copy));
-        } else if let Some(replica) = self.shorter(&pair) {
-            self.send(part, replica, None);
+        let pair = self.choose_two(class, shard, &[]);
+        if self.may_clone(&query.class, &pair) && !self.is_probing(query) {
+            self.send_attempt(part, pair[0], None);
+            self.send_attempt(part, pair[1], Some(AttemptReason::IdlePairClone));
+        } else if let Some(replica) = self.less_loaded(&pair) {
+            self.send_attempt(part, replica, None);
         }
     }
 
-    fn may_copy(&mut self, class: &Class, pair: &[ReplicaId]) -> bool {
+    fn may_clone(&mut self, class: &Class, pair: &[ReplicaId]) -> bool {
         let &[a, b] = pair else { return false };
-        let idle = [a, b].iter().all(|id| self.idle(*id) && self.replicas[id].whole.trials == 0);
-        let safe = class.idempotency == Idempotency::Idempotent && class.hedging && self.s.hedging;
-        let tenth = COPY_SHARE * self.recent.arrived.count(self.now - RECENT);
-        let room = self.recent.copies.count(self.now - RECENT) + 1.0 < tenth;
-        safe && self.s.max_attempts > 1 && idle && room && self.may_add(Why::Copy)
+        let is_trusted = |id: &ReplicaId| self.replicas[id].overall.probation_remaining == 0;
+        let both_idle = [a, b].iter().all(|id| self.is_idle(*id) && is_trusted(id));
+        let is_allowed =
+            class.idempotency == Idempotency::Idempotent && class.hedging && self.settings.hedging;
+        let since = self.now - RECENT_SECONDS;
+        let share = CLONE_SHARE * self.recent.parts.count_since(since);
+        let is_within_share = self.recent.clones.count_since(since) + 1.0 < share;
+        is_allowed
+            && self.settings.max_attempts > 1
+            && both_idle
+            && is_within_share
+            && self.is_within_retry_budget(AttemptReason::IdlePairClone)
     }
 
-    fn send(&mut self, part: PartId, replica: ReplicaId, why: Option<Why>) {
-        let (reaped, between) = (self.reaped(), self.between());
-        let (Some(p), Some(r)) = (self.parts.get_mut(&part), self.replicas.get_mut(&replica)) else { return };
-        let (class, n) = (p.class, p.attempts.len() as u8);
-        let copy = why == Some(Why::Copy);
-        p.attempts.push(Attempt { replica, sent: self.now, copy, cancelled: false, ended: None });
-        let paused = r.out.is_empty() && r.used > 0.0 && self.now - r.used > PAUSE;
-        if paused && reaped {
-            self.out.push(Action::CloseIdle { replica });
-        }
-        let (sent, paused) = (self.now, paused && !reaped);
-        r.used = self.now;
-        r.sent.keep(self.now, self.s.slow_start.map_or(0.0, |rule| rule.overload_window));
-        r.earned -= 1.0;
-        if let Some(until) =
-            self.replica_stats.zones.get_mut(&r.listed.zone).and_then(|room| room.until.as_mut())
-        {
-            *until = self.now + between.max(EJECT);
+    /// Send an attempt of a part; `reason` is `None` for the first one.
+    fn send_attempt(&mut self, part: PartId, replica: ReplicaId, reason: Option<AttemptReason>) {
+        let renews_idle = self.idle_connections_are_dropped();
+        let interval = self.send_interval();
+        let Some(p) = self.parts.get_mut(&part) else { return };
+        let Some(r) = self.replicas.get_mut(&replica) else { return };
+        let class = p.class;
+        let number = p.attempts.len() as u8;
+        let is_clone = reason == Some(AttemptReason::IdlePairClone);
+        p.attempts.push(Attempt::new(replica, self.now, is_clone));
+        let was_idle = r.in_flight.is_empty()
+            && r.last_used_at > 0.0
+            && self.now - r.last_used_at > IDLE_CONNECTION_SECONDS;
+        if was_idle && renews_idle {
+            self.actions.push(Action::CloseIdle { replica });
         }
-        self.sent(replica, (part, n), Flight { sent, class, paused, ..Flight::default() });
-        *self.replica_stats.calls.entry(replica).or_insert(0) += 1;
-        self.recent.sends.add(self.now);
-        if why.is_some_and(|why| why != Why::Failed) {
-            self.recent.extras.add(self.now);
+        r.last_used_at = self.now;
+        let window = self.settings.slow_start.map_or(0.0, |rule| rule.overload_window);
+        r.recent_sends.record_and_trim(self.now, window);
+        r.slow_start_credit -= 1.0;
+        let zone = r.endpoint.zone;
+        self.extend_zone_ejection(zone, interval);
+        let after_idle = was_idle && !renews_idle;
+        let in_flight =
+            InFlightAttempt { sent_at: self.now, class, after_idle, ..InFlightAttempt::default() };
+        self.record_send(replica, (part, number), in_flight);
+        self.count_send(replica, reason);
+        let timeout = self.attempt_timeout();
+        self.actions.push(Action::Send { part, replica, timeout });
+    }
+
+    fn count_send(&mut self, replica: ReplicaId, reason: Option<AttemptReason>) {
+        *self.replica_stats.sends_this_round.entry(replica).or_insert(0) += 1;
+        self.recent.sends.record(self.now);
+        if reason.is_some_and(|reason| reason != AttemptReason::RetryAfterFailure) {
+            self.recent.extra_attempts.record(self.now);
         }
-        if copy {
-            self.recent.copies.add(self.now);
+        if reason == Some(AttemptReason::IdlePairClone) {
+            self.recent.clones.record(self.now);
         }
-        // Where no second copy may run beside it, a late attempt must end before another can start; where it
-        // cannot be called off either, its replica goes on with it whatever we wait.
-        let ends = !self.s.hedging && self.s.cancellation;
-        let timeout = ends.then_some(2.0 * HEDGE_TAIL * self.pace.tail);
-        self.out.push(Action::Send { part, replica, timeout });
     }
 
-    /// Whether connections are dropped unseen when they are not used, so that idle ones are renewed.
-    pub(super) fn reaped(&self) -> bool {
-        let [used, paused] = self.recent.unanswered;
-        paused > PAUSE_LOSS && paused > 2.0 * used
+    /// Seconds after which an attempt is given up; `None` for as long as its client waits. Where no hedge may
+    /// run beside it, a late attempt must end before another one can start. Where it can't be cancelled
+    /// either, its replica goes on with it however long we wait.
+    fn attempt_timeout(&self) -> Option<f64> {
+        let must_end = !self.settings.hedging && self.settings.cancellation;
+        must_end.then_some(TIMEOUT_HEDGE_DELAYS * HEDGE_AFTER_P90S * self.latency.p90)
     }
 
-    /// Whether what this part's attempts may have done allows another one.
-    pub(super) fn may_repeat(&self, class: &Class, part: &Part) -> bool {
-        let ran = part.attempts.iter().filter(|a| !a.never_ran()).map(|a| a.sent);
-        let first = ran.fold(f64::INFINITY, f64::min);
-        let out = part.attempts.iter().any(|a| a.ended.is_none());
-        let allowed = match class.idempotency {
+    /// Whether another attempt of a part is allowed, by what its earlier ones may have done.
+    pub(super) fn may_attempt_again(&self, class: &Class, part: &Part) -> bool {
+        let may_have_run = part.attempts.iter().filter(|a| !a.never_ran());
+        let first_run = may_have_run.map(|a| a.sent_at).fold(f64::INFINITY, f64::min);
+        let is_unfinished = part.attempts.iter().any(|a| a.outcome.is_none());
+        let is_repeatable = match class.idempotency {
             Idempotency::Idempotent => true,
-            Idempotency::Keyed { window } => self.now < first + window - END_MARGIN,
-            Idempotency::NonIdempotent => first == f64::INFINITY,
+            Idempotency::Keyed { window } => self.now < first_run + window - DEADLINE_MARGIN_SECONDS,
+            Idempotency::NonIdempotent => first_run == f64::INFINITY,
         };
-        let tries = part.attempts.len() < self.s.max_attempts as usize;
-        allowed && !part.over && (!out || (self.s.hedging && class.hedging)) && tries
+        let has_attempts_left = part.attempts.len() < self.settings.max_attempts as usize;
+        let may_hedge = self.settings.hedging && class.hedging;
+        is_repeatable && !part.finished && (!is_unfinished || may_hedge) && has_attempts_left
     }
 
-    /// Late: nothing out any more, or all that is out has been for long or sits on a suspect replica.
-    pub(super) fn late(&self, part: &Part) -> Option<Why> {
-        let mut out = part.attempts.iter().filter(|a| a.out());
-        if part.served || !part.out() {
-            // Guards against waiting for our own budget, which holds too little when a room is lost.
-            let failed = self.s.retry_budget.is_none()
-                && part.attempts.last().is_some_and(|a| a.ended.is_some_and(Outcome::failed));
-            return (!part.served).then_some(if failed { Why::Failed } else { Why::Retry });
+    /// Why a started part needs another attempt, if it does: nothing is in flight any more, or all that is
+    /// has been for long or is at a suspect replica.
+    pub(super) fn late_reason(&self, part: &Part) -> Option<AttemptReason> {
+        if part.completed {
+            return None;
         }
-        let (now, hedge_after) = (self.now, HEDGE_TAIL * self.pace.tail);
-        let bad = |r: &Replica| r.until(part.class) > now || r.silent() || self.room_lost(r);
-        let suspect = |a: &Attempt| self.replicas.get(&a.replica).is_none_or(bad);
-        match out.clone().all(|a| suspect(a) && self.now > a.sent) {
-            true => Some(Why::Retry),
-            // Guards against hedging all that is out when nothing reaches us at all.
-            false => {
-                (!self.replica_stats.stalled && out.all(|a| now - a.sent > hedge_after)).then_some(Why::Hedge)
-            }
+        if !part.is_in_flight() {
+            return Some(self.retry_reason(part));
         }
-    }
-
-    /// Another attempt beside at most one that is out, elsewhere if there is an elsewhere. Where replicas are
-    /// met less often than news of them holds, a hedge goes where an answer came in time just now. Guards a
-    /// jammed stretch, where all is late: hedges double its load.
-    pub(super) fn again(&mut self, class: &Class, id: PartId, why: Why) {
-        let blind = why == Why::Hedge && self.replica_stats.seldom;
-        let Some(part) = self.parts.get(&id) else { return };
-        let busy: Vec<_> = part.attempts.iter().filter(|a| a.out()).map(|a| a.replica).collect();
-        let crowded = busy.len() >= 2;
-        let (in_class, shard) = (part.class, part.shard);
-        let tried = part.attempts.iter().map(|a| a.replica).collect::<Vec<_>>();
-        let stuck = crowded && (why != Why::Retry || !self.s.cancellation);
-        if stuck || !self.may_repeat(class, part) || !self.may_add(why) {
-            return;
-        }
-        let pair = self.draw(in_class, shard, &tried);
-        let fresh = |r: &Replica| self.now - r.took.at < STALE && r.took.value <= self.pace.tail;
-        let good = |id: &ReplicaId| !busy.contains(id) && (!blind || fresh(&self.replicas[id]));
-        if let Some(replica) = self.shorter(&pair).filter(good) {
-            if crowded {
-                self.call_off(id, None);
-            }
-            self.send(id, replica, Some(why));
-        }
-    }
-
-    /// The cap on attempts beyond a part's first, told or our own. Guards against retries and hedges that
-    /// feed an overload. Our own leaves out retries of parts that failed.
-    fn may_add(&mut self, why: Why) -> bool {
-        let budget = self.s.retry_budget.unwrap_or(OWN_BUDGET);
-        let edge = 2.0 * self.s.round_interval;
-        let sent = self.recent.extras.count(self.now - budget.window - edge) + 1.0;
-        let taken = self.recent.taken.count(self.now - budget.window + edge);
-        // No query waits for room: spare capacity may go to copies and hedges.
-        let calm = self.agenda.calm();
-        let purse = PURSES[why as usize];
-        (why >= Why::Retry || calm) && sent <= (budget.free + budget.share * taken) * purse
-    }
-
-    pub(crate) fn outcome(&mut self, event: &Event) {
-        let &Event::Outcome { part, attempt, replica, part_finished, outcome, elapsed, report } = event
-        else {
-            return;
+        let mut in_flight = part.attempts.iter().filter(|a| a.is_in_flight());
+        let hedge_after = HEDGE_AFTER_P90S * self.latency.p90;
+        let is_bad = |r: &Replica| {
+            r.ejected_until(part.class) > self.now || r.is_unresponsive() || self.is_zone_ejected(r)
         };
-        if let Some(flight) = self.landed(replica, (part, attempt)) {
-            self.hear(replica, report);
-            if outcome == Outcome::Succeeded && elapsed.is_finite() && !flight.streams {
-                self.measure(replica, elapsed);
-            }
-            let ended = matches!(outcome, Outcome::Cancelled | Outcome::TimedOut);
-            if self.replica_stats.thin && ended && elapsed.is_finite() {
-                self.unanswered_for(replica, elapsed);
-            }
-            self.steer(part, outcome);
-            self.judge(replica, outcome, elapsed, flight);
-            self.note_outcome(part, replica, outcome);
-            self.cancel_copies(replica);
-        }
-        let Some(p) = self.parts.get_mut(&part) else { return };
-        p.over |= part_finished;
-        let Some(a) = p.attempts.get_mut(usize::from(attempt)).filter(|a| a.ended.is_none()) else { return };
-        a.ended = Some(outcome);
-        if outcome == Outcome::Succeeded {
-            p.served = true;
-            self.call_off(part, None);
-        }
-    }
-
-    /// A value that streams counts as answered from its first message on; its own end ends the part.
-    pub(crate) fn committed(&mut self, event: &Event) {
-        let &Event::ResponseStarted { part, attempt, replica, elapsed } = event else { return };
-        let flight = self.replicas.get_mut(&replica).and_then(|r| r.out.get_mut(&(part, attempt)));
-        if let Some(flight) = flight.filter(|f| !f.streams) {
-            (flight.streams, flight.silent) = (true, false);
-            self.flights.remove(flight.sent, replica, (part, attempt));
-            self.measure(replica, elapsed);
+        let is_at_suspect = |a: &Attempt| self.replicas.get(&a.replica).is_none_or(is_bad);
+        if in_flight.clone().all(|a| is_at_suspect(a) && self.now > a.sent_at) {
+            return Some(AttemptReason::Retry);
         }
-        let Some(p) = self.parts.get_mut(&part) else { return };
-        p.over = true;
-        self.call_off(part, Some(attempt));
+        // Prevents hedges of all that is in flight when nothing reaches us at all.
+        let is_hedge_due =
+            !self.replica_stats.stalled && in_flight.all(|a| self.now - a.sent_at > hedge_after);
+        is_hedge_due.then_some(AttemptReason::Hedge)
     }
 
-    /// A pending copy is called off once its server reports a queue.
-    fn cancel_copies(&mut self, id: ReplicaId) {
-        let Some(r) = self.replicas.get(&id) else { return };
-        let queued = match (r.report.queue_depth, r.report.in_flight) {
-            (Some(queue), _) => queue >= 0.5,
-            (None, Some(held)) => held >= r.out.len() as f64 + 0.5,
-            (None, None) => false,
-        };
-        for (part, n) in r.out.keys().copied().filter(|_| queued && self.s.cancellation).collect::<Vec<_>>() {
-            let Some(p) = self.parts.get_mut(&part) else { continue };
-            let twin = p.attempts.iter().any(|a| !a.copy && a.out());
-            if let Some(a) = p.attempts.get_mut(usize::from(n)).filter(|a| a.copy && !a.cancelled && twin) {
-                a.cancelled = true;
-                self.out.push(Action::Cancel { part, attempt: n });
-                self.note(part);
-            }
+    /// Without a stated budget, a part that failed is retried outside of ours. Prevents waiting for our own
+    /// budget, which holds too little when a zone is out.
+    fn retry_reason(&self, part: &Part) -> AttemptReason {
+        let last = part.attempts.last().and_then(|a| a.outcome);
+        if self.settings.retry_budget.is_none() && last.is_some_and(Outcome::is_failure) {
+            AttemptReason::RetryAfterFailure
+        } else {
+            AttemptReason::Retry
         }
     }
 
-    /// Call off what is out for a part, where that can be done; but for the attempt that it is committed to.
-    pub(crate) fn call_off(&mut self, id: PartId, kept: Option<u8>) {
-        let Some(part) = self.parts.get_mut(&id).filter(|_| self.s.cancellation || kept.is_some()) else {
+    /// Send another attempt beside at most one in flight, to a replica not tried yet if there is one. Where
+    /// traffic is sparse, a hedge goes only where an answer came in time just now: prevents hedges from
+    /// doubling the load of a jammed stretch, where all is late.
+    pub(super) fn retry_or_hedge(&mut self, class: &Class, id: PartId, reason: AttemptReason) {
+        let must_be_proved = reason == AttemptReason::Hedge && self.replica_stats.sparse;
+        let Some(part) = self.parts.get(&id) else { return };
+        let in_flight = part.attempts.iter().filter(|a| a.is_in_flight());
+        let busy: Vec<_> = in_flight.map(|a| a.replica).collect();
+        let is_crowded = busy.len() >= MAX_IN_FLIGHT;
+        let class_id = part.class;
+        let shard = part.shard;
+        let tried: Vec<_> = part.attempts.iter().map(|a| a.replica).collect();
+        let is_blocked = is_crowded && (reason != AttemptReason::Retry || !self.settings.cancellation);
+        if is_blocked || !self.may_attempt_again(class, part) || !self.is_within_retry_budget(reason) {
             return;
+        }
+        let pair = self.choose_two(class_id, shard, &tried);
+        let is_proved = |r: &Replica| {
+            self.now - r.response_time.updated_at < STALE_AFTER_SECONDS
+                && r.response_time.value <= self.latency.p90
         };
-        for (n, a) in part.attempts.iter_mut().enumerate() {
-            if a.out() && kept != Some(n as u8) {
-                a.cancelled = true;
-                self.out.push(Action::Cancel { part: id, attempt: n as u8 });
+        let is_suitable =
+            |id: &ReplicaId| !busy.contains(id) && (!must_be_proved || is_proved(&self.replicas[id]));
+        if let Some(replica) = self.less_loaded(&pair).filter(is_suitable) {
+            if is_crowded {
+                self.cancel_attempts(id, None);
             }
+            self.send_attempt(id, replica, Some(reason));
         }
     }
 }
--- a/src/balancer/bookkeeping.rs
+++ b/src/balancer/bookkeeping.rs
@@ -1,207 +1,246 @@
-//! Keeps the sums and indexes of a [`Balancer`] up to date as things happen, and orders the work of a round.
+//! Brings the sums and indexes of a [`Balancer`] up to date as things happen, and orders the work of a round.
 //! Decides nothing: what a query sends and how it ends is decided in the files beside this one.
-use super::state::{Flight, Part, Query, Verdict};
-use super::{GAIN, HEDGE_TAIL, RECENT};
-use crate::balancer::interface::*;
-use crate::Balancer;
+use super::interface::{
+    Event, Idempotency, LoadReport, Outcome, PartId, QueryId, QueryNumber, ReplicaId, ShardId, ZoneId,
+};
+use super::state::{InFlightAttempt, Part, Query, QueryDecision, Replica};
+use super::{Balancer, HEDGE_AFTER_P90S, RECENT_SECONDS, SLOW_AVERAGE_WEIGHT};
 
 impl Balancer {
-    pub(crate) fn take_part(&mut self, event: &Event) {
+    /// A part comes in; one of a query that is not open is dropped.
+    pub(crate) fn accept_part(&mut self, event: &Event) {
         let &Event::Part { part, number, shard, weight, prior_attempts, completed } = event else { return };
-        self.recent.taken.add(self.now);
-        self.recent.arrived.add(self.now);
+        self.recent.received.record(self.now);
+        self.recent.parts.record(self.now);
         let Some(query) = self.queries.get_mut(&number) else { return };
         query.parts.push(part);
-        query.served += u32::from(completed);
+        query.completed_parts += u32::from(completed);
         if completed {
-            query.brings(weight);
+            query.record_value(weight);
         }
-        let new = Part::new((number, query.in_class), shard, weight, prior_attempts, completed);
-        if let Some(old) = self.parts.insert(part, new) {
-            self.agenda.drop_part(part, old);
+        let accepted = Part::new((number, query.class_id), shard, weight, prior_attempts, completed);
+        if let Some(old) = self.parts.insert(part, accepted) {
+            self.open_queries.remove_part(part, old);
         }
-        self.agenda.touch(number);
+        self.open_queries.mark_changed(number);
     }
 
-    /// Every answer refreshes its replica's entry; the rates of warm ones tell what one of these can serve.
-    pub(crate) fn hear(&mut self, id: ReplicaId, report: Option<LoadReport>) {
-        let (Some(r), Some(report)) = (self.replicas.get_mut(&id), report) else { return };
-        (r.report, r.heard) = (report, self.now);
-        self.census.hear(id, r.load(), self.now);
-        let warm = r.cold_since(self.now, self.s.slow_start).is_none();
-        if let Some(rate) = report.rate.filter(|rate| warm && *rate > 0.0) {
-            self.replica_stats.rates.take(rate, GAIN);
+    /// A replica's load report, if it sent one. The rates of warm ones tell what one of these can serve.
+    pub(crate) fn record_load_report(&mut self, id: ReplicaId, report: Option<LoadReport>) {
+        let Some(report) = report else { return };
+        let Some(r) = self.replicas.get_mut(&id) else { return };
+        r.report = report;
+        r.last_report_at = self.now;
+        self.replica_index.record_load(id, r.reported_load(), self.now);
+        let is_warm = r.warming_up_since(self.now, self.settings.slow_start).is_none();
+        if let Some(rate) = report.rate.filter(|rate| is_warm && *rate > 0.0) {
+            self.replica_stats.reported_rates.add_sample(rate, SLOW_AVERAGE_WEIGHT);
         }
     }
 
-    /// Parts of a query that were served, and the replicas that broke over them.
-    pub(crate) fn note_outcome(&mut self, part: PartId, replica: ReplicaId, outcome: Outcome) {
+    /// What an outcome says of its query: a part of it is completed, or it may have brought down a replica.
+    pub(crate) fn record_query_outcome(&mut self, part: PartId, replica: ReplicaId, outcome: Outcome) {
         let number = self.parts.get(&part).map(|p| p.number);
-        let Some(q) = number.and_then(|n| self.queries.get_mut(&n)) else { return };
-        q.served += u32::from(outcome == Outcome::Succeeded);
-        if outcome == Outcome::Reset && !q.broke.contains(&replica) {
-            q.broke.push(replica);
+        let Some(query) = number.and_then(|n| self.queries.get_mut(&n)) else { return };
+        query.completed_parts += u32::from(outcome == Outcome::Succeeded);
+        if outcome == Outcome::Reset && !query.reset_replicas.contains(&replica) {
+            query.reset_replicas.push(replica);
         }
     }
 
     /// Seconds between two sends of ours to one replica.
-    pub(crate) fn between(&mut self) -> f64 {
-        RECENT * self.replica_stats.ready / self.recent.sends.count(self.now - RECENT).max(1.0)
+    pub(crate) fn send_interval(&mut self) -> f64 {
+        let sends = self.recent.sends.count_since(self.now - RECENT_SECONDS);
+        RECENT_SECONDS * self.replica_stats.ready / sends.max(1.0)
     }
 
-    /// Replicas that are remembered.
-    pub fn known(&self) -> usize {
+    /// How many replicas are remembered, removed ones included.
+    pub fn known_replicas(&self) -> usize {
         self.replicas.len()
     }
 
-    /// Those that hold a shard and may be drawn.
-    pub(crate) fn holders(&self, shard: ShardId) -> Vec<ReplicaId> {
-        let cells = self.s.cells;
-        let row = (0..self.s.reach.min(cells)).map(|j| (shard.0 % cells + j) % cells);
-        let held = row.flat_map(|cell| self.census.cell(cell));
-        held.filter(|id| self.replicas[id].ready()).collect()
+    /// The replicas that hold a shard and may be chosen: cell by cell, in order within a cell.
+    pub(crate) fn ready_holders(&self, shard: ShardId) -> Vec<ReplicaId> {
+        let cells = self.settings.cells;
+        let row = (0..self.settings.reach.min(cells)).map(|j| (shard.0 % cells + j) % cells);
+        let holders = row.flat_map(|cell| self.replica_index.replicas_in_cell(cell));
+        holders.filter(|id| self.replicas[id].is_ready()).collect()
     }
 
     /// Something happened to a part.
-    pub(crate) fn note(&mut self, id: PartId) {
+    pub(crate) fn update_part(&mut self, id: PartId) {
         if let Some(part) = self.parts.get_mut(&id) {
-            self.agenda.part(id, part);
-            self.agenda.touch(part.number);
+            self.open_queries.update_part(id, part);
+            self.open_queries.mark_changed(part.number);
         }
     }
 
-    /// An attempt has its outcome. A value that leaves its query far from an answer moves nothing: the part
-    /// was on its way, or was given up, and now counts no less; nothing more is sent for it. Any other
-    /// outcome does.
-    pub(crate) fn ended(&mut self, id: PartId, event: &Event) {
-        let (had, over) = self.parts.get(&id).map_or((true, true), |p| (p.served, p.over));
-        self.outcome(event);
+    /// An attempt has its outcome. Its query is visited, unless a value leaves it far from an answer: the
+    /// part was in flight, or was given up, and now counts no less; nothing more is sent for it.
+    pub(crate) fn handle_outcome(&mut self, id: PartId, event: &Event) {
+        let before = self.parts.get(&id);
+        let was_completed = before.is_none_or(|p| p.completed);
+        let was_finished = before.is_none_or(|p| p.finished);
+        self.record_attempt_outcome(event);
         let Some(part) = self.parts.get_mut(&id) else { return };
-        self.agenda.part(id, part);
+        self.open_queries.update_part(id, part);
         let Some(query) = self.queries.get_mut(&part.number) else { return };
-        let brings = part.served && !had;
-        if brings {
-            query.brings(part.weight);
+        let brings_value = part.completed && !was_completed;
+        if brings_value {
+            query.record_value(part.weight);
         }
-        // The first one served may end a probation.
-        let passes = brings && !over && query.served > 1 && query.admitted && query.far_from_answer();
-        if !passes {
-            self.agenda.touch(part.number);
+        // The first part that is completed may end the probing.
+        let changes_nothing = brings_value
+            && !was_finished
+            && query.completed_parts > 1
+            && query.admitted
+            && query.is_far_from_answer();
+        if !changes_nothing {
+            self.open_queries.mark_changed(part.number);
         }
     }
 
     /// The value of a part has begun to go to the client.
-    pub(crate) fn streams(&mut self, id: PartId, event: &Event) {
-        self.committed(event);
-        self.note(id);
-    }
-
-    /// An attempt was sent. At a suspect replica it is late as soon as time goes on; one that tries a lost
-    /// room makes that suspect again.
-    pub(crate) fn sent(&mut self, replica: ReplicaId, attempt: (PartId, u8), flight: Flight) {
+    pub(crate) fn handle_response_started(&mut self, id: PartId, event: &Event) {
+        self.record_response_started(event);
+        self.update_part(id);
+    }
+
+    /// An attempt was sent. At a suspect replica it is late as soon as time goes on; one that tries an
+    /// ejected zone makes that suspect again.
+    pub(crate) fn record_send(
+        &mut self,
+        replica: ReplicaId,
+        attempt: (PartId, u8),
+        in_flight: InFlightAttempt,
+    ) {
         let Some(r) = self.replicas.get_mut(&replica) else { return };
-        self.flights.add(flight.sent, replica, attempt, r.out.insert(attempt, flight));
+        let replaced = r.in_flight.insert(attempt, in_flight);
+        self.in_flight.add(in_flight.sent_at, replica, attempt, replaced);
         let r = &self.replicas[&replica];
-        let suspect = r.until(flight.class) > self.now || r.silent() || self.room_lost(r);
-        if self.replica_stats.zones.get(&r.listed.zone).is_some_and(|room| room.until.is_some()) {
-            self.agenda.touch_all();
+        let is_suspect =
+            r.ejected_until(in_flight.class) > self.now || r.is_unresponsive() || self.is_zone_ejected(r);
+        let health = self.replica_stats.zones.get(&r.endpoint.zone);
+        if health.is_some_and(|health| health.ejected_until.is_some()) {
+            self.open_queries.mark_all_changed();
         }
         let Some(part) = self.parts.get_mut(&attempt.0) else { return };
-        self.agenda.part(attempt.0, part);
-        if suspect {
-            self.agenda.suspect(part.number, self.now);
+        self.open_queries.update_part(attempt.0, part);
+        if is_suspect {
+            self.open_queries.record_send_to_suspect(part.number, self.now);
         }
     }
 
-    /// An attempt is over; what its replica owed.
-    pub(crate) fn landed(&mut self, replica: ReplicaId, attempt: (PartId, u8)) -> Option<Flight> {
-        let flight = self.replicas.get_mut(&replica).and_then(|r| r.out.remove(&attempt))?;
-        self.flights.remove(flight.sent, replica, attempt);
-        Some(flight)
+    /// An attempt has ended; returns it as it was in flight at its replica, if it was.
+    pub(crate) fn remove_in_flight(
+        &mut self,
+        replica: ReplicaId,
+        attempt: (PartId, u8),
+    ) -> Option<InFlightAttempt> {
+        let in_flight = self.replicas.get_mut(&replica).and_then(|r| r.in_flight.remove(&attempt))?;
+        self.in_flight.remove(in_flight.sent_at, replica, attempt);
+        Some(in_flight)
     }
 
-    /// A replica became suspect: look at the queries whose parts it holds.
-    pub(crate) fn suspects(&mut self, id: ReplicaId) {
-        for (part, _) in self.replicas.get(&id).into_iter().flat_map(|r| r.out.keys()) {
-            self.parts.get(part).into_iter().for_each(|p| self.agenda.touch(p.number));
-            self.agenda.through += 1;
+    /// A replica became suspect: visit the queries whose parts it holds.
+    pub(crate) fn mark_queries_of(&mut self, id: ReplicaId) {
+        let Some(r) = self.replicas.get(&id) else { return };
+        for (part, _) in r.in_flight.keys() {
+            if let Some(part) = self.parts.get(part) {
+                self.open_queries.mark_changed(part.number);
+            }
+            self.open_queries.entries_visited += 1;
         }
     }
 
-    /// A replica was listed, before in that zone: what it owes may be held against another.
-    pub(crate) fn moved(&mut self, id: ReplicaId, before: ZoneId) {
-        if self.replicas.get(&id).is_some_and(|r| r.listed.zone != before && !r.out.is_empty()) {
-            self.flights.moved(id);
-            self.agenda.touch_all();
+    /// A replica was listed, before that in `old_zone`: what is in flight there may count against another
+    /// zone.
+    pub(crate) fn record_zone_change(&mut self, id: ReplicaId, old_zone: ZoneId) {
+        let has_moved = |r: &Replica| r.endpoint.zone != old_zone;
+        if self.replicas.get(&id).is_some_and(|r| has_moved(r) && !r.in_flight.is_empty()) {
+            self.in_flight.record_zone_change(id);
+            self.open_queries.mark_all_changed();
         }
     }
 
-    pub(crate) fn withdrawn(&mut self, id: QueryId) {
-        let Some(number) = self.agenda.number(id) else { return };
+    /// The client of a query has left: nothing of it is owed any more.
+    pub(crate) fn handle_client_disconnected(&mut self, id: QueryId) {
+        let Some(number) = self.open_queries.number_of(id) else { return };
         if let Some(mut query) = self.queries.remove(&number) {
             self.drop_parts(&mut query);
-            self.agenda.leave(number, id);
+            self.open_queries.remove(number, id);
         }
     }
 
-    /// Look at a query. One that nothing happened to, and that waits, is looked at for its waiting parts
-    /// alone; whole, where time itself may end their chances, or what the other parts cover says how many are
-    /// sent.
-    fn work(&mut self, number: QueryNumber, touched: bool) {
+    /// Visit a query. One that nothing happened to is visited for its waiting parts alone, unless time itself
+    /// may end its chances, or what its other parts cover says how many are sent.
+    fn visit_query(&mut self, number: QueryNumber, has_changed: bool) {
         let Some(mut query) = self.queries.remove(&number) else { return };
-        let keyed = matches!(query.class.idempotency, Idempotency::Keyed { .. });
-        let partial = query.first.is_none() && query.class.target_coverage < 1.0;
-        let whole = touched || keyed || partial || self.on_probation(&query);
-        let waits = std::mem::take(&mut query.waits);
-        let ids = if whole { query.parts.clone() } else { waits };
-        self.agenda.through += 1 + ids.len();
-        let verdict = if whole { self.settle(&mut query) } else { Verdict::Wait };
-        if verdict != Verdict::Wait {
+        let is_keyed = matches!(query.class.idempotency, Idempotency::Keyed { .. });
+        let may_be_partial = query.is_in_first_step() && query.class.target_coverage < 1.0;
+        let visits_all = has_changed || is_keyed || may_be_partial || self.is_probing(&query);
+        let waiting = std::mem::take(&mut query.waiting_parts);
+        let ids = if visits_all { query.parts.clone() } else { waiting };
+        self.open_queries.entries_visited += 1 + ids.len();
+        let decision = if visits_all { self.evaluate(&mut query) } else { QueryDecision::Continue };
+        if decision != QueryDecision::Continue {
             self.drop_parts(&mut query);
         } else if query.admitted {
-            query.waits = self.advance(&query, &ids);
+            query.waiting_parts = self.send_needed(&query, &ids);
         }
-        if verdict == Verdict::Wait && !self.settled(&query) {
-            self.agenda.touch(number);
-        } else if !query.waits.is_empty() {
-            self.agenda.wait(number);
+        self.schedule_visit(number, &query, decision);
+        if decision == QueryDecision::Finish {
+            self.open_queries.remove(number, query.id);
+        } else {
+            self.queries.insert(number, query);
         }
-        if query.first.is_none()
-            && query.class.second_step_parts > 0
-            && self.now < query.aim - HEDGE_TAIL * self.pace.tail
-        {
-            self.agenda.step(number, query.aim);
+    }
+
+    /// When a query that was visited just now is visited again.
+    fn schedule_visit(&mut self, number: QueryNumber, query: &Query, decision: QueryDecision) {
+        if decision == QueryDecision::Continue && !self.goes_by_own_events(query) {
+            self.open_queries.mark_changed(number);
+        } else if !query.waiting_parts.is_empty() {
+            self.open_queries.set_waiting(number);
         }
-        match verdict {
-            Verdict::Over => self.agenda.leave(number, query.id),
-            _ => drop(self.queries.insert(number, query)),
+        let has_second_step = query.is_in_first_step() && query.class.second_step_parts > 0;
+        if has_second_step && self.now < query.objective_at - HEDGE_AFTER_P90S * self.latency.p90 {
+            self.open_queries.set_first_step(number, query.objective_at);
         }
     }
 
-    /// Whether its chances go by what happens to it alone: it is admitted, and an attempt of it was made.
-    fn settled(&self, query: &Query) -> bool {
-        let begun = |id: &PartId| self.parts.get(id).is_some_and(|p| !p.attempts.is_empty());
-        query.admitted && (query.first.is_some() || query.parts.iter().any(begun))
+    /// Whether a query's chances go by what happens to it alone: it is admitted, and an attempt of it was
+    /// made.
+    fn goes_by_own_events(&self, query: &Query) -> bool {
+        let is_sent = |id: &PartId| self.parts.get(id).is_some_and(|p| !p.attempts.is_empty());
+        query.admitted && (!query.is_in_first_step() || query.parts.iter().any(is_sent))
     }
 
-    /// Work at the queries that something happened to, or whose time has come, in order.
-    pub(crate) fn work_all(&mut self) {
-        let (now, tail, stalled) = (self.now, self.pace.tail, self.replica_stats.stalled);
-        let hedge = |sent: f64| !stalled && now - sent > HEDGE_TAIL * tail;
-        let step = |aim: f64| now >= aim - HEDGE_TAIL * tail;
-        self.agenda.wake(now, self.recent.suspect > now, hedge, step, &self.parts);
+    /// Visit the queries that something happened to, or whose time has come, in order.
+    pub(crate) fn visit_queries(&mut self) {
+        let now = self.now;
+        let hedge_after = HEDGE_AFTER_P90S * self.latency.p90;
+        let stalled = self.replica_stats.stalled;
+        let hedge_is_due = |sent_at: f64| !stalled && now - sent_at > hedge_after;
+        let step_is_due = |objective_at: f64| now >= objective_at - hedge_after;
+        let queries_suspected = self.recent.queries_suspected_until > now;
+        self.open_queries.mark_due(now, queries_suspected, hedge_is_due, step_is_due, &self.parts);
         let mut last = None;
-        while let Some((number, touched)) = self.agenda.next(last) {
+        while let Some((number, has_changed)) = self.open_queries.next_to_visit(last) {
             last = Some(number);
-            self.work(number, touched);
+            self.visit_query(number, has_changed);
         }
     }
 
+    /// Cancel and drop the parts of a query's step.
     pub(crate) fn drop_parts(&mut self, query: &mut Query) {
-        (query.brought, query.weighs) = (0, 0.0);
-        for part in std::mem::take(&mut query.parts) {
-            self.call_off(part, None);
-            self.parts.remove(&part).into_iter().for_each(|p| self.agenda.drop_part(part, p));
+        query.values_received = 0;
+        query.weight_received = 0.0;
+        for id in std::mem::take(&mut query.parts) {
+            self.cancel_attempts(id, None);
+            if let Some(part) = self.parts.remove(&id) {
+                self.open_queries.remove_part(id, part);
+            }
         }
     }
 }
--- a/src/balancer/endpoints.rs
+++ b/src/balancer/endpoints.rs
@@ -1,59 +1,77 @@
-//! The list of replicas: drains, losses and returns act at once; a broken subscription is renewed.
-use super::*;
+//! The list of replicas: drains, removals and returns act at once; a broken subscription is renewed.
+use std::collections::BTreeSet;
 
-/// Seconds after which a replica that is gone is forgotten: longer than any attempt is out.
-const FORGET: f64 = 30.0;
-/// Seconds before a broken subscription is renewed first; it doubles up to a quarter of the told time.
-pub(super) const RENEW: f64 = 0.5;
+use rand_core::RngCore;
+
+use super::interface::{Action, Discovery, Endpoint, EndpointState, EndpointUpdate};
+use super::state::Replica;
+use super::Balancer;
+
+/// Seconds after which a removed replica is forgotten: longer than any attempt is in flight.
+const FORGET_REMOVED_SECONDS: f64 = 30.0;
+/// Seconds before a broken subscription is renewed first; it doubles with each further one.
+pub(super) const INITIAL_BACKOFF_SECONDS: f64 = 0.5;
+/// The longest backoff as a share of the time within which a list must be polled.
+const MAX_BACKOFF_SHARE: f64 = 0.25;
 
 impl Balancer {
-    /// A drain or a loss acts at once: only `Ready` replicas are drawn. A full list drops what it lacks.
-    pub(super) fn members(&mut self, news: EndpointUpdate, entries: &[Endpoint]) {
-        match news {
+    /// Take in a list. Only `Ready` replicas are chosen from here on; a full list removes what it lacks.
+    pub(super) fn update_endpoints(&mut self, update: EndpointUpdate, endpoints: &[Endpoint]) {
+        match update {
             EndpointUpdate::Failed => {
-                self.renew_at.get_or_insert(self.now + self.renew);
-                return self.out.push(Action::Timer { after: self.renew });
-            }
-            EndpointUpdate::Full | EndpointUpdate::Cached => {
-                let listed: BTreeSet<_> = entries.iter().map(|e| e.replica).collect();
-                for (id, r) in self.replicas.iter_mut().filter(|(id, _)| !listed.contains(id)) {
-                    r.leave(EndpointState::Removed, self.now);
-                    self.census.list(*id, r, self.s.slow_start.is_some());
-                }
+                self.resubscribe_at.get_or_insert(self.now + self.resubscribe_backoff);
+                return self.actions.push(Action::Timer { after: self.resubscribe_backoff });
             }
+            EndpointUpdate::Full | EndpointUpdate::Cached => self.remove_unlisted(endpoints),
             EndpointUpdate::Delta => {}
         }
-        self.renew = RENEW;
-        entries.iter().for_each(|entry| self.list(entry));
-        self.replica_stats.ready = self.census.ready().max(1) as f64;
-        self.census.forget_gone(&mut self.replicas, |gone| self.now - gone >= FORGET);
+        self.resubscribe_backoff = INITIAL_BACKOFF_SECONDS;
+        for endpoint in endpoints {
+            self.update_endpoint(endpoint);
+        }
+        self.replica_stats.ready = self.replica_index.ready_count().max(1) as f64;
+        let is_long_ago = |removed_at: f64| self.now - removed_at >= FORGET_REMOVED_SECONDS;
+        self.replica_index.forget_removed(&mut self.replicas, is_long_ago);
+    }
+
+    fn remove_unlisted(&mut self, endpoints: &[Endpoint]) {
+        let listed: BTreeSet<_> = endpoints.iter().map(|e| e.replica).collect();
+        let has_slow_start = self.settings.slow_start.is_some();
+        for (id, r) in self.replicas.iter_mut().filter(|(id, _)| !listed.contains(id)) {
+            r.set_state(EndpointState::Removed, self.now);
+            self.replica_index.update(*id, r, has_slow_start);
+        }
     }
 
-    /// A replica with a new start is a new process: what was held against the old one is dropped.
-    fn list(&mut self, entry: &Endpoint) {
-        if entry.state == EndpointState::Removed && !self.replicas.contains_key(&entry.replica) {
+    /// A replica with a new start is a new process: what is known of the old one is dropped.
+    fn update_endpoint(&mut self, endpoint: &Endpoint) {
+        let id = endpoint.replica;
+        if endpoint.state == EndpointState::Removed && !self.replicas.contains_key(&id) {
             return;
         }
-        let replica = self.replicas.entry(entry.replica).or_default();
-        let zone = replica.listed.zone;
-        if entry.started > replica.listed.started {
-            let (out, sent) = (std::mem::take(&mut replica.out), std::mem::take(&mut replica.sent));
-            *replica = Replica { out, sent, ..Replica::default() };
-            replica.phase = (self.rng.next_u32() as f64) / f64::from(u32::MAX);
+        let replica = self.replicas.entry(id).or_default();
+        let old_zone = replica.endpoint.zone;
+        if endpoint.started > replica.endpoint.started {
+            let in_flight = std::mem::take(&mut replica.in_flight);
+            let recent_sends = std::mem::take(&mut replica.recent_sends);
+            *replica = Replica { in_flight, recent_sends, ..Replica::default() };
+            replica.rounding_phase = f64::from(self.rng.next_u32()) / f64::from(u32::MAX);
         }
-        self.census.place(entry.replica, replica.listed.cell, entry.cell);
-        replica.leave(entry.state, self.now);
-        replica.listed = *entry;
-        self.census.list(entry.replica, replica, self.s.slow_start.is_some());
-        self.moved(entry.replica, zone);
+        self.replica_index.move_to_cell(id, replica.endpoint.cell, endpoint.cell);
+        replica.set_state(endpoint.state, self.now);
+        replica.endpoint = *endpoint;
+        self.replica_index.update(id, replica, self.settings.slow_start.is_some());
+        self.record_zone_change(id, old_zone);
     }
 
-    pub(super) fn subscribe(&mut self) {
-        let Discovery::Ask { within } = self.s.discovery else { return };
-        if self.renew_at.is_some_and(|at| at <= self.now) {
-            self.renew_at = None;
-            self.renew = (self.renew * 2.0).min((within / 4.0).max(RENEW));
-            self.out.push(Action::Subscribe);
+    /// Renew a broken subscription when its backoff is over, where lists must be subscribed to.
+    pub(super) fn renew_subscription(&mut self) {
+        let Discovery::Poll { poll_within } = self.settings.discovery else { return };
+        if self.resubscribe_at.is_some_and(|at| at <= self.now) {
+            self.resubscribe_at = None;
+            let longest = (poll_within * MAX_BACKOFF_SHARE).max(INITIAL_BACKOFF_SECONDS);
+            self.resubscribe_backoff = (self.resubscribe_backoff * 2.0).min(longest);
+            self.actions.push(Action::Subscribe);
         }
     }
 }
--- a/src/balancer/interface.rs
+++ b/src/balancer/interface.rs
@@ -1,9 +1,9 @@
 //! The events that go into a [`Balancer`](crate::Balancer) and the actions that come out: plain types, no
 //! behaviour.
 //!
-//! One `Balancer` is made for each coordinator. Once a round it is handed the time and the events that
-//! came in since the last round, and gives back the actions to carry out, in order. Times are seconds on
-//! any clock that only goes forward. Nothing here is told of the transport.
+//! Each coordinator has one `Balancer`. Once a round it takes the time and the events since the last round,
+//! and returns the actions to carry out, in order. All times and spans are seconds, times on any clock that
+//! only goes forward. Nothing here knows of a transport.
 //!
 //! ```
 //! use marlgap::balancer::interface::*;
@@ -40,49 +40,22 @@
 //! # Ok::<(), SettingsError>(())
 //! ```
 
+mod ids;
 mod settings;
 
-pub use settings::*;
+pub use self::ids::{CellId, ClassId, PartId, QueryId, QueryNumber, ReplicaId, ShardId, TenantId, ZoneId};
+pub use self::settings::{
+    Class, Discovery, Idempotency, LoadReporting, RetryBudget, Settings, SettingsError, SlowStart, Tenant,
+};
 
-/// A replica, as discovery names it.
-#[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub struct ReplicaId(pub u64);
-/// A query, as its client's side names it.
-#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub struct QueryId(pub u32);
-/// The number that a query shares with its parts.
-#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub struct QueryNumber(pub u32);
-/// A part of a query.
-#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub struct PartId(pub u32);
-/// A shard of the data.
-#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub struct ShardId(pub u32);
-/// A place in the layout; a shard is held by the cells `shard % cells` and the next ones, `reach` in all.
-#[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub struct CellId(pub u16);
-/// Index into [`Settings::classes`].
-#[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub struct ClassId(pub u16);
-/// Index into [`Settings::tenants`]; ignored where there are none.
-#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub struct TenantId(pub u16);
-
-impl TenantId {
-    /// Of a front that knows no tenants: none that is told, so its queries are in nobody's share.
-    pub const NONE: TenantId = TenantId(u16::MAX);
-}
-
-/// A zone.
-#[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub struct ZoneId(pub u8);
-
-/// State of a replica as discovery has it.
+/// State of a replica as discovery lists it.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum EndpointState {
+    /// It takes parts.
     Ready,
+    /// It finishes what it has and takes nothing new.
     Draining,
+    /// It is not listed any more.
     #[default]
     Removed,
 }
@@ -90,25 +63,30 @@
 /// An entry of the list of replicas.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Endpoint {
+    /// Which replica.
     pub replica: ReplicaId,
+    /// Where it runs.
     pub zone: ZoneId,
+    /// Which shards it holds.
     pub cell: CellId,
+    /// Whether it takes parts.
     pub state: EndpointState,
+    /// Its capacity as discovery states it; no decision goes by it.
     pub weight: f64,
-    /// When it last started, if that is known to be not long ago.
+    /// When it last started, in seconds, if that is known to be not long ago.
     pub started: Option<f64>,
 }
 
-/// What kind of news a list is.
+/// What kind of list of replicas came in.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum EndpointUpdate {
     /// Changed entries only.
     Delta,
-    /// The whole list.
+    /// The complete list.
     Full,
-    /// The whole list as last saved, maybe old.
+    /// The complete list as last saved, maybe old.
     Cached,
-    /// Asking failed or the subscription broke.
+    /// No list: polling failed or the subscription broke.
     Failed,
 }
 
@@ -117,9 +95,9 @@
 pub struct LoadReport {
     /// Parts waiting.
     pub queue_depth: Option<f64>,
-    /// Requests held.
+    /// Requests that it holds, waiting or running.
     pub in_flight: Option<f64>,
-    /// Share of the processor that is busy.
+    /// Share of the processor that is busy, from 0 to 1.
     pub utilization: Option<f64>,
     /// Recent service time without waiting, in seconds.
     pub service_time: Option<f64>,
@@ -130,23 +108,24 @@
 /// How an attempt ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Outcome {
+    /// Its value is here.
     Succeeded,
     /// An error; it may have run.
     Error,
-    /// Turned away unseen.
+    /// Rejected before it ran.
     Rejected,
     /// No answer in time; it may have run.
     TimedOut,
     /// No connection in time; it never ran.
     ConnectFailed,
-    /// The connection broke, and its replica may be no more; it may have run.
+    /// The connection broke, and its replica may have died; it may have run.
     Reset,
     /// The connection is gone, by a fault of its own or of another part's answer, while its replica lives; it
     /// may have run.
     ConnectionLost,
-    /// Called off; it may have run.
+    /// Cancelled; it may have run.
     Cancelled,
-    /// Never sent.
+    /// It was never sent.
     NeverSent,
 }
 
@@ -156,113 +135,158 @@
         matches!(self, Outcome::Rejected | Outcome::ConnectFailed | Outcome::NeverSent)
     }
 
-    /// Whether the attempt was told to have failed: neither served, nor turned away, nor left without an
-    /// answer.
-    pub fn failed(self) -> bool {
+    /// Whether it is a failure that was seen: neither a success, nor a rejection, nor an answer that did not
+    /// come or was not waited for.
+    pub fn is_failure(self) -> bool {
         !matches!(self, Outcome::Succeeded | Outcome::Rejected | Outcome::TimedOut | Outcome::Cancelled)
     }
 }
 
-/// What a coordinator is told.
+/// What happened since the last round.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Event {
-    /// A query; its parts follow in the same round.
+    /// A query came in; its parts follow in the same round.
     Query {
+        /// Its name in actions.
         query: QueryId,
+        /// The number that its parts name; if a query of that number is open, that one is ended.
         number: QueryNumber,
+        /// Its class.
         class: ClassId,
+        /// Who asks.
         tenant: TenantId,
-        /// How long the client still waits.
+        /// Seconds for which the client still waits.
         time_left: f64,
         /// Parts of the first step.
         parts: u32,
-        /// The client's repeat, where clients mark these.
+        /// Whether it is its client's retry, where clients mark these.
         is_retry: bool,
     },
+    /// A part of an open query came in, in its first step or its second one.
     Part {
+        /// Its name in actions and outcomes.
         part: PartId,
+        /// The number of its query.
         number: QueryNumber,
+        /// The shard that it reads.
         shard: ShardId,
-        /// Its share of its step.
+        /// Its share of its step, from 0 to 1.
         weight: f64,
         /// Attempts that an earlier owner of its query may have made: each may have run and counts among the
         /// part's. Ours are numbered from here on.
         prior_attempts: u8,
-        /// An earlier owner had its value in: nothing is sent for it.
+        /// Whether an earlier owner had its value in: nothing is sent for it.
         completed: bool,
     },
+    /// An attempt ended.
     Outcome {
+        /// Its part.
         part: PartId,
+        /// Its number among the part's attempts.
         attempt: u8,
+        /// Where it was sent.
         replica: ReplicaId,
-        /// The part is over.
+        /// Whether the part is finished too: nothing more may be sent for it.
         part_finished: bool,
+        /// How it ended.
         outcome: Outcome,
+        /// Seconds since it was sent.
         elapsed: f64,
+        /// The load report that came with its answer.
         report: Option<LoadReport>,
     },
-    /// Its value has begun to go to the client: its other attempts are called off, and there will be no more.
+    /// The value of a part has begun to go to the client: its other attempts are cancelled, and there will be
+    /// no more.
     ResponseStarted {
+        /// The part.
         part: PartId,
+        /// The attempt that brings the value.
         attempt: u8,
+        /// Where that was sent.
         replica: ReplicaId,
-        /// Time to the first of the value.
+        /// Seconds from its send to the first of the value.
         elapsed: f64,
     },
+    /// A health check ended.
     HealthChecked {
+        /// Where it was sent.
         replica: ReplicaId,
+        /// Whether it was answered well.
         healthy: bool,
+        /// Seconds since it was sent.
         elapsed: f64,
+        /// The load report that came with its answer.
         report: Option<LoadReport>,
     },
-    /// The client has left.
+    /// The client of a query has left: the query is dropped.
     ClientDisconnected {
+        /// The query.
         query: QueryId,
     },
+    /// A list of replicas came in, or none came.
     Endpoints {
+        /// What kind of list it is.
         update: EndpointUpdate,
+        /// Its entries.
         endpoints: Vec<Endpoint>,
     },
+    /// A timer that an action asked for went off.
     Timer,
 }
 
-/// What a coordinator does.
+/// What a coordinator is to do.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
-    /// An attempt of a part; those of a part are numbered in order, from the attempts that were spent before.
+    /// Send an attempt of a part; those of a part are numbered in order, after those of an earlier owner.
     Send {
+        /// The part.
         part: PartId,
+        /// Where to.
         replica: ReplicaId,
-        /// `None`: as long as the client waits.
+        /// Seconds after which it is given up; `None` for as long as the client waits.
         timeout: Option<f64>,
     },
+    /// Cancel an attempt; its outcome is still to be reported.
     Cancel {
+        /// Its part.
         part: PartId,
+        /// Its number among the part's attempts.
         attempt: u8,
     },
     /// End the query, or its first step, with what its parts brought.
     Answer {
+        /// The query.
         query: QueryId,
+        /// Whether the answer counts as complete.
         complete: bool,
     },
-    /// Send the query back; trying again is harmless.
+    /// Reject the query; trying again is harmless.
     Reject {
+        /// The query.
         query: QueryId,
+        /// Seconds after which the client may try again, where clients heed that (RFC 9110, Retry-After).
         retry_after: Option<f64>,
     },
+    /// Fail the query; trying again may run it twice.
     Fail {
+        /// The query.
         query: QueryId,
     },
+    /// Check a replica's health and load.
     HealthCheck {
+        /// The replica.
         replica: ReplicaId,
     },
     /// Close our connections to a replica that carry nothing; the next attempt there opens a new one.
     CloseIdle {
+        /// The replica.
         replica: ReplicaId,
     },
-    /// Call a round at this time from now.
+    /// Call a round at the latest after so many seconds.
     Timer {
+        /// Seconds from now.
         after: f64,
     },
+    /// Subscribe to the list of replicas.
     Subscribe,
 }
--- a/src/balancer/latency.rs
+++ b/src/balancer/latency.rs
@@ -1,94 +1,127 @@
 //! Response times, by which replicas, parts and queries are judged.
-use super::*;
+use super::interface::{Class, ReplicaId};
+use super::state::{p90_step, Decay, DecayingAverage};
+use super::{Balancer, RECENT_SECONDS, SLOW_AVERAGE_WEIGHT};
 
-/// Weight of the newest in admission's response time, and seconds in which that halves unseen.
-const DELAY_GAIN: f64 = 0.1;
-const DELAY_HALF: f64 = 0.5;
-/// Pauses between our queries in which what the last ones took halves.
-const QUERY_PAUSES: f64 = 4.0;
-/// A query's slowest part takes so many times the mean one, more by so much of the logarithm of its parts
-/// over so many; two steps take this many times one.
-const QUERY_STRETCH: f64 = 2.0;
-const WIDER: f64 = 0.45;
-const WIDE: usize = 24;
-const STEPS_STRETCH: f64 = 1.5;
-/// Weight of the newest response time of a replica in its usual one, and seconds in which half of that is
-/// forgotten; where it is met seldom, the weight is up to the second, and the time so many meetings with it.
-const TOOK_WEIGHT: [f64; 2] = [0.3, 0.7];
-const TOOK_HALF: f64 = 2.0;
-const TOOK_MEETINGS: f64 = 1.0;
-/// The most that reported rates may say. Guards against odd reports.
-const MOST_HEADROOM: f64 = 3.0;
+/// Weight of the newest sample in the current response time, by which queries are admitted.
+const CURRENT_WEIGHT: f64 = 0.1;
+/// Seconds in which that halves without a sample.
+const CURRENT_HALF_LIFE_SECONDS: f64 = 0.5;
+/// Intervals between our queries in which the time that the last ones took halves.
+const QUERY_TIME_HALF_LIFE_INTERVALS: f64 = 4.0;
+/// Weight of the newest query in the time that the last ones took.
+const QUERY_TIME_WEIGHT: f64 = 0.5;
+/// A query's slowest part takes so many times the mean one.
+const SLOWEST_PART_FACTOR: f64 = 2.0;
+/// What is added to that for each e-fold of parts over a narrow query's, as a share.
+const WIDTH_LOG_FACTOR: f64 = 0.45;
+/// Most parts of a narrow query.
+const NARROW_QUERY_PARTS: usize = 24;
+/// Two steps take this many times one.
+const TWO_STEP_FACTOR: f64 = 1.5;
+/// Least and most weight of the newest response time of a replica, where traffic is not sparse.
+const RESPONSE_TIME_WEIGHTS: [f64; 2] = [0.3, 0.3];
+/// The same where traffic is sparse.
+const SPARSE_RESPONSE_TIME_WEIGHTS: [f64; 2] = [0.3, 0.7];
+/// Seconds in which half of a replica's response time is forgotten, where traffic is not sparse.
+const RESPONSE_TIME_HALF_LIFE_SECONDS: f64 = 2.0;
+/// The same where traffic is sparse, in intervals between two sends to one replica.
+const RESPONSE_TIME_HALF_LIFE_SENDS: f64 = 1.0;
+/// The largest capacity ratio that is taken from reported rates. Prevents odd reports from counting.
+const MAX_CAPACITY_RATIO: f64 = 3.0;
 
 impl Balancer {
-    /// Response times of the whole fleet, by which each replica and each part is judged.
-    pub(super) fn measure(&mut self, id: ReplicaId, took: f64) {
-        let (clock, weights) =
-            (self.memory(), [TOOK_WEIGHT[0], TOOK_WEIGHT[usize::from(self.replica_stats.thin)]]);
-        self.replicas.get_mut(&id).into_iter().for_each(|r| r.took.take(took, clock, weights));
-        self.pace.tail *= 1.0 + GAIN * if took < self.pace.tail { -0.1 } else { 0.9 };
-        self.pace.typical += GAIN * (took - self.pace.typical);
-        let delay = self.delay_now();
-        (self.pace.delay, self.pace.served) = (delay + DELAY_GAIN * (took - delay), self.now);
+    /// A part was answered after so many seconds: updates the times of its replica and of all.
+    pub(super) fn record_response_time(&mut self, id: ReplicaId, elapsed: f64) {
+        let decay = self.response_time_decay();
+        let weights = if self.replica_stats.sparse_since_start {
+            SPARSE_RESPONSE_TIME_WEIGHTS
+        } else {
+            RESPONSE_TIME_WEIGHTS
+        };
+        if let Some(replica) = self.replicas.get_mut(&id) {
+            replica.response_time.add_sample(elapsed, decay, weights);
+        }
+        self.latency.p90 *= 1.0 + SLOW_AVERAGE_WEIGHT * p90_step(elapsed, self.latency.p90);
+        self.latency.mean += SLOW_AVERAGE_WEIGHT * (elapsed - self.latency.mean);
+        let current = self.current_response_time();
+        self.latency.current = current + CURRENT_WEIGHT * (elapsed - current);
+        self.latency.last_success_at = self.now;
     }
 
-    /// A replica answered nothing for so long, so it takes that at least. Guards against knowing jammed
-    /// ones by the few answers that were still waited for.
-    pub(super) fn unanswered_for(&mut self, id: ReplicaId, waited: f64) {
-        let (now, usual) = (self.now, self.usual_time(id));
-        let replica = self.replicas.get_mut(&id).filter(|_| waited > usual);
-        replica.into_iter().for_each(|r| r.took = Fading { value: waited, at: now });
+    /// A replica answered nothing for so many seconds, so it takes that at least. Prevents jammed replicas
+    /// from being known by the few answers that were still waited for.
+    pub(super) fn record_unanswered_wait(&mut self, id: ReplicaId, waited: f64) {
+        let usual = self.usual_response_time(id);
+        if let Some(replica) = self.replicas.get_mut(&id).filter(|_| waited > usual) {
+            replica.response_time = DecayingAverage { value: waited, updated_at: self.now };
+        }
     }
 
-    /// What a warm replica serves at its most, over the mean one: capacity is not told, and the upper part of
-    /// the rates that they report bounds it from below. One where no rates are reported.
-    pub(super) fn headroom(&self) -> f64 {
-        self.replica_stats.rates.ratio().clamp(1.0, MOST_HEADROOM)
+    /// What a warm replica serves at its most over what the mean one serves, by the rates that they report:
+    /// capacity itself is not known, and the 90th percentile of the rates bounds it from below. 1 where no
+    /// rates are reported.
+    pub(super) fn capacity_ratio(&self) -> f64 {
+        self.replica_stats.reported_rates.p90_over_mean().clamp(1.0, MAX_CAPACITY_RATIO)
     }
 
-    /// Now, the half-life of a replica's response time, which lasts until it is met again, and the base.
-    fn memory(&self) -> (f64, f64, f64) {
-        let half_life =
-            if self.replica_stats.thin { TOOK_MEETINGS * self.replica_stats.between } else { TOOK_HALF };
-        (self.now, half_life, self.pace.typical)
+    /// How a replica's response time decays to the mean one. Where traffic is sparse, it lasts until the next
+    /// send.
+    fn response_time_decay(&self) -> Decay {
+        let half_life = if self.replica_stats.sparse_since_start {
+            RESPONSE_TIME_HALF_LIFE_SENDS * self.replica_stats.send_interval
+        } else {
+            RESPONSE_TIME_HALF_LIFE_SECONDS
+        };
+        Decay { now: self.now, half_life, base: self.latency.mean }
     }
 
-    /// Response time of a replica as last seen; without news it fades into the typical one.
-    pub(super) fn usual_time(&self, id: ReplicaId) -> f64 {
-        let (now, half_life, typical) = self.memory();
-        self.replicas[&id].took.now(now, half_life, typical)
+    /// Response time of a replica in seconds, as last seen; without news it decays to the mean one.
+    pub(super) fn usual_response_time(&self, id: ReplicaId) -> f64 {
+        self.replicas[&id].response_time.value_at(self.response_time_decay())
     }
 
-    /// The present response time of parts. Without news it decays: refusals keep it from being measured.
-    fn delay_now(&self) -> f64 {
-        self.pace.delay * 0.5f64.powf((self.now - self.pace.served) / DELAY_HALF)
+    /// The present response time of parts in seconds. Without news it decays, as rejections keep it from
+    /// being measured.
+    fn current_response_time(&self) -> f64 {
+        let since_success = self.now - self.latency.last_success_at;
+        self.latency.current * 0.5f64.powf(since_success / CURRENT_HALF_LIFE_SECONDS)
     }
 
-    /// How long a query of this class takes from its first send, as parts go now; where replicas are met
-    /// seldom, as our last queries went, if that is longer. Guards against a jam of a few replicas, which the
-    /// mean part hides, and against an overload that is forgotten before our next query is here.
-    pub(super) fn expected(&self, class: &Class) -> f64 {
-        let seldom = if self.replica_stats.seldom { self.query_now() } else { 0.0 };
-        let steps = if class.second_step_parts > 0 { STEPS_STRETCH } else { 1.0 };
-        seldom.max(self.delay_now() * QUERY_STRETCH) * steps
+    /// Seconds that a query of this class takes from its first send, as parts go now; where traffic is
+    /// sparse, as our last queries went, if that is longer. Prevents admission into a jam of a few replicas,
+    /// which the mean part hides, and into an overload that is forgotten before our next query comes.
+    pub(super) fn expected_query_time(&self, class: &Class) -> f64 {
+        let last_queries = if self.replica_stats.sparse { self.recent_query_time() } else { 0.0 };
+        let steps = if class.second_step_parts > 0 { TWO_STEP_FACTOR } else { 1.0 };
+        last_queries.max(self.current_response_time() * SLOWEST_PART_FACTOR) * steps
     }
 
-    pub(super) fn query_now(&self) -> f64 {
-        self.pace.query * 0.5f64.powf((self.now - self.pace.ended) / (QUERY_PAUSES * self.pause()))
+    /// Seconds that our last queries took, as narrow ones; without news it decays.
+    fn recent_query_time(&self) -> f64 {
+        let half_life = QUERY_TIME_HALF_LIFE_INTERVALS * self.query_interval();
+        self.latency.query_time * 0.5f64.powf((self.now - self.latency.query_finished_at) / half_life)
+    }
+
+    /// A query finished after so many seconds, reckoned as a narrow one.
+    pub(super) fn record_query_time(&mut self, elapsed: f64) {
+        self.latency.query_time = QUERY_TIME_WEIGHT * (elapsed + self.recent_query_time());
+        self.latency.query_finished_at = self.now;
     }
 
     /// Seconds between two queries of ours.
-    pub(super) fn pause(&self) -> f64 {
-        RECENT / (self.recent.taken.len() - self.recent.arrived.len()).max(1.0)
+    pub(super) fn query_interval(&self) -> f64 {
+        RECENT_SECONDS / (self.recent.received.retained() - self.recent.parts.retained()).max(1.0)
     }
 }
 
-/// How much longer a query of so many parts takes than a narrow one.
-pub(super) fn wide(parts: usize) -> f64 {
-    1.0 + WIDER * (parts.max(WIDE) as f64 / WIDE as f64).ln()
+/// How many times a narrow query's time one of so many parts takes.
+pub(super) fn width_factor(parts: usize) -> f64 {
+    1.0 + WIDTH_LOG_FACTOR * (parts.max(NARROW_QUERY_PARTS) as f64 / NARROW_QUERY_PARTS as f64).ln()
 }
 
 /// How many times the mean part's time a query of so many parts and steps takes.
-pub fn stretch(parts: usize, steps: u32) -> f64 {
-    wide(parts) * QUERY_STRETCH * if steps > 1 { STEPS_STRETCH } else { 1.0 }
+pub fn query_time_factor(parts: usize, steps: u32) -> f64 {
+    let steps_factor = if steps > 1 { TWO_STEP_FACTOR } else { 1.0 };
+    width_factor(parts) * SLOWEST_PART_FACTOR * steps_factor
 }
--- a/src/balancer/mod.rs
+++ b/src/balancer/mod.rs
@@ -1,164 +1,216 @@
-//! All decisions of a coordinator. Types, events and actions: `src/balancer/interface.rs`; what is kept
-//! between rounds: `src/balancer/state/`. The ordinary path is NetClone's (`docs/design.md`): draw two
-//! replicas of a shard; both idle: to both, the first answer wins; else to the shorter queue. The rest acts
-//! through who may be drawn and how ties fall.
+//! All decisions of a coordinator: which replicas get a part, when it is retried or hedged, which queries are
+//! admitted, and how each query ends. Types, events and actions: `src/balancer/interface.rs`; what is
+//! retained between rounds: `src/balancer/state/`.
+//!
+//! The ordinary path is NetClone's (`docs/design.md`): choose two replicas of a shard at random; if both are
+//! idle, send to both, and the first answer wins; else send to the one with the shorter queue. The rest acts
+//! through who may be chosen and how ties are broken:
+//!
+//! - which replicas: `replica_selection.rs`, `slow_start.rs`, `outlier_detection.rs`, `zone_health.rs`,
+//!   `endpoints.rs`, `health_checks.rs`
+//! - which attempts: `attempts.rs`, `retry_budget.rs`, `idle_connections.rs`, `outcomes.rs`
+//! - which queries: `admission.rs`, `concurrency_limit.rs`, `query_of_death.rs`, `query_progress.rs`
+//! - on what figures: `latency.rs`; `bookkeeping.rs` brings indexes up to date and decides nothing
+//!
+//! The module never reads a clock, a socket or a file: time and events come in, actions go out. The same
+//! settings, seed and events give the same actions, bit by bit, which recorded streams check
+//! (`tests/recorded.rs`): the order of random draws, of sums and of iteration is a part of its contract.
+//! Counting in a [`SlidingWindow`] drops older events, so the order of such counts belongs to it too.
+#![warn(missing_docs)]
+
 mod admission;
 mod attempts;
 mod bookkeeping;
+mod concurrency_limit;
 mod endpoints;
+mod health_checks;
+mod idle_connections;
 pub mod interface;
 mod latency;
+mod outcomes;
 mod outlier_detection;
+mod query_of_death;
 mod query_progress;
 mod replica_selection;
+mod retry_budget;
+mod slow_start;
 pub mod state;
+mod zone_health;
 
-use std::collections::{BTreeMap, BTreeSet};
+use std::collections::BTreeMap;
 
-use rand_core::{RngCore, SeedableRng};
+use rand_core::SeedableRng;
 use rand_pcg::Pcg64Mcg;
 
-pub use self::latency::stretch;
-use self::{endpoints::RENEW, latency::wide, outlier_detection::EJECT};
-use crate::balancer::interface::*;
-use crate::balancer::state::*;
+use self::endpoints::INITIAL_BACKOFF_SECONDS;
+use self::interface::{Action, Class, Event, PartId, QueryNumber, ReplicaId, Settings, SettingsError};
+pub use self::latency::query_time_factor;
+use self::retry_budget::DEFAULT_RETRY_BUDGET;
+#[cfg(doc)]
+use self::state::SlidingWindow;
+use self::state::{
+    validate, ConcurrencyLimit, InFlightIndex, LatencyEstimates, OpenQueries, Part, Query, RecentActivity,
+    Replica, ReplicaIndex, ReplicaStats,
+};
 
-/// Seconds that 'recent' means for copies, retries, rates and tenants: long enough to average a burst.
-pub(crate) const RECENT: f64 = 5.0;
-/// Without a told budget, attempts beyond the first stay within so many, plus a share of recent arrivals.
-const OWN_BUDGET: RetryBudget = RetryBudget { free: 5.0, share: 0.2, window: RECENT };
-/// Seconds after which news of a replica is stale: it counts at the average queue and not as idle.
-pub(crate) const STALE: f64 = 2.0;
-/// Seconds between our sends to one replica from which on it is met too seldom to be known one by one.
-const SELDOM: f64 = 3.0;
+/// Seconds that 'recent' means for clones, retries, rates and tenants: long enough to average a burst.
+pub(crate) const RECENT_SECONDS: f64 = 5.0;
+/// Seconds after which a load report is stale: its replica counts at the mean load and not as idle.
+pub(crate) const STALE_AFTER_SECONDS: f64 = 2.0;
+/// Seconds between our sends to one replica from which on replicas can't be judged one by one.
+const SPARSE_INTERVAL_SECONDS: f64 = 3.0;
 /// A part is hedged after this many times the 90th percentile of recent response times.
-pub(crate) const HEDGE_TAIL: f64 = 1.2;
-/// Seconds between looks at open parts, and the least time before a client's end to answer it.
-const SWEEP: f64 = 0.02;
-const END_MARGIN: f64 = 0.01;
-/// Weight of the newest sample in slow averages, and step of the tail estimate as a share of itself.
-pub(crate) const GAIN: f64 = 0.05;
-/// Probes stay under this share of recent parts; seconds between probes of one replica at least.
-const PROBE_SHARE: f64 = 0.1;
-const PROBE_EVERY: f64 = 0.3;
+pub(crate) const HEDGE_AFTER_P90S: f64 = 1.2;
+/// Seconds between visits to open parts.
+const SWEEP_INTERVAL_SECONDS: f64 = 0.02;
+/// Least seconds before a client's deadline to answer it.
+const DEADLINE_MARGIN_SECONDS: f64 = 0.01;
+/// Weight of the newest sample in slow averages, and step of the 90th percentile as a share of itself.
+pub(crate) const SLOW_AVERAGE_WEIGHT: f64 = 0.05;
 
 /// The decisions of one coordinator.
 pub struct Balancer {
-    pub(crate) s: Settings,
+    pub(crate) settings: Settings,
     pub(crate) rng: Pcg64Mcg,
+    /// The time of this round, in seconds; it never goes back.
     pub(crate) now: f64,
-    pub(crate) born: f64,
-    pub(crate) margin: f64,
+    /// The time of the first round; negative infinity before it.
+    pub(crate) started_at: f64,
+    /// Seconds before a client's deadline in which its answer must go out.
+    pub(crate) answer_margin: f64,
     pub(crate) replicas: BTreeMap<ReplicaId, Replica>,
     pub(crate) replica_stats: ReplicaStats,
-    pub(crate) census: Census,
-    pub(crate) flights: Flights,
-    pub(crate) agenda: Agenda,
+    pub(crate) replica_index: ReplicaIndex,
+    pub(crate) in_flight: InFlightIndex,
+    pub(crate) open_queries: OpenQueries,
     pub(crate) queries: BTreeMap<QueryNumber, Query>,
     pub(crate) parts: BTreeMap<PartId, Part>,
-    pub(crate) recent: Recent,
-    pub(crate) pace: Pace,
-    pub(crate) swept: f64,
-    pub(crate) renew: f64,
-    pub(crate) renew_at: Option<f64>,
-    pub(crate) out: Vec<Action>,
+    pub(crate) recent: RecentActivity,
+    pub(crate) latency: LatencyEstimates,
+    pub(crate) concurrency: ConcurrencyLimit,
+    /// When open parts were last visited on a timer of ours.
+    pub(crate) swept_at: f64,
+    /// Seconds to wait before the next renewal of a broken subscription.
+    pub(crate) resubscribe_backoff: f64,
+    /// When to renew the subscription, if it is broken.
+    pub(crate) resubscribe_at: Option<f64>,
+    /// The actions of this round so far.
+    pub(crate) actions: Vec<Action>,
 }
 
 impl Balancer {
-    /// A coordinator that knows no replica yet. Settings that cannot be served are refused.
+    /// A coordinator that knows no replica yet. All its random draws come from `seed`.
+    ///
+    /// # Errors
+    ///
+    /// Settings that no coordinator could run with.
     pub fn new(settings: Settings, seed: u64) -> Result<Self, SettingsError> {
-        check(&settings)?;
-        let aim = settings.classes.iter().map(|c| c.latency_objective).fold(f64::MAX, f64::min);
+        validate(&settings)?;
+        let objective = settings.classes.iter().map(|c| c.latency_objective).fold(f64::MAX, f64::min);
         Ok(Balancer {
             rng: Pcg64Mcg::seed_from_u64(seed),
             now: 0.0,
-            born: f64::NEG_INFINITY,
-            margin: END_MARGIN + 2.0 * settings.round_interval,
+            started_at: f64::NEG_INFINITY,
+            answer_margin: DEADLINE_MARGIN_SECONDS + 2.0 * settings.round_interval,
             replicas: BTreeMap::new(),
             replica_stats: ReplicaStats::default(),
-            census: Census::default(),
-            flights: Flights::default(),
-            agenda: Agenda::default(),
+            replica_index: ReplicaIndex::default(),
+            in_flight: InFlightIndex::default(),
+            open_queries: OpenQueries::default(),
             queries: BTreeMap::new(),
             parts: BTreeMap::new(),
-            recent: Recent::default(),
-            pace: Pace { typical: aim / 10.0, tail: aim / 5.0, ..Pace::default() },
-            swept: f64::NEG_INFINITY,
-            renew: RENEW,
-            renew_at: None,
-            out: Vec::new(),
-            s: settings,
+            recent: RecentActivity::default(),
+            latency: LatencyEstimates {
+                mean: objective / 10.0,
+                p90: objective / 5.0,
+                ..LatencyEstimates::default()
+            },
+            concurrency: ConcurrencyLimit::default(),
+            swept_at: f64::NEG_INFINITY,
+            resubscribe_backoff: INITIAL_BACKOFF_SECONDS,
+            resubscribe_at: None,
+            actions: Vec::new(),
+            settings,
         })
     }
 
-    /// Further classes, behind those that are there.
-    pub fn extend(&mut self, classes: &[Class]) -> Result<(), SettingsError> {
-        let mut settings = self.s.clone();
+    /// Adds classes behind those that are there, whose numbers stay.
+    ///
+    /// # Errors
+    ///
+    /// Classes that no coordinator could run with; the settings stay as they were.
+    pub fn add_classes(&mut self, classes: &[Class]) -> Result<(), SettingsError> {
+        let mut settings = self.settings.clone();
         settings.classes.extend_from_slice(classes);
-        check(&settings).map(|()| self.s = settings)
+        validate(&settings)?;
+        self.settings = settings;
+        Ok(())
     }
 
-    /// Take the events of a round and decide.
+    /// Takes the events since the last round, in order, and decides.
+    ///
+    /// `now` is in seconds on any clock; a time before that of the last round counts as the latter. Returns
+    /// the actions to carry out, in order.
     pub fn round(&mut self, now: f64, events: &[Event]) -> Vec<Action> {
-        if self.born == f64::NEG_INFINITY {
-            (self.born, self.renew_at) = (now, Some(now));
+        if self.started_at == f64::NEG_INFINITY {
+            self.started_at = now;
+            self.resubscribe_at = Some(now);
         }
         self.now = self.now.max(now);
-        self.replica_stats.calls.clear();
-        events.iter().for_each(|event| self.event(event));
-        let window =
-            self.s.retry_budget.unwrap_or(OWN_BUDGET).window.max(RECENT) + 2.0 * self.s.round_interval;
+        self.replica_stats.sends_this_round.clear();
+        for event in events {
+            self.handle_event(event);
+        }
+        let budget = self.settings.retry_budget.unwrap_or(DEFAULT_RETRY_BUDGET);
+        let window = budget.window.max(RECENT_SECONDS) + 2.0 * self.settings.round_interval;
         self.recent.trim(self.now - window);
-        let (now, ramp) = (self.now, self.s.slow_start.map_or(0.0, |rule| rule.ramp));
-        self.census.expire(|heard| now - heard >= STALE, |start| now - start >= ramp);
-        self.replica_stats.average = self.census.average();
-        self.replica_stats.warm = self.census.warm().max(1) as f64;
-        self.earn();
-        self.replica_stats.between = self.between();
-        self.replica_stats.thin = self.replica_stats.between > SELDOM;
-        self.replica_stats.seldom = now > self.born + RECENT && self.replica_stats.thin;
-        let late = now - self.pace.typical;
-        let owing = if self.pace.served < late { self.flights.owing(late) as f64 } else { 0.0 };
-        self.replica_stats.stalled = owing > 2.0 && 2.0 * owing > self.replica_stats.ready;
-        self.subscribe();
-        self.watch_silence();
-        self.admit();
-        self.work_all();
-        self.probe();
-        if !self.queries.is_empty() && self.now + END_MARGIN >= self.swept + SWEEP {
-            self.swept = self.now;
-            self.out.push(Action::Timer { after: SWEEP });
+        self.update_replica_stats();
+        self.renew_subscription();
+        self.detect_unresponsive();
+        self.admit_queries();
+        self.visit_queries();
+        self.send_health_check();
+        let sweep_is_due = self.now + DEADLINE_MARGIN_SECONDS >= self.swept_at + SWEEP_INTERVAL_SECONDS;
+        if !self.queries.is_empty() && sweep_is_due {
+            self.swept_at = self.now;
+            self.actions.push(Action::Timer { after: SWEEP_INTERVAL_SECONDS });
         }
-        std::mem::take(&mut self.out)
+        std::mem::take(&mut self.actions)
     }
 
-    fn event(&mut self, event: &Event) {
+    fn handle_event(&mut self, event: &Event) {
         match *event {
-            Event::Endpoints { update, ref endpoints } => self.members(update, endpoints),
-            Event::Query { .. } => self.take_query(event),
-            Event::Part { .. } => self.take_part(event),
-            Event::Outcome { part, .. } => self.ended(part, event),
-            Event::ResponseStarted { part, .. } => self.streams(part, event),
-            // A probe that failed may have waited behind parts: no proof of a bad replica.
-            Event::HealthChecked { replica, report, .. } => self.hear(replica, report),
-            Event::ClientDisconnected { query } => self.withdrawn(query),
+            Event::Endpoints { update, ref endpoints } => self.update_endpoints(update, endpoints),
+            Event::Query { .. } => self.accept_query(event),
+            Event::Part { .. } => self.accept_part(event),
+            Event::Outcome { part, .. } => self.handle_outcome(part, event),
+            Event::ResponseStarted { part, .. } => self.handle_response_started(part, event),
+            // A health check that failed may have waited behind parts: no proof of a bad replica.
+            Event::HealthChecked { replica, report, .. } => self.record_load_report(replica, report),
+            Event::ClientDisconnected { query } => self.handle_client_disconnected(query),
             Event::Timer => {}
         }
     }
 
-    /// Where reports come only by probe, ask the replica not asked for longest, within a share of the parts.
-    fn probe(&mut self) {
+    /// The figures on all replicas that the decisions of this round go by.
+    fn update_replica_stats(&mut self) {
         let now = self.now;
-        let allowed = PROBE_SHARE * self.recent.arrived.count(now - RECENT);
-        let wanted = self.s.health_checks && self.s.load_reporting == LoadReporting::OnHealthCheck;
-        if !wanted || self.recent.probes.count(now - RECENT) + 1.0 > allowed {
-            return;
-        }
-        if let Some(replica) = self.census.asked.pop(|probed| now - probed >= PROBE_EVERY) {
-            self.census.asked.set(replica, now);
-            self.replicas.entry(replica).and_modify(|r| r.probed = now);
-            self.recent.probes.add(now);
-            self.out.push(Action::HealthCheck { replica });
-        }
+        let ramp = self.settings.slow_start.map_or(0.0, |rule| rule.ramp);
+        self.replica_index
+            .expire(|reported_at| now - reported_at >= STALE_AFTER_SECONDS, |start| now - start >= ramp);
+        self.replica_stats.mean_load = self.replica_index.mean_load();
+        self.replica_stats.warm = self.replica_index.warm_count().max(1) as f64;
+        self.accrue_credit();
+        self.replica_stats.send_interval = self.send_interval();
+        self.replica_stats.sparse_since_start = self.replica_stats.send_interval > SPARSE_INTERVAL_SECONDS;
+        self.replica_stats.sparse =
+            now > self.started_at + RECENT_SECONDS && self.replica_stats.sparse_since_start;
+        let overdue_before = now - self.latency.mean;
+        let overdue = if self.latency.last_success_at < overdue_before {
+            self.in_flight.replicas_overdue(overdue_before) as f64
+        } else {
+            0.0
+        };
+        self.replica_stats.stalled = overdue > 2.0 && 2.0 * overdue > self.replica_stats.ready;
     }
 }
--- a/src/balancer/outlier_detection.rs
+++ b/src/balancer/outlier_detection.rs
@@ -1,150 +1,189 @@
-//! What is held against a replica, a room or a query, and until when.
-use super::*;
+//! Replicas that fail or don't answer are ejected for a while, as in Envoy's outlier detection, and are on
+//! probation after that.
+use super::interface::{ClassId, Outcome, ReplicaId};
+use super::state::{InFlightAttempt, OutlierState};
+use super::{Balancer, HEDGE_AFTER_P90S, RECENT_SECONDS, SLOW_AVERAGE_WEIGHT};
 
-/// A replica that owes an answer for this many times the 90th percentile, and gave none since, is silent.
-const SILENT_TAIL: f64 = 3.0;
-/// Weight of the newest sample in a replica's error score, and the score at which it is ejected: two failures
-/// in a row, or every second one. A race lost with a hedge's head start counts too.
-const ERROR_GAIN: f64 = 0.3;
+/// A replica that has not answered for this many times the 90th percentile of response times is unresponsive.
+const UNRESPONSIVE_AFTER_P90S: f64 = 3.0;
+/// The same in rounds, if that is longer.
+const UNRESPONSIVE_AFTER_ROUNDS: f64 = 8.0;
+/// Weight of the newest sample in an error rate.
+const ERROR_WEIGHT: f64 = 0.3;
+/// The error rate over which a replica is ejected: two failures in a row, or every second one. A race lost
+/// with a hedge's head start counts too.
 const ERROR_LIMIT: f64 = 0.5;
-/// The same weight for a part that went down with its connection: about fourteen in a row, none served.
-const DROP_GAIN: f64 = 0.05;
+/// Weight of a part that went down with its connection: about fourteen in a row with none served eject.
+const CONNECTION_LOST_WEIGHT: f64 = 0.05;
+/// Weight of a failure that ejects by itself.
+const FATAL_WEIGHT: f64 = 1.0;
 /// Seconds of the first ejection; for silence at least the time between two sends to one replica. It doubles
-/// with each further one up to the longest.
-pub(super) const EJECT: f64 = 1.0;
-const EJECT_LONGEST: f64 = 8.0;
-/// So many replicas of one zone silent or out of reach, and none heard since: the room is lost.
-const ROOM_LEAST: usize = 4;
-/// Seconds for which queries are suspect after a replica died, the share of the typical time within which a
-/// failed connect tells that, and a query of so few parts that it is not held back.
-const SUSPECT: f64 = 20.0;
-const FEW_PARTS: usize = 12;
-const DIED_WITHIN: f64 = 0.25;
+/// with each further one.
+pub(super) const FIRST_EJECTION_SECONDS: f64 = 1.0;
+/// Seconds of the longest ejection, unless its first one is longer.
+const MAX_EJECTION_SECONDS: f64 = 8.0;
+/// Ejections that are counted at most.
+const MAX_EJECTIONS: i32 = 8;
 /// Answers in a row, one part at a time, by which an ejected replica is trusted again.
-const TRIALS: u32 = 3;
-/// Seconds that a full or unreachable replica is left alone.
-const FULL_REST: f64 = 0.2;
+const PROBATION_SUCCESSES: u32 = 3;
+/// Seconds in which nothing is sent to a replica that rejected work or could not be reached.
+const BACKOFF_SECONDS: f64 = 0.2;
+
+/// What a failure counts against.
+#[derive(Clone, Copy, PartialEq)]
+enum FailureScope {
+    /// The replica.
+    Replica,
+    /// The class alone while the replica lately served another one, else the replica.
+    ClassIfOthersSucceed,
+}
 
 impl Balancer {
-    pub(super) fn judge(&mut self, id: ReplicaId, outcome: Outcome, took: f64, flight: Flight) {
-        let (now, Some(r)) = (self.now, self.replicas.get_mut(&id)) else { return };
-        r.used = now;
-        let zone = r.listed.zone;
-        match outcome {
-            Outcome::Succeeded | Outcome::Rejected | Outcome::Error => self.replica_stats.hear(zone, now),
-            Outcome::ConnectFailed => self.replica_stats.hush(zone, id, flight.sent, ROOM_LEAST),
-            _ => {}
-        }
+    /// What the outcome of an attempt, after so many seconds, says of its replica.
+    pub(super) fn record_outcome(
+        &mut self,
+        id: ReplicaId,
+        outcome: Outcome,
+        elapsed: f64,
+        attempt: InFlightAttempt,
+    ) {
+        let now = self.now;
+        let Some(r) = self.replicas.get_mut(&id) else { return };
+        r.last_used_at = now;
+        let zone = r.endpoint.zone;
+        self.record_zone_outcome(zone, id, outcome, attempt.sent_at);
         match outcome {
-            Outcome::Rejected => (r.rest, r.full) = (now + FULL_REST, r.out.len()),
-            Outcome::Succeeded => {
-                self.recent.unanswered[usize::from(flight.paused)] *= 1.0 - GAIN;
-                if r.ready() && r.cold_since(now, self.s.slow_start).is_none() {
-                    self.recent.borne.add(now);
-                    self.replica_stats.borne += 1.0;
-                }
-                r.whole.served(self.now, flight.sent);
-                r.classes.entry(flight.class).or_default().served(self.now, flight.sent);
-            }
+            Outcome::Rejected => self.back_off(id, outcome),
+            Outcome::Succeeded => self.record_success(id, attempt),
             Outcome::Reset | Outcome::ConnectFailed => {
-                if outcome == Outcome::Reset || took < DIED_WITHIN * self.pace.typical {
-                    self.recent.suspect = self.now + SUSPECT;
-                }
-                r.used = 0.0;
-                // Guards a part's few attempts: all would be spent on it where the others rest.
-                if outcome == Outcome::ConnectFailed {
-                    (r.rest, r.full) = (now + FULL_REST, 0);
-                }
-                self.recent.unanswered[0] += GAIN * (1.0 - self.recent.unanswered[0]);
-                self.blame(id, flight, 1.0, true);
+                self.record_connection_failure(id, outcome, elapsed, attempt);
+            }
+            Outcome::Error => {
+                self.record_failure(id, attempt, ERROR_WEIGHT, FailureScope::ClassIfOthersSucceed);
             }
-            Outcome::Error => self.blame(id, flight, ERROR_GAIN, false),
             // Sound replicas close connections too; one that does nothing else is found out.
-            Outcome::ConnectionLost => self.blame(id, flight, DROP_GAIN, false),
-            Outcome::Cancelled if took <= HEDGE_TAIL * self.pace.tail => {}
-            Outcome::TimedOut | Outcome::Cancelled if flight.silent => {}
-            Outcome::TimedOut | Outcome::Cancelled => self.unanswered(id, flight, ERROR_GAIN),
+            Outcome::ConnectionLost => {
+                self.record_failure(id, attempt, CONNECTION_LOST_WEIGHT, FailureScope::ClassIfOthersSucceed);
+            }
+            Outcome::Cancelled if elapsed <= HEDGE_AFTER_P90S * self.latency.p90 => {}
+            Outcome::TimedOut | Outcome::Cancelled if attempt.unresponsive => {}
+            Outcome::TimedOut | Outcome::Cancelled => self.record_no_answer(id, attempt, ERROR_WEIGHT),
             Outcome::NeverSent => {}
         }
     }
 
-    /// No answer. Where mainly what follows a pause goes unanswered, a connection was dropped unseen: the
-    /// replica is sound.
-    fn unanswered(&mut self, id: ReplicaId, flight: Flight, gain: f64) {
-        let loss = &mut self.recent.unanswered[usize::from(flight.paused)];
-        *loss += GAIN * (1.0 - *loss);
-        if !(flight.paused && self.reaped()) {
-            self.blame(id, flight, gain, false);
-        }
+    /// Send nothing to a replica for a while: to one that rejected work, until half of what it held of ours
+    /// is answered; to one that could not be reached, in any case. Prevents a part's few attempts from being
+    /// spent on it while the others back off.
+    fn back_off(&mut self, id: ReplicaId, outcome: Outcome) {
+        let Some(r) = self.replicas.get_mut(&id) else { return };
+        r.backoff_until = self.now + BACKOFF_SECONDS;
+        r.in_flight_at_rejection = if outcome == Outcome::Rejected { r.in_flight.len() } else { 0 };
     }
 
-    /// The one place for blame. A failure counts against the class alone while the replica lately served
-    /// another, else against the replica; a broken connection always does.
-    fn blame(&mut self, id: ReplicaId, flight: Flight, gain: f64, whole: bool) {
-        let (now, between) = (self.now, self.between());
-        let seen = if whole || gain < 1.0 { 0.0 } else { between };
+    fn record_success(&mut self, id: ReplicaId, attempt: InFlightAttempt) {
+        let now = self.now;
+        self.recent.unanswered_share[usize::from(attempt.after_idle)] *= 1.0 - SLOW_AVERAGE_WEIGHT;
         let Some(r) = self.replicas.get_mut(&id) else { return };
-        let sound = |(c, b): (&ClassId, &Blame)| *c != flight.class && b.answered > flight.sent - RECENT;
-        let class_only = !whole && r.classes.iter().any(sound);
-        let b = if class_only { r.classes.entry(flight.class).or_default() } else { &mut r.whole };
-        b.errors += gain * (1.0 - b.errors);
-        let on_trial = b.trials > 0 && flight.sent >= b.until;
-        if b.errors > ERROR_LIMIT || on_trial {
-            b.eject(now, EJECT.max(seen));
-            self.suspects(id);
+        if r.is_ready() && r.warming_up_since(now, self.settings.slow_start).is_none() {
+            self.recent.warm_completions.record(now);
+            self.replica_stats.warm_completions += 1.0;
+        }
+        r.overall.record_success(now, attempt.sent_at);
+        r.by_class.entry(attempt.class).or_default().record_success(now, attempt.sent_at);
+    }
+
+    fn record_connection_failure(
+        &mut self,
+        id: ReplicaId,
+        outcome: Outcome,
+        elapsed: f64,
+        attempt: InFlightAttempt,
+    ) {
+        self.suspect_queries(outcome, elapsed);
+        if let Some(r) = self.replicas.get_mut(&id) {
+            r.last_used_at = 0.0;
+        }
+        if outcome == Outcome::ConnectFailed {
+            self.back_off(id, outcome);
         }
+        self.raise_unanswered_share(false);
+        self.record_failure(id, attempt, FATAL_WEIGHT, FailureScope::Replica);
     }
 
-    /// Seen deaths make queries of many parts suspect: each tries one part first, so that a deadly one breaks
-    /// one replica only.
-    pub(crate) fn on_probation(&self, query: &Query) -> bool {
-        query.served == 0 && query.parts.len() > FEW_PARTS && self.recent.suspect > self.now
+    fn raise_unanswered_share(&mut self, after_idle: bool) {
+        let share = &mut self.recent.unanswered_share[usize::from(after_idle)];
+        *share += SLOW_AVERAGE_WEIGHT * (1.0 - *share);
     }
 
-    /// Guards against replicas that take work and answer nothing, whatever keeps them silent.
-    pub(super) fn watch_silence(&mut self) {
-        let limit = self.now - (SILENT_TAIL * self.pace.tail).max(8.0 * self.s.round_interval);
-        let (late, between) = (self.now - self.pace.tail, self.between());
-        for (id, sent) in self.flights.unheard(late) {
-            self.replica_stats.hush(self.replicas[&id].listed.zone, id, sent, ROOM_LEAST);
+    /// No answer came. Where mainly idle connections go unanswered, one was dropped unseen: the replica is
+    /// sound.
+    fn record_no_answer(&mut self, id: ReplicaId, attempt: InFlightAttempt, weight: f64) {
+        self.raise_unanswered_share(attempt.after_idle);
+        if !(attempt.after_idle && self.idle_connections_are_dropped()) {
+            self.record_failure(id, attempt, weight, FailureScope::ClassIfOthersSucceed);
         }
-        if self.replica_stats.lose(self.now + between.max(EJECT), ROOM_LEAST) {
-            self.agenda.touch_all();
-        }
-        for (id, attempt) in self.flights.silent(limit) {
-            let flight = self.replicas.get_mut(&id).and_then(|r| r.out.get_mut(&attempt));
-            if let Some(flight) = flight.map(|f| std::mem::replace(f, Flight { silent: true, ..*f })) {
-                self.suspects(id);
-                self.unanswered(id, flight, 1.0);
-            }
+    }
+
+    /// Count a failure, which may eject the replica. All failures come through here.
+    fn record_failure(&mut self, id: ReplicaId, attempt: InFlightAttempt, weight: f64, scope: FailureScope) {
+        let now = self.now;
+        let interval = self.send_interval();
+        let is_silence = scope == FailureScope::ClassIfOthersSucceed && weight >= FATAL_WEIGHT;
+        let least = if is_silence { interval } else { 0.0 };
+        let Some(r) = self.replicas.get_mut(&id) else { return };
+        let succeeded_lately = |(class, state): (&ClassId, &OutlierState)| {
+            *class != attempt.class && state.last_success_at > attempt.sent_at - RECENT_SECONDS
+        };
+        let is_class_only =
+            scope == FailureScope::ClassIfOthersSucceed && r.by_class.iter().any(succeeded_lately);
+        let state = if is_class_only { r.by_class.entry(attempt.class).or_default() } else { &mut r.overall };
+        state.error_rate += weight * (1.0 - state.error_rate);
+        let failed_probation = state.probation_remaining > 0 && attempt.sent_at >= state.ejected_until;
+        if state.error_rate > ERROR_LIMIT || failed_probation {
+            state.eject(now, FIRST_EJECTION_SECONDS.max(least));
+            self.mark_queries_of(id);
         }
     }
 
-    /// Whether a whole room is out of the draw. Guards parts where each replica is met seldom: learnt one by
-    /// one, a lost room is known when it is back.
-    pub(crate) fn room_lost(&self, r: &Replica) -> bool {
-        let room = self.replica_stats.zones.get(&r.listed.zone);
-        room.and_then(|room| room.until).is_some_and(|until| until > self.now)
+    /// Find zones and replicas that take work and answer nothing, whatever keeps them from it.
+    pub(super) fn detect_unresponsive(&mut self) {
+        let after = (UNRESPONSIVE_AFTER_P90S * self.latency.p90)
+            .max(UNRESPONSIVE_AFTER_ROUNDS * self.settings.round_interval);
+        let sent_before = self.now - after;
+        self.eject_unresponsive_zones();
+        for (id, attempt) in self.in_flight.newly_unresponsive(sent_before) {
+            let in_flight = self.replicas.get_mut(&id).and_then(|r| r.in_flight.get_mut(&attempt));
+            if let Some(in_flight) = in_flight {
+                let before = *in_flight;
+                in_flight.unresponsive = true;
+                self.mark_queries_of(id);
+                self.record_no_answer(id, before, FATAL_WEIGHT);
+            }
+        }
     }
 }
 
-impl Blame {
-    fn served(&mut self, now: f64, sent: f64) {
-        self.answered = now;
-        self.errors *= 1.0 - ERROR_GAIN;
-        if self.trials > 0 && sent >= self.until {
-            self.trials -= 1;
-            self.strikes -= i32::from(self.trials == 0 && self.strikes > 0);
+impl OutlierState {
+    fn record_success(&mut self, now: f64, sent_at: f64) {
+        self.last_success_at = now;
+        self.error_rate *= 1.0 - ERROR_WEIGHT;
+        if self.probation_remaining > 0 && sent_at >= self.ejected_until {
+            self.probation_remaining -= 1;
+            if self.probation_remaining == 0 && self.ejections > 0 {
+                self.ejections -= 1;
+            }
         }
     }
 
-    /// Out of the draw for a while, longer each time; then trusted again after a few single parts.
-    fn eject(&mut self, now: f64, first: f64) {
-        if self.until <= now {
-            self.until = now + (first * 2f64.powi(self.strikes)).min(EJECT_LONGEST.max(first));
-            self.strikes = (self.strikes + 1).min(8);
-            self.trials = TRIALS;
-            self.errors = 0.0;
+    /// Eject for a while, twice as long each time; then a few single parts bring trust again.
+    fn eject(&mut self, now: f64, first_seconds: f64) {
+        if self.ejected_until <= now {
+            let longest = MAX_EJECTION_SECONDS.max(first_seconds);
+            self.ejected_until = now + (first_seconds * 2f64.powi(self.ejections)).min(longest);
+            self.ejections = (self.ejections + 1).min(MAX_EJECTIONS);
+            self.probation_remaining = PROBATION_SUCCESSES;
+            self.error_rate = 0.0;
         }
     }
 }
--- /dev/null
+++ b/src/balancer/slow_start.rs
@@ -0,0 +1,63 @@
+//! Slow start: a replica that started lately gets parts by what it stands, which grows over its ramp.
+//!
+//! A warming-up replica accrues credit for each part that warm ones complete, and a part that is sent to it
+//! spends one. Beside that, its sends in any overload window stay within its quota. Both are rounded at
+//! random by [`Replica::rounding_phase`], so that all coordinators together keep to the sum.
+use super::interface::ReplicaId;
+#[cfg(doc)]
+use super::state::Replica;
+use super::{Balancer, RECENT_SECONDS};
+
+/// Share of the overload factor that is used; the rest is left for chance: `docs/acceptance.md`.
+const SLOW_START_SHARE: f64 = 0.8;
+
+impl Balancer {
+    /// Give each warming-up replica its credit for the parts that warm ones completed; none just after our
+    /// start, when it is not known what an earlier process sent. Prevents a rush where lists and reports come
+    /// late and at once.
+    pub(super) fn accrue_credit(&mut self) {
+        let Some(rule) = self.settings.slow_start else { return };
+        let now = self.now;
+        let warm = self.replica_stats.warm;
+        let completed = std::mem::take(&mut self.replica_stats.warm_completions) / warm;
+        let span = RECENT_SECONDS.min(now - self.started_at).max(rule.overload_window);
+        let recent = self.recent.warm_completions.count_since(now - RECENT_SECONDS);
+        let warm_throughput = recent / warm * rule.overload_window / span;
+        self.replica_stats.warm_throughput = warm_throughput;
+        let capacity_ratio = self.capacity_ratio();
+        if completed <= 0.0 || now < self.started_at + rule.overload_window {
+            return;
+        }
+        for id in self.replica_index.warming_up() {
+            let Some(r) = self.replicas.get_mut(&id) else { continue };
+            let share = SLOW_START_SHARE * r.ramp_factor(now, rule) * capacity_ratio;
+            let most = (share * warm_throughput).max(1.0 - r.rounding_phase);
+            r.slow_start_credit = (r.slow_start_credit + share * completed).min(most);
+        }
+    }
+
+    /// Whether a replica may get another part from us: it is warm, or it has the credit and its quota in the
+    /// overload window is not used up.
+    pub(super) fn has_slow_start_capacity(&mut self, id: ReplicaId) -> bool {
+        let Some(rule) = self.settings.slow_start else { return true };
+        let now = self.now;
+        let interval = if now < self.started_at + rule.overload_window { 0.0 } else { self.query_interval() };
+        let most = SLOW_START_SHARE * self.capacity_ratio() * self.replica_stats.warm_throughput;
+        let Some(r) = self.replicas.get_mut(&id) else { return false };
+        let share = most * r.ramp_factor(now - rule.overload_window / 2.0, rule);
+        // What it accrues until our next query counts: it would be sent a query's interval late each time.
+        let accrued = share / rule.overload_window * interval;
+        let has_credit = r.slow_start_credit + accrued >= 1.0 - r.rounding_phase;
+        let quota = (share + r.rounding_phase).floor().max(1.0);
+        let is_within_quota =
+            has_credit && r.recent_sends.count_since(now - rule.overload_window) + 1.0 <= quota;
+        is_within_quota || r.warming_up_since(now, self.settings.slow_start).is_none()
+    }
+
+    /// Whether a replica that is warming up comes first in a choice. Where traffic is sparse, it would miss
+    /// its share if it were chosen by chance, and all that restarted would later spend their credit at once.
+    pub(super) fn is_slow_start_turn(&self, id: ReplicaId) -> bool {
+        let is_warming_up = self.replicas[&id].warming_up_since(self.now, self.settings.slow_start).is_some();
+        self.replica_stats.sparse_since_start && is_warming_up
+    }
+}
--- a/src/balancer/state/audit.rs
+++ b/src/balancer/state/audit.rs
@@ -1,29 +1,41 @@
 //! Views of a [`Balancer`] for tests and measurements: what its rounds go through, and whether its running
-//! sums and indexes are what a count of everything gives.
-use crate::balancer::STALE;
+//! sums and indexes equal a fresh count over everything.
+use crate::balancer::STALE_AFTER_SECONDS;
 use crate::Balancer;
 
 impl Balancer {
-    /// How many entries of what is kept all rounds together have gone through: replicas, reports, attempts,
-    /// parts and queries.
-    pub fn gone_through(&self) -> usize {
-        self.census.through + self.flights.through + self.agenda.through
+    /// How many entries all rounds together have gone through: replicas, reports, attempts, parts and
+    /// queries.
+    pub fn entries_visited(&self) -> usize {
+        self.replica_index.entries_visited
+            + self.in_flight.entries_visited
+            + self.open_queries.entries_visited
     }
 
-    /// Compare every running sum and index with a fresh count; the name of the first that differs.
+    /// Compares every running sum and index with a fresh count.
+    ///
+    /// # Errors
+    ///
+    /// The name of the first that differs.
     pub fn audit(&self) -> Result<(), &'static str> {
-        let (now, rule) = (self.now, self.s.slow_start);
-        self.census.check(
+        let now = self.now;
+        let rule = self.settings.slow_start;
+        self.replica_index.check(
             &self.replicas,
-            |r| r.cold_since(now, rule).is_some(),
-            |r| now - r.heard < STALE,
+            |r| r.warming_up_since(now, rule).is_some(),
+            |r| now - r.last_report_at < STALE_AFTER_SECONDS,
         )?;
-        self.flights.check(&self.replicas)?;
-        self.agenda.check(&self.queries, &self.parts)
+        self.in_flight.check(&self.replicas)?;
+        self.open_queries.check(&self.queries, &self.parts)
     }
 
-    /// Look at every open query in the next round, as though something had happened to each.
-    pub fn look_at_all(&mut self) {
-        self.agenda.touch_all();
+    /// Visit every open query in the next round, as though something had happened to each.
+    pub fn revisit_all_queries(&mut self) {
+        self.open_queries.mark_all_changed();
     }
 }
+
+/// The name of the first case that doesn't hold.
+pub(super) fn first_difference<const N: usize>(cases: [(bool, &'static str); N]) -> Result<(), &'static str> {
+    cases.into_iter().find(|(same, _)| !same).map_or(Ok(()), |(_, what)| Err(what))
+}
--- a/src/balancer/state/estimate.rs
+++ b/src/balancer/state/estimate.rs
@@ -1,54 +1,79 @@
-//! Estimates that are kept as samples come in: a value that fades without news, and the mean and 90th
-//! percentile of a stream. Neither holds a tuned figure: weights and half-lives are told by who uses them.
+//! Estimates that are updated as samples come in: a value that decays without news, and the mean and 90th
+//! percentile of a stream. Neither holds a tuned figure: weights and half-lives come from who uses them.
 
-/// A value as last known. Without news it fades: half of what sets it off from its base is gone each
-/// half-life.
+/// How a [`DecayingAverage`] decays, and to what.
+#[derive(Clone, Copy, Debug)]
+pub struct Decay {
+    /// The present time, in seconds.
+    pub now: f64,
+    /// Seconds in which half of the difference to the base is gone.
+    pub half_life: f64,
+    /// What the value becomes without news.
+    pub base: f64,
+}
+
+/// A value as last known. Without news it decays to a base.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Fading {
+pub struct DecayingAverage {
+    /// The value as of its last sample.
     pub value: f64,
-    /// When it was last known.
-    pub at: f64,
+    /// When that came, in seconds.
+    pub updated_at: f64,
 }
 
-impl Fading {
+impl DecayingAverage {
     /// What is left of a difference to the base, as a share.
-    fn left(&self, now: f64, half_life: f64) -> f64 {
-        0.5f64.powf((now - self.at) / half_life)
+    fn remaining_share(&self, decay: Decay) -> f64 {
+        0.5f64.powf((decay.now - self.updated_at) / decay.half_life)
     }
 
     /// The value now.
-    pub fn now(&self, now: f64, half_life: f64, base: f64) -> f64 {
-        base + (self.value - base) * self.left(now, half_life)
+    pub fn value_at(&self, decay: Decay) -> f64 {
+        decay.base + (self.value - decay.base) * self.remaining_share(decay)
     }
 
-    /// Take in a sample at the weight of what has faded since the last one, within these bounds.
-    pub fn take(&mut self, sample: f64, (now, half_life, base): (f64, f64, f64), weights: [f64; 2]) {
-        let weight = (1.0 - self.left(now, half_life)).clamp(weights[0], weights[1]);
-        let before = self.now(now, half_life, base);
-        *self = Fading { value: before + weight * (sample - before), at: now };
+    /// Take in a sample at the weight of what has decayed since the last one, within the bounds
+    /// `[least, most]`.
+    pub fn add_sample(&mut self, sample: f64, decay: Decay, [least, most]: [f64; 2]) {
+        let weight = (1.0 - self.remaining_share(decay)).clamp(least, most);
+        let before = self.value_at(decay);
+        self.value = before + weight * (sample - before);
+        self.updated_at = decay.now;
     }
 }
 
 /// The mean and the 90th percentile of a stream of samples above 0.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Spread {
+pub struct PercentileSpread {
+    /// The moving average; 0 before the first sample.
     pub mean: f64,
-    pub upper: f64,
+    /// The moving estimate of the 90th percentile.
+    pub p90: f64,
 }
 
-impl Spread {
+impl PercentileSpread {
     /// Take in a sample at this weight; the percentile moves by that share of itself at most. The first one
-    /// is both.
-    pub fn take(&mut self, sample: f64, weight: f64) {
+    /// sets both.
+    pub fn add_sample(&mut self, sample: f64, weight: f64) {
         if self.mean <= 0.0 {
-            *self = Spread { mean: sample, upper: sample };
+            *self = PercentileSpread { mean: sample, p90: sample };
         }
         self.mean += weight * (sample - self.mean);
-        self.upper *= 1.0 + weight * if sample < self.upper { -0.1 } else { 0.9 };
+        self.p90 *= 1.0 + weight * p90_step(sample, self.p90);
     }
 
-    /// The 90th percentile over the mean; 1 where there is none.
-    pub fn ratio(&self) -> f64 {
-        self.upper / self.mean.max(f64::MIN_POSITIVE)
+    /// The 90th percentile over the mean; 0 where there is no sample.
+    pub fn p90_over_mean(&self) -> f64 {
+        self.p90 / self.mean.max(f64::MIN_POSITIVE)
+    }
+}
+
+/// The direction in which a sample moves an estimate of the 90th percentile: it balances where a tenth of the
+/// samples lies above.
+pub fn p90_step(sample: f64, p90: f64) -> f64 {
+    if sample < p90 {
+        -0.1
+    } else {
+        0.9
     }
 }
--- a/src/balancer/state/sliding_window.rs
+++ b/src/balancer/state/sliding_window.rs
@@ -1,26 +1,31 @@
 //! Counts of recent events.
 use std::collections::{BTreeMap, VecDeque};
 
-use crate::balancer::interface::*;
+use crate::balancer::interface::{ClassId, TenantId};
 
-/// Times of recent events of one sort.
+/// Times of recent events of one sort, in order.
 #[derive(Default)]
-pub struct Tally(VecDeque<f64>);
+pub struct SlidingWindow(VecDeque<f64>);
 
-impl Tally {
-    pub fn add(&mut self, now: f64) {
+impl SlidingWindow {
+    /// An event happened at `now`, in seconds, which is not before any earlier one.
+    pub fn record(&mut self, now: f64) {
         self.0.push_back(now);
     }
-    /// Add one, and drop what is more than so many seconds older.
-    pub fn keep(&mut self, now: f64, seconds: f64) {
-        self.add(now);
-        self.count(now - seconds);
+
+    /// An event happened at `now`; drops what is more than so many seconds older.
+    pub fn record_and_trim(&mut self, now: f64, seconds: f64) {
+        self.record(now);
+        self.count_since(now - seconds);
     }
-    /// How many there are, as last trimmed.
-    pub fn len(&self) -> f64 {
+
+    /// How many events are retained, as last trimmed.
+    pub fn retained(&self) -> f64 {
         self.0.len() as f64
     }
-    pub fn count(&mut self, since: f64) -> f64 {
+
+    /// How many events happened since a time. Drops the earlier ones: a later call can't look further back.
+    pub fn count_since(&mut self, since: f64) -> f64 {
         while self.0.front().is_some_and(|t| *t < since) {
             self.0.pop_front();
         }
@@ -28,52 +33,61 @@
     }
 }
 
-/// What came in and went out lately; `taken` counts queries and parts, `arrived` parts alone.
+/// What came in and went out lately.
 #[derive(Default)]
-pub struct Recent {
-    pub taken: Tally,
-    pub arrived: Tally,
-    pub copies: Tally,
-    pub extras: Tally,
-    pub sends: Tally,
-    pub probes: Tally,
-    /// Parts that warm replicas served.
-    pub borne: Tally,
-    /// Until when queries are suspect of bringing down replicas.
-    pub suspect: f64,
-    /// Share of sends that went unanswered: on connections in use, and after a pause.
-    pub unanswered: [f64; 2],
-    /// Queries by tenant, the same in order of time, and the usual patience of each class.
-    pub tenants: BTreeMap<TenantId, Tally>,
-    asked: VecDeque<(f64, TenantId)>,
-    pub usual: BTreeMap<ClassId, f64>,
+pub struct RecentActivity {
+    /// Queries and parts that came in.
+    pub received: SlidingWindow,
+    /// Parts that came in.
+    pub parts: SlidingWindow,
+    /// Clones that were sent to the second one of an idle pair.
+    pub clones: SlidingWindow,
+    /// Attempts that count against the retry budget.
+    pub extra_attempts: SlidingWindow,
+    /// All attempts.
+    pub sends: SlidingWindow,
+    /// Health checks that were sent.
+    pub health_checks: SlidingWindow,
+    /// Parts that warm replicas completed.
+    pub warm_completions: SlidingWindow,
+    /// Until when queries are suspected of bringing down replicas, in seconds.
+    pub queries_suspected_until: f64,
+    /// Moving shares of sends that went unanswered: on connections in use, and on ones idle before.
+    pub unanswered_share: [f64; 2],
+    /// Queries by tenant.
+    pub queries_by_tenant: BTreeMap<TenantId, SlidingWindow>,
+    /// The same in the order of time.
+    tenant_arrivals: VecDeque<(f64, TenantId)>,
+    /// The running median of how long clients wait, by class, in seconds.
+    pub usual_time_left: BTreeMap<ClassId, f64>,
 }
 
-impl Recent {
-    /// Drop what is older than anybody asks for.
+impl RecentActivity {
+    /// Drop what is older than any reader counts, and tenants that sent nothing since.
     pub fn trim(&mut self, since: f64) {
-        for tally in [
-            &mut self.taken,
-            &mut self.arrived,
-            &mut self.copies,
-            &mut self.extras,
+        let windows = [
+            &mut self.received,
+            &mut self.parts,
+            &mut self.clones,
+            &mut self.extra_attempts,
             &mut self.sends,
-            &mut self.borne,
-        ] {
-            tally.count(since);
+            &mut self.warm_completions,
+        ];
+        for window in windows {
+            window.count_since(since);
         }
-        // One that asks no more is forgotten.
-        while let Some((_, tenant)) = self.asked.front().copied().filter(|(at, _)| *at < since) {
-            self.asked.pop_front();
-            if self.tenants.get_mut(&tenant).is_some_and(|tally| tally.count(since) == 0.0) {
-                self.tenants.remove(&tenant);
+        while let Some((_, tenant)) = self.tenant_arrivals.front().copied().filter(|(at, _)| *at < since) {
+            self.tenant_arrivals.pop_front();
+            if self.queries_by_tenant.get_mut(&tenant).is_some_and(|window| window.count_since(since) == 0.0)
+            {
+                self.queries_by_tenant.remove(&tenant);
             }
         }
     }
 
-    /// A query of a tenant.
-    pub fn ask(&mut self, tenant: TenantId, now: f64) {
-        self.tenants.entry(tenant).or_default().add(now);
-        self.asked.push_back((now, tenant));
+    /// A query of a tenant came in.
+    pub fn record_query(&mut self, tenant: TenantId, now: f64) {
+        self.queries_by_tenant.entry(tenant).or_default().record(now);
+        self.tenant_arrivals.push_back((now, tenant));
     }
 }
--- /dev/null
+++ b/src/balancer/state/validation.rs
@@ -0,0 +1,53 @@
+//! The check of the settings that a coordinator is to run with.
+use crate::balancer::interface::{Class, Idempotency, RetryBudget, Settings, SettingsError, SlowStart};
+
+fn is_positive(n: f64) -> bool {
+    n.is_finite() && n > 0.0
+}
+
+fn is_share(n: f64) -> bool {
+    (0.0..=1.0).contains(&n)
+}
+
+fn is_valid_class(class: &Class) -> bool {
+    let window = if let Idempotency::Keyed { window } = class.idempotency { window } else { 0.0 };
+    is_positive(class.latency_objective)
+        && is_positive(class.deadline)
+        && window.is_finite()
+        && window >= 0.0
+        && is_share(class.target_coverage)
+        && is_share(class.min_coverage)
+        && class.priority_weight.is_finite()
+}
+
+fn is_valid_slow_start(rule: &SlowStart) -> bool {
+    is_share(rule.initial_capacity)
+        && is_positive(rule.ramp)
+        && is_positive(rule.overload_factor)
+        && is_positive(rule.overload_window)
+}
+
+fn is_valid_budget(budget: &RetryBudget) -> bool {
+    is_positive(budget.window) && budget.free >= 0.0 && budget.share >= 0.0
+}
+
+/// Checks settings before a coordinator runs with them.
+///
+/// # Errors
+///
+/// Names the first value, by its key in the settings, that no coordinator could run with.
+pub fn validate(settings: &Settings) -> Result<(), SettingsError> {
+    // Prevents queries that are over when they come: two rounds are left for the answer.
+    let round_too_long = |class: &Class| 2.0 * settings.round_interval >= class.deadline;
+    let field = match settings {
+        s if s.classes.is_empty() || !s.classes.iter().all(is_valid_class) => "classes",
+        s if s.cells == 0 || s.reach == 0 => "cells or reach",
+        s if s.max_attempts == 0 => "most_tries",
+        s if !s.round_interval.is_finite() || s.round_interval < 0.0 => "round",
+        s if s.classes.iter().any(round_too_long) => "PeriodS, over half a DeadlineS",
+        s if !s.retry_budget.as_ref().is_none_or(is_valid_budget) => "budget",
+        s if !s.slow_start.as_ref().is_none_or(is_valid_slow_start) => "cold",
+        _ => return Ok(()),
+    };
+    Err(SettingsError { field })
+}
--- /dev/null
+++ b/src/balancer/zone_health.rs
@@ -0,0 +1,64 @@
+//! Zones of which many replicas are unresponsive at once are ejected as a whole.
+use super::interface::{Outcome, ReplicaId, ZoneId};
+use super::outlier_detection::FIRST_EJECTION_SECONDS;
+use super::state::Replica;
+use super::Balancer;
+
+/// So many replicas of one zone unresponsive, and none heard since, eject the zone.
+const MIN_UNRESPONSIVE_IN_ZONE: usize = 4;
+
+impl Balancer {
+    /// What the outcome of an attempt says of its replica's zone.
+    pub(super) fn record_zone_outcome(
+        &mut self,
+        zone: ZoneId,
+        id: ReplicaId,
+        outcome: Outcome,
+        sent_at: f64,
+    ) {
+        match outcome {
+            Outcome::Succeeded | Outcome::Rejected | Outcome::Error => {
+                self.replica_stats.record_response(zone, self.now);
+            }
+            Outcome::ConnectFailed => {
+                self.replica_stats.record_unresponsive(zone, id, sent_at, MIN_UNRESPONSIVE_IN_ZONE);
+            }
+            Outcome::TimedOut
+            | Outcome::Reset
+            | Outcome::ConnectionLost
+            | Outcome::Cancelled
+            | Outcome::NeverSent => {}
+        }
+    }
+
+    /// Count what has been in flight for longer than the 90th percentile against its zone, and eject the
+    /// zones that it shows to be out.
+    pub(super) fn eject_unresponsive_zones(&mut self) {
+        let overdue_before = self.now - self.latency.p90;
+        let interval = self.send_interval();
+        for (id, sent_at) in self.in_flight.newly_unheard(overdue_before) {
+            let zone = self.replicas[&id].endpoint.zone;
+            self.replica_stats.record_unresponsive(zone, id, sent_at, MIN_UNRESPONSIVE_IN_ZONE);
+        }
+        let until = self.now + interval.max(FIRST_EJECTION_SECONDS);
+        if self.replica_stats.eject_suspected_zones(until, MIN_UNRESPONSIVE_IN_ZONE) {
+            self.open_queries.mark_all_changed();
+        }
+    }
+
+    /// A part tries an ejected zone: no other one does until it had time for an answer, at `interval` seconds
+    /// between two sends to one replica.
+    pub(super) fn extend_zone_ejection(&mut self, zone: ZoneId, interval: f64) {
+        let health = self.replica_stats.zones.get_mut(&zone);
+        if let Some(until) = health.and_then(|health| health.ejected_until.as_mut()) {
+            *until = self.now + interval.max(FIRST_EJECTION_SECONDS);
+        }
+    }
+
+    /// Whether the zone of a replica is ejected. Helps where traffic is sparse: found replica by replica, a
+    /// zone's outage is known when it is over.
+    pub(super) fn is_zone_ejected(&self, replica: &Replica) -> bool {
+        let health = self.replica_stats.zones.get(&replica.endpoint.zone);
+        health.and_then(|health| health.ejected_until).is_some_and(|until| until > self.now)
+    }
+}
--- a/src/config/settings.rs
+++ b/src/config/settings.rs
@@ -202,7 +202,9 @@
         None => Discovery::Push,
         Some(_) => match text(&v, "Discovery")? {
             "push" => Discovery::Push,
-            "ask" => Discovery::Ask { within: at_least(&v, "Safety.AskWithinS", 0.0)?.unwrap_or(f64::MAX) },
+            "ask" => {
+                Discovery::Poll { poll_within: at_least(&v, "Safety.AskWithinS", 0.0)?.unwrap_or(f64::MAX) }
+            }
             other => return bad(format!("settings: Discovery '{other}' is unknown")),
         },
     };
--- a/src/coordinator/mod.rs
+++ b/src/coordinator/mod.rs
@@ -135,14 +135,14 @@
 
     /// Further classes of queries, behind those that are there.
     pub fn extend(&self, classes: &[Class]) -> Result<(), SettingsError> {
-        self.state.borrow_mut().balancer.extend(classes)?;
+        self.state.borrow_mut().balancer.add_classes(classes)?;
         self.classes.borrow_mut().extend_from_slice(classes);
         Ok(())
     }
 
     /// Replicas that the module remembers.
     pub fn known_replicas(&self) -> usize {
-        self.state.borrow().balancer.known()
+        self.state.borrow().balancer.known_replicas()
     }
 
     /// Queries that have no final outcome yet.
--- a/src/coordinator/query.rs
+++ b/src/coordinator/query.rs
@@ -127,7 +127,7 @@
             carried: Rc::new(query.context),
             parts: Vec::new(),
             second: false,
-            window: self.classes.borrow().get(usize::from(query.class.0)).and_then(Class::window),
+            window: self.classes.borrow().get(usize::from(query.class.0)).and_then(Class::idempotency_window),
             protection: query.protection,
             done: send,
         };
--- a/src/net/discovery/watch_policy.rs
+++ b/src/net/discovery/watch_policy.rs
@@ -67,7 +67,7 @@
     pub fn of(discovery: interface::Discovery) -> Terms {
         match discovery {
             interface::Discovery::Push => Terms { pushed: true, hold: AGENT_HOLD, late: AGENT_LATE },
-            interface::Discovery::Ask { .. } => Terms { pushed: false, hold: HOLD, late: LATE },
+            interface::Discovery::Poll { .. } => Terms { pushed: false, hold: HOLD, late: LATE },
         }
     }
 }
--- a/src/topology_forecast/forecast/mod.rs
+++ b/src/topology_forecast/forecast/mod.rs
@@ -19,7 +19,7 @@
 
 use super::{Coverage, Demand, Range, Topology};
 use crate::balancer::interface::{Class, ReplicaId, SlowStart, ZoneId};
-use crate::balancer::stretch;
+use crate::balancer::query_time_factor;
 
 /// Unknowns of one kind that are named one by one.
 pub const MOST_NAMED: usize = 1024;
@@ -137,7 +137,7 @@
 /// beside it.
 fn mean_stretch(parts: f64, steps: u32) -> f64 {
     let whole = parts as usize;
-    let (least, most) = (stretch(whole, steps), stretch(whole.saturating_add(1), steps));
+    let (least, most) = (query_time_factor(whole, steps), query_time_factor(whole.saturating_add(1), steps));
     least + (most - least) * parts.fract()
 }
 
--- a/tests/decisions/faults.rs
+++ b/tests/decisions/faults.rs
@@ -243,11 +243,12 @@
         rig.wait(1.0);
         rig.serve(|_| Outcome::Succeeded);
     }
-    assert!((4..=34).contains(&rig.balancer.known()), "{}", rig.balancer.known());
+    assert!((4..=34).contains(&rig.balancer.known_replicas()), "{}", rig.balancer.known_replicas());
     // Never heard of, and gone: nothing to remember.
-    let (known, gone) = (rig.balancer.known(), Endpoint { state: EndpointState::Removed, ..listed(99, 0) });
+    let (known, gone) =
+        (rig.balancer.known_replicas(), Endpoint { state: EndpointState::Removed, ..listed(99, 0) });
     rig.tell(&[Event::Endpoints { update: EndpointUpdate::Delta, endpoints: vec![gone] }]);
-    assert!(rig.balancer.known() <= known);
+    assert!(rig.balancer.known_replicas() <= known);
     assert!(!rig.serve(|_| Outcome::Succeeded).is_empty(), "the others serve on");
 }
 
--- a/tests/decisions/main.rs
+++ b/tests/decisions/main.rs
@@ -192,7 +192,7 @@
 
 #[test]
 fn a_subscription_is_opened_and_renewed_without_hammering() {
-    let ask = Settings { discovery: Discovery::Ask { within: 8.0 }, ..settings() };
+    let ask = Settings { discovery: Discovery::Poll { poll_within: 8.0 }, ..settings() };
     let mut balancer = Balancer::new(ask, 1).expect("served");
     assert!(balancer.round(1.0, &[Event::Timer]).contains(&Action::Subscribe));
     let failed = Event::Endpoints { update: EndpointUpdate::Failed, endpoints: Vec::new() };
--- a/tests/recorded.rs
+++ b/tests/recorded.rs
@@ -91,7 +91,7 @@
             (LoadReporting::OnHealthCheck, true, 60.0)
     }),
     ("asked for the list", 0x1077_bd74_ce89_7132, |p| {
-        (p.settings.discovery, p.churn) = (Discovery::Ask { within: 10.0 }, 4.0)
+        (p.settings.discovery, p.churn) = (Discovery::Poll { poll_within: 10.0 }, 4.0)
     }),
     ("no reports", 0xd41b_3122_6e94_8eb7, |p| {
         (p.settings.load_reporting, p.settings.coordinators) = (LoadReporting::Off, 2)
@@ -150,7 +150,7 @@
         for round in 0..4000 {
             if round == 2000 {
                 world.plan.settings.classes.push(class());
-                world.balancer.extend(&[class()]).expect("a further class");
+                world.balancer.add_classes(&[class()]).expect("a further class");
             }
             world.round();
         }
--- a/tests/recorded/plans.rs
+++ b/tests/recorded/plans.rs
@@ -92,7 +92,7 @@
     settings.retry_budget =
         (free >= 0.0).then_some(RetryBudget { free, share: 0.1, window: often([1.0, 3.0, 5.0, 9.0]) });
     if often([0.0, 0.0, 0.0, 1.0]) > 0.0 {
-        settings.discovery = Discovery::Ask { within: 10.0 };
+        settings.discovery = Discovery::Poll { poll_within: 10.0 };
     }
     let kinds = 1 + often([0.0, 0.0, 1.0, 2.0]) as usize;
     settings.classes = (0..kinds)
--- a/tests/recorded/world.rs
+++ b/tests/recorded/world.rs
@@ -142,7 +142,7 @@
             self.hash.write(recorded_form(&action).as_bytes());
             self.act(action);
         }
-        self.hash.write_u64(self.balancer.known() as u64);
+        self.hash.write_u64(self.balancer.known_replicas() as u64);
     }
 
     fn befall(&mut self) {
--- a/tests/recorded_large.rs
+++ b/tests/recorded_large.rs
@@ -34,7 +34,7 @@
     ("eleven thousand, no reports, asked for the list", 500, 0x2ef1_d205_6ed8_d44d, |p| {
         (p.servers, p.settings.cells, p.zones, p.churn, p.queries) = (11_000, 410, 16, 60.0, 4.0);
         (p.settings.load_reporting, p.settings.discovery) =
-            (LoadReporting::Off, Discovery::Ask { within: 10.0 });
+            (LoadReporting::Off, Discovery::Poll { poll_within: 10.0 });
     }),
     ("eleven thousand, cold rule, stalls", 500, 0xc1fc_dafd_33d5_39ef, |p| {
         (p.servers, p.settings.cells, p.zones, p.churn, p.queries) = (11_000, 410, 16, 60.0, 4.0);
--- a/tests/round_cost/main.rs
+++ b/tests/round_cost/main.rs
@@ -24,7 +24,7 @@
         let mut whole = World::new(plan, seed + 1000);
         for round in 0..1200 {
             world.round();
-            whole.balancer.look_at_all();
+            whole.balancer.revisit_all_queries();
             whole.round();
             if round % 3 == 0 {
                 assert_eq!(world.balancer.audit(), Ok(()), "plan {seed}, round {round}");
@@ -82,13 +82,13 @@
     /// How many entries a round with these events goes through.
     fn round(&mut self, events: Vec<Event>) -> usize {
         self.now += 0.001;
-        let before = self.balancer.gone_through();
+        let before = self.balancer.entries_visited();
         for action in self.balancer.round(self.now, &events) {
             if let Action::Send { part, replica, .. } = action {
                 self.out.push((part, replica));
             }
         }
-        let through = self.balancer.gone_through() - before;
+        let through = self.balancer.entries_visited() - before;
         assert_eq!(self.balancer.audit(), Ok(()));
         through
     }
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -100,7 +100,7 @@
         coordinators: 1 + rng.below(3) as u32,
         load_reporting: [LoadReporting::Inline, LoadReporting::OnHealthCheck, LoadReporting::Off]
             [rng.below(3) as usize],
-        discovery: if rng.chance(50) { Discovery::Push } else { Discovery::Ask { within: 4.0 } },
+        discovery: if rng.chance(50) { Discovery::Push } else { Discovery::Poll { poll_within: 4.0 } },
         cancellation: rng.chance(60),
         health_checks: rng.chance(60),
         hedging: rng.chance(60),
