--- a/tests/decisions/faults.rs
+++ b/tests/decisions/faults.rs
@@ -192,7 +192,7 @@
             if step == 500 {
                 events.push(changed(vec![Endpoint { started: Some(Self::STARTED_AT), ..ready(0, 0) }]));
             }
-            if (step as usize + i * 7) % 50 == 0 {
+            if (step as usize + i * 7).is_multiple_of(50) {
                 self.last_id += 10;
                 events.extend(NewQuery { time_left: 2.0, ..NewQuery::on([0]) }.events(self.last_id));
             }
