--- a/src/balancer/interface/settings.rs
+++ b/src/balancer/interface/settings.rs
@@ -18,13 +18,13 @@
 /// A class of queries.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Class {
-    /// Seconds within which an answer has its full worth.
+    /// Seconds within which an answer has its full value.
     pub latency_objective: f64,
     /// Seconds for which a client waits over all its tries.
     pub deadline: f64,
     /// Worth of an answer beside those of other classes.
     pub priority_weight: f64,
-    /// Share of its worth that an answer after the objective has.
+    /// Share of its value that an answer after the objective has.
     pub late_weight: f64,
     /// What a repeated attempt may do.
     pub idempotency: Idempotency,
@@ -32,7 +32,7 @@
     pub target_coverage: f64,
     /// Least share of an answer, from 0 to 1.
     pub min_coverage: f64,
-    /// An answer that is not complete has this times its share of the target as its worth.
+    /// An answer that is not complete has this times its share of the target as its value.
     pub partial_weight: f64,
     /// Parts of the second step; 0 for one step only.
     pub second_step_parts: u32,
--- a/src/balancer/latency.rs
+++ b/src/balancer/latency.rs
@@ -76,12 +76,12 @@
         Decay { now: self.now, half_life, base: self.latency.mean }
     }
 
-    /// Response time of a replica in seconds, as last seen; without news it decays to the mean one.
+    /// Response time of a replica in seconds, as last seen; without a sample it decays to the mean one.
     pub(super) fn usual_response_time(&self, id: ReplicaId) -> f64 {
         self.replicas[&id].response_time.value_at(self.response_time_decay())
     }
 
-    /// The present response time of parts in seconds. Without news it decays, as rejections keep it from
+    /// The present response time of parts in seconds. Without a sample it decays, as rejections keep it from
     /// being measured.
     fn current_response_time(&self) -> f64 {
         let since_success = self.now - self.latency.last_success_at;
@@ -97,7 +97,7 @@
         last_queries.max(self.current_response_time() * SLOWEST_PART_FACTOR) * steps
     }
 
-    /// Seconds that our last queries took, as narrow ones; without news it decays.
+    /// Seconds that our last queries took, as narrow ones; without a sample it decays.
     fn recent_query_time(&self) -> f64 {
         let half_life = QUERY_TIME_HALF_LIFE_INTERVALS * self.query_interval();
         self.latency.query_time * 0.5f64.powf((self.now - self.latency.query_finished_at) / half_life)
--- a/src/balancer/state/estimate.rs
+++ b/src/balancer/state/estimate.rs
@@ -1,4 +1,4 @@
-//! Estimates that are updated as samples come in: a value that decays without news, and the mean and 90th
+//! Estimates that are updated as samples come in: a value that decays without a sample, and the mean and 90th
 //! percentile of a stream. Neither holds a tuned figure: weights and half-lives come from who uses them.
 
 /// How a [`DecayingAverage`] decays, and to what.
@@ -8,11 +8,11 @@
     pub now: f64,
     /// Seconds in which half of the difference to the base is gone.
     pub half_life: f64,
-    /// What the value becomes without news.
+    /// What the value becomes without a sample.
     pub base: f64,
 }
 
-/// A value as last known. Without news it decays to a base.
+/// A value as last known. Without a sample it decays to a base.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct DecayingAverage {
     /// The value as of its last sample.
--- a/src/balancer/state/latency.rs
+++ b/src/balancer/state/latency.rs
@@ -7,7 +7,7 @@
     pub mean: f64,
     /// Slow estimate of their 90th percentile.
     pub p90: f64,
-    /// Fast moving average, as of the last success; without news it decays.
+    /// Fast moving average, as of the last success; without a sample it decays.
     pub current: f64,
     /// When the last success came.
     pub last_success_at: f64,
--- a/src/balancer/state/query.rs
+++ b/src/balancer/state/query.rs
@@ -17,7 +17,7 @@
     pub tenant: TenantId,
     /// When its client stops waiting, in seconds.
     pub deadline_at: f64,
-    /// Until when an answer has its full worth, in seconds.
+    /// Until when an answer has its full value, in seconds.
     pub objective_at: f64,
     /// The parts of its present step.
     pub parts: Vec<PartId>,
--- a/src/balancer/state/replica_index.rs
+++ b/src/balancer/state/replica_index.rs
@@ -109,8 +109,8 @@
         }
     }
 
-    /// Drop the reports that are stale by now, and the warming-up replicas whose ramp is over. Both are told
-    /// by a time in seconds: of the report, and of the start.
+    /// Drop the reports that are stale by now, and the warming-up replicas whose ramp is over. Both are
+    /// judged by a time in seconds: of the report, and of the start.
     pub fn expire(&mut self, is_stale: impl Fn(f64) -> bool, is_warm: impl Fn(f64) -> bool) {
         while let Some(id) = self.fresh_reports.pop_due(&is_stale) {
             self.load_sum -= self.loads.remove(&id).unwrap_or(0);
@@ -122,7 +122,7 @@
         }
     }
 
-    /// Forget the replicas that were removed long ago, as told by the time of their removal in seconds,
+    /// Forget the replicas that were removed long ago, as judged by the time of their removal in seconds,
     /// unless they have attempts in flight.
     pub fn forget_removed(
         &mut self,
--- a/tests/recorded.rs
+++ b/tests/recorded.rs
@@ -29,7 +29,6 @@
         ..Settings::default()
     };
     Plan {
-        settings,
         servers: 12,
         zones: 2,
         query_rate: 30.0,
@@ -37,17 +36,8 @@
         service_time: 0.02,
         faults: 0.01,
         churn: 0.5,
-        zone_outages: 0.0,
-        stalls: 0.0,
-        disconnects: 0.0,
-        reused_numbers: 0.0,
-        queries_of_death: 0.0,
-        streaming: 0.0,
-        connection_losses: 0.0,
-        time_left_jitter: 0.0,
-        drops_idle_connections: false,
         max_in_flight: 12,
-        burst: 1.0,
+        ..Plan::without_mishaps(settings)
     }
 }
 
@@ -62,88 +52,157 @@
             Class { second_step_parts: 1, ..class() },
             Class { second_step_parts: 3, min_coverage: 0.5, ..class() },
         );
-        (p.settings.classes, p.parts) = (vec![one, three], (3, 8));
+        p.settings.classes = vec![one, three];
+        p.parts = (3, 8);
     }),
     ("partial answers, worthless late", 0x49dc_2366_c58a_0d1e, |p| {
         let part = Class { target_coverage: 0.8, min_coverage: 0.4, late_weight: 0.0, ..class() };
-        (p.settings.classes, p.parts, p.churn, p.faults) = (vec![part], (5, 10), 2.0, 0.03);
+        p.settings.classes = vec![part];
+        p.parts = (5, 10);
+        p.churn = 2.0;
+        p.faults = 0.03;
     }),
     ("unsafe, keyed and safe classes", 0xda92_c0a4_8b51_0c12, |p| {
         let keyed = Class { idempotency: Idempotency::Keyed { window: 0.8 }, ..class() };
         let alone = Class { hedging: false, ..class() };
         p.settings.classes =
             vec![class(), keyed, Class { idempotency: Idempotency::NonIdempotent, ..class() }, alone];
-        (p.churn, p.faults) = (2.0, 0.02);
+        p.churn = 2.0;
+        p.faults = 0.02;
     }),
     ("cold rule", 0x7b82_8998_6eaf_6382, |p| {
-        (p.settings.slow_start, p.settings.coordinators, p.churn, p.servers) = (Some(SLOW_START), 3, 3.0, 24)
+        p.settings.slow_start = Some(SLOW_START);
+        p.settings.coordinators = 3;
+        p.churn = 3.0;
+        p.servers = 24;
     }),
     ("told budget, overload", 0xefd8_c3f3_78d2_08b0, |p| {
         p.settings.retry_budget = Some(RetryBudget { free: 2.0, share: 0.1, window: 3.0 });
-        (p.query_rate, p.burst, p.max_in_flight, p.settings.retry_after) = (60.0, 4.0, 6, None);
+        p.query_rate = 60.0;
+        p.burst = 4.0;
+        p.max_in_flight = 6;
+        p.settings.retry_after = None;
     }),
     ("tenants, overload", 0x8b9d_c93c_5a75_6bfc, |p| {
         p.settings.tenants = vec![Tenant { quota: 5.0 }, Tenant { quota: 40.0 }, Tenant { quota: f64::MAX }];
-        (p.settings.over_quota_weight, p.query_rate, p.burst, p.service_time) = (0.2, 60.0, 5.0, 0.08);
-        (p.settings.classes, p.settings.round_interval) =
-            (vec![class(), Class { priority_weight: 3.0, ..class() }], 0.005);
+        p.settings.over_quota_weight = 0.2;
+        p.query_rate = 60.0;
+        p.burst = 5.0;
+        p.service_time = 0.08;
+        p.settings.classes = vec![class(), Class { priority_weight: 3.0, ..class() }];
+        p.settings.round_interval = 0.005;
     }),
     ("probes", 0xd561_1d0a_dfa5_6c83, |p| {
-        (p.settings.load_reporting, p.settings.health_checks, p.query_rate) =
-            (LoadReporting::OnHealthCheck, true, 60.0)
+        p.settings.load_reporting = LoadReporting::OnHealthCheck;
+        p.settings.health_checks = true;
+        p.query_rate = 60.0;
     }),
     ("asked for the list", 0x1077_bd74_ce89_7132, |p| {
-        (p.settings.discovery, p.churn) = (Discovery::Poll { poll_within: 10.0 }, 4.0)
+        p.settings.discovery = Discovery::Poll { poll_within: 10.0 };
+        p.churn = 4.0;
     }),
     ("no reports", 0xd41b_3122_6e94_8eb7, |p| {
-        (p.settings.load_reporting, p.settings.coordinators) = (LoadReporting::Off, 2)
+        p.settings.load_reporting = LoadReporting::Off;
+        p.settings.coordinators = 2;
     }),
     ("zones lost", 0xed62_c53d_ae2e_4cbd, |p| {
-        (p.servers, p.zones, p.zone_outages, p.query_rate, p.settings.zone) = (80, 16, 0.3, 90.0, ZoneId(3));
-        (p.settings.cells, p.settings.reach) = (5, 1);
+        p.servers = 80;
+        p.zones = 16;
+        p.zone_outages = 0.3;
+        p.query_rate = 90.0;
+        p.settings.zone = ZoneId(3);
+        p.settings.cells = 5;
+        p.settings.reach = 1;
     }),
     ("seldom met", 0xf6d6_77f6_7014_f862, |p| {
-        (p.servers, p.zones, p.query_rate, p.settings.cells, p.settings.reach) = (400, 4, 15.0, 40, 2);
-        (p.churn, p.zone_outages, p.settings.slow_start, p.settings.round_interval) =
-            (12.0, 0.1, Some(SLOW_START), 0.02);
+        p.servers = 400;
+        p.zones = 4;
+        p.query_rate = 15.0;
+        p.settings.cells = 40;
+        p.settings.reach = 2;
+        p.churn = 12.0;
+        p.zone_outages = 0.1;
+        p.settings.slow_start = Some(SLOW_START);
+        p.settings.round_interval = 0.02;
     }),
     ("wide queries, deaths", 0x3fe8_543b_cc0d_3014, |p| {
-        (p.parts, p.queries_of_death, p.query_rate, p.servers, p.settings.cells) =
-            ((1, 40), 0.03, 8.0, 36, 9);
+        p.parts = (1, 40);
+        p.queries_of_death = 0.03;
+        p.query_rate = 8.0;
+        p.servers = 36;
+        p.settings.cells = 9;
+    }),
+    ("drains and returns", 0xc2fc_813a_24c3_9d1b, |p| {
+        p.churn = 12.0;
+        p.settings.round_interval = 0.03;
     }),
-    ("drains and returns", 0xc2fc_813a_24c3_9d1b, |p| (p.churn, p.settings.round_interval) = (12.0, 0.03)),
     ("left by clients, numbers used again, shared calls", 0xb613_ea3e_7823_b57c, |p| {
-        (p.disconnects, p.reused_numbers, p.settings.max_parts_per_call, p.parts) = (0.2, 0.05, 4, (6, 16));
+        p.disconnects = 0.2;
+        p.reused_numbers = 0.05;
+        p.settings.max_parts_per_call = 4;
+        p.parts = (6, 16);
         p.settings.clients_mark_retries = true;
     }),
-    ("streamed", 0x3d72_2496_52d4_e77a, |p| (p.streaming, p.churn, p.faults) = (0.4, 2.0, 0.02)),
+    ("streamed", 0x3d72_2496_52d4_e77a, |p| {
+        p.streaming = 0.4;
+        p.churn = 2.0;
+        p.faults = 0.02;
+    }),
     ("nothing called off, one attempt at a time", 0xf000_db2f_0057_658f, |p| {
-        (p.settings.cancellation, p.settings.hedging, p.churn, p.faults) = (false, false, 2.0, 0.02);
+        p.settings.cancellation = false;
+        p.settings.hedging = false;
+        p.churn = 2.0;
+        p.faults = 0.02;
     }),
     ("two tries, nothing called off", 0x75c3_0691_57f1_6488, |p| {
-        (p.settings.cancellation, p.settings.max_attempts, p.churn) = (false, 2, 3.0)
+        p.settings.cancellation = false;
+        p.settings.max_attempts = 2;
+        p.churn = 3.0;
     }),
     ("idle connections dropped unseen", 0x2fb9_942b_3cae_dc1d, |p| {
-        (p.drops_idle_connections, p.query_rate, p.servers, p.churn) = (true, 10.0, 24, 0.0)
+        p.drops_idle_connections = true;
+        p.query_rate = 10.0;
+        p.servers = 24;
+        p.churn = 0.0;
+    }),
+    ("nothing gets through at times", 0x3ab4_d86e_a690_e3a8, |p| {
+        p.stalls = 0.15;
+        p.query_rate = 60.0;
     }),
-    ("nothing gets through at times", 0x3ab4_d86e_a690_e3a8, |p| (p.stalls, p.query_rate) = (0.15, 60.0)),
     ("few deaths", 0x1d57_9a77_3fea_82d4, |p| {
-        (p.parts, p.queries_of_death, p.query_rate, p.servers) = ((1, 30), 0.002, 12.0, 24);
-        (p.settings.cells, p.churn) = (6, 0.0);
+        p.parts = (1, 30);
+        p.queries_of_death = 0.002;
+        p.query_rate = 12.0;
+        p.servers = 24;
+        p.settings.cells = 6;
+        p.churn = 0.0;
     }),
     ("connections that break", 0x5010_a858_c4f1_bf75, |p| {
-        (p.connection_losses, p.churn, p.query_rate) = (0.4, 0.0, 60.0)
+        p.connection_losses = 0.4;
+        p.churn = 0.0;
+        p.query_rate = 60.0;
     }),
     ("patience that varies, wide queries, slow", 0x84df_614d_7c5c_ad3f, |p| {
         let hurried = Class { latency_objective: 0.4, deadline: 0.6, late_weight: 0.0, ..class() };
-        (p.settings.classes, p.time_left_jitter, p.parts, p.service_time) =
-            (vec![hurried], 0.2, (1, 60), 0.05);
-        (p.servers, p.settings.cells, p.max_in_flight, p.burst) = (60, 12, 40, 4.0);
+        p.settings.classes = vec![hurried];
+        p.time_left_jitter = 0.2;
+        p.parts = (1, 60);
+        p.service_time = 0.05;
+        p.servers = 60;
+        p.settings.cells = 12;
+        p.max_in_flight = 40;
+        p.burst = 4.0;
     }),
     ("seldom met and slow", 0xd851_0c0a_e28c_ec11, |p| {
         let hurried = Class { latency_objective: 0.35, late_weight: 0.0, ..class() };
-        (p.settings.classes, p.servers, p.query_rate, p.parts) = (vec![hurried], 400, 3.0, (1, 40));
-        (p.settings.cells, p.service_time, p.churn, p.settings.round_interval) = (40, 0.1, 30.0, 0.02);
+        p.settings.classes = vec![hurried];
+        p.servers = 400;
+        p.query_rate = 3.0;
+        p.parts = (1, 40);
+        p.settings.cells = 40;
+        p.service_time = 0.1;
+        p.churn = 30.0;
+        p.settings.round_interval = 0.02;
     }),
 ];
 
--- a/tests/recorded/plans.rs
+++ b/tests/recorded/plans.rs
@@ -25,7 +25,6 @@
         ..Settings::default()
     };
     Plan {
-        settings,
         servers: 1000,
         zones: 10,
         query_rate: 8.0,
@@ -33,17 +32,8 @@
         service_time: 0.02,
         faults: 0.001,
         churn: 6.0,
-        zone_outages: 0.0,
-        stalls: 0.0,
-        disconnects: 0.0,
-        reused_numbers: 0.0,
-        queries_of_death: 0.0,
-        streaming: 0.0,
-        connection_losses: 0.0,
-        time_left_jitter: 0.0,
-        drops_idle_connections: false,
         max_in_flight: 20,
-        burst: 1.0,
+        ..Plan::without_mishaps(settings)
     }
 }
 
--- a/tests/recorded/world.rs
+++ b/tests/recorded/world.rs
@@ -50,6 +50,33 @@
     pub burst: f64,
 }
 
+impl Plan {
+    /// One server, one query of one part a second, and nothing goes wrong.
+    pub fn without_mishaps(settings: Settings) -> Plan {
+        Plan {
+            settings,
+            servers: 1,
+            zones: 1,
+            query_rate: 1.0,
+            parts: (1, 1),
+            service_time: 0.02,
+            faults: 0.0,
+            churn: 0.0,
+            zone_outages: 0.0,
+            stalls: 0.0,
+            disconnects: 0.0,
+            reused_numbers: 0.0,
+            queries_of_death: 0.0,
+            streaming: 0.0,
+            connection_losses: 0.0,
+            time_left_jitter: 0.0,
+            drops_idle_connections: false,
+            max_in_flight: usize::MAX,
+            burst: 1.0,
+        }
+    }
+}
+
 #[derive(Clone, Default)]
 struct Server {
     endpoint: Endpoint,
--- a/tests/recorded_large.rs
+++ b/tests/recorded_large.rs
@@ -18,7 +18,10 @@
 type Stream = (&'static str, u32, u64, fn(&mut Plan));
 const LARGE: &[Stream] = &[
     ("wide, cold rule", 1000, 0xdc49_dc18_c172_bfd8, |p| p.settings.slow_start = Some(SLOW_START)),
-    ("wide, nothing goes wrong", 600, 0x87c0_264a_48c6_07c7, |p| (p.churn, p.faults) = (0.0, 0.0)),
+    ("wide, nothing goes wrong", 600, 0x87c0_264a_48c6_07c7, |p| {
+        p.churn = 0.0;
+        p.faults = 0.0;
+    }),
     ("partial, second step, probes, zones lost", 800, 0x51a6_c769_b271_eb7a, |p| {
         let part = Class {
             target_coverage: 0.9,
@@ -27,29 +30,47 @@
             second_step_parts: 10,
             ..class()
         };
-        (p.settings.classes, p.settings.load_reporting, p.settings.health_checks) =
-            (vec![part], LoadReporting::OnHealthCheck, true);
-        (p.zone_outages, p.zones) = (0.3, 25);
+        p.settings.classes = vec![part];
+        p.settings.load_reporting = LoadReporting::OnHealthCheck;
+        p.settings.health_checks = true;
+        p.zone_outages = 0.3;
+        p.zones = 25;
     }),
     ("eleven thousand, no reports, asked for the list", 500, 0x2ef1_d205_6ed8_d44d, |p| {
-        (p.servers, p.settings.cells, p.zones, p.churn, p.query_rate) = (11_000, 410, 16, 60.0, 4.0);
-        (p.settings.load_reporting, p.settings.discovery) =
-            (LoadReporting::Off, Discovery::Poll { poll_within: 10.0 });
+        p.servers = 11_000;
+        p.settings.cells = 410;
+        p.zones = 16;
+        p.churn = 60.0;
+        p.query_rate = 4.0;
+        p.settings.load_reporting = LoadReporting::Off;
+        p.settings.discovery = Discovery::Poll { poll_within: 10.0 };
     }),
     ("eleven thousand, cold rule, stalls", 500, 0xc1fc_dafd_33d5_39ef, |p| {
-        (p.servers, p.settings.cells, p.zones, p.churn, p.query_rate) = (11_000, 410, 16, 60.0, 4.0);
-        (p.settings.slow_start, p.stalls) = (Some(SLOW_START), 0.2);
+        p.servers = 11_000;
+        p.settings.cells = 410;
+        p.zones = 16;
+        p.churn = 60.0;
+        p.query_rate = 4.0;
+        p.settings.slow_start = Some(SLOW_START);
+        p.stalls = 0.2;
     }),
     ("overload, tenants, told budget", 800, 0xfd2e_56a0_374b_6516, |p| {
         p.settings.tenants = vec![Tenant { quota: 1.0 }, Tenant { quota: 4.0 }, Tenant { quota: f64::MAX }];
         p.settings.retry_budget = Some(RetryBudget { free: 2.0, share: 0.1, window: 3.0 });
-        (p.settings.over_quota_weight, p.query_rate, p.burst, p.service_time) = (0.2, 12.0, 4.0, 0.1);
+        p.settings.over_quota_weight = 0.2;
+        p.query_rate = 12.0;
+        p.burst = 4.0;
+        p.service_time = 0.1;
     }),
     ("deadly, streamed, left, numbers used again", 800, 0x8065_38ae_a67c_43bd, |p| {
         let keyed = Class { idempotency: Idempotency::Keyed { window: 0.8 }, ..class() };
-        (p.settings.classes, p.queries_of_death, p.streaming, p.disconnects) =
-            (vec![keyed, class()], 0.1, 0.2, 0.2);
-        (p.reused_numbers, p.connection_losses, p.churn) = (0.1, 0.5, 20.0);
+        p.settings.classes = vec![keyed, class()];
+        p.queries_of_death = 0.1;
+        p.streaming = 0.2;
+        p.disconnects = 0.2;
+        p.reused_numbers = 0.1;
+        p.connection_losses = 0.5;
+        p.churn = 20.0;
     }),
 ];
 
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -176,7 +176,8 @@
                 EndpointState::Removed,
             ];
             let phase = phase[self.rng.below(if update == EndpointUpdate::Full { 4 } else { 5 }) as usize];
-            let (replica, cell) = (ReplicaId(n), (n % u64::from(self.settings.cells)) as u16);
+            let replica = ReplicaId(n);
+            let cell = (n % u64::from(self.settings.cells)) as u16;
             self.states.insert(replica, phase);
             self.cells.insert(replica, cell);
             let started = self.rng.chance(30).then_some(self.now);
@@ -194,8 +195,14 @@
         self.parts.insert(part, state);
         self.received.push(self.now);
         self.queries.get_mut(&query).expect("held").parts.push(part);
-        let (part, number, shard) = (PartId(part), QueryNumber(query), ShardId(shard));
-        Event::Part { part, number, shard, weight, prior_attempts: 0, completed: false }
+        Event::Part {
+            part: PartId(part),
+            number: QueryNumber(query),
+            shard: ShardId(shard),
+            weight,
+            prior_attempts: 0,
+            completed: false,
+        }
     }
 
     fn events(&mut self) -> Vec<Event> {
@@ -400,7 +407,9 @@
 
 #[test]
 fn random_events_keep_the_rules() {
-    let (mut finals, mut sends, mut extra_attempts) = (0, 0, 0);
+    let mut finals = 0;
+    let mut sends = 0;
+    let mut extra_attempts = 0;
     for seed in 0..120 {
         let (mut world, mut balancer) = World::new(seed);
         for step in 0..1500 {
