--- a/tests/recorded.rs
+++ b/tests/recorded.rs
@@ -55,14 +55,14 @@
         p.settings.classes = vec![one, three];
         p.parts = (3, 8);
     }),
-    ("partial answers, worthless late", 0x49dc_2366_c58a_0d1e, |p| {
+    ("partial answers, no value when late", 0x49dc_2366_c58a_0d1e, |p| {
         let part = Class { target_coverage: 0.8, min_coverage: 0.4, late_weight: 0.0, ..class() };
         p.settings.classes = vec![part];
         p.parts = (5, 10);
         p.churn = 2.0;
         p.faults = 0.03;
     }),
-    ("unsafe, keyed and safe classes", 0xda92_c0a4_8b51_0c12, |p| {
+    ("non-idempotent, keyed and idempotent classes", 0xda92_c0a4_8b51_0c12, |p| {
         let keyed = Class { idempotency: Idempotency::Keyed { window: 0.8 }, ..class() };
         let alone = Class { hedging: false, ..class() };
         p.settings.classes =
@@ -70,13 +70,13 @@
         p.churn = 2.0;
         p.faults = 0.02;
     }),
-    ("cold rule", 0x7b82_8998_6eaf_6382, |p| {
+    ("slow start", 0x7b82_8998_6eaf_6382, |p| {
         p.settings.slow_start = Some(SLOW_START);
         p.settings.coordinators = 3;
         p.churn = 3.0;
         p.servers = 24;
     }),
-    ("told budget, overload", 0xefd8_c3f3_78d2_08b0, |p| {
+    ("stated retry budget, overload", 0xefd8_c3f3_78d2_08b0, |p| {
         p.settings.retry_budget = Some(RetryBudget { free: 2.0, share: 0.1, window: 3.0 });
         p.query_rate = 60.0;
         p.burst = 4.0;
@@ -92,12 +92,12 @@
         p.settings.classes = vec![class(), Class { priority_weight: 3.0, ..class() }];
         p.settings.round_interval = 0.005;
     }),
-    ("probes", 0xd561_1d0a_dfa5_6c83, |p| {
+    ("health checks", 0xd561_1d0a_dfa5_6c83, |p| {
         p.settings.load_reporting = LoadReporting::OnHealthCheck;
         p.settings.health_checks = true;
         p.query_rate = 60.0;
     }),
-    ("asked for the list", 0x1077_bd74_ce89_7132, |p| {
+    ("polled list", 0x1077_bd74_ce89_7132, |p| {
         p.settings.discovery = Discovery::Poll { poll_within: 10.0 };
         p.churn = 4.0;
     }),
@@ -105,7 +105,7 @@
         p.settings.load_reporting = LoadReporting::Off;
         p.settings.coordinators = 2;
     }),
-    ("zones lost", 0xed62_c53d_ae2e_4cbd, |p| {
+    ("zone outages", 0xed62_c53d_ae2e_4cbd, |p| {
         p.servers = 80;
         p.zones = 16;
         p.zone_outages = 0.3;
@@ -114,7 +114,7 @@
         p.settings.cells = 5;
         p.settings.reach = 1;
     }),
-    ("seldom met", 0xf6d6_77f6_7014_f862, |p| {
+    ("sparse traffic", 0xf6d6_77f6_7014_f862, |p| {
         p.servers = 400;
         p.zones = 4;
         p.query_rate = 15.0;
@@ -125,7 +125,7 @@
         p.settings.slow_start = Some(SLOW_START);
         p.settings.round_interval = 0.02;
     }),
-    ("wide queries, deaths", 0x3fe8_543b_cc0d_3014, |p| {
+    ("wide queries of death", 0x3fe8_543b_cc0d_3014, |p| {
         p.parts = (1, 40);
         p.queries_of_death = 0.03;
         p.query_rate = 8.0;
@@ -136,25 +136,25 @@
         p.churn = 12.0;
         p.settings.round_interval = 0.03;
     }),
-    ("left by clients, numbers used again, shared calls", 0xb613_ea3e_7823_b57c, |p| {
+    ("clients that disconnect, numbers used again, shared calls", 0xb613_ea3e_7823_b57c, |p| {
         p.disconnects = 0.2;
         p.reused_numbers = 0.05;
         p.settings.max_parts_per_call = 4;
         p.parts = (6, 16);
         p.settings.clients_mark_retries = true;
     }),
-    ("streamed", 0x3d72_2496_52d4_e77a, |p| {
+    ("streamed values", 0x3d72_2496_52d4_e77a, |p| {
         p.streaming = 0.4;
         p.churn = 2.0;
         p.faults = 0.02;
     }),
-    ("nothing called off, one attempt at a time", 0xf000_db2f_0057_658f, |p| {
+    ("no cancellation, one attempt at a time", 0xf000_db2f_0057_658f, |p| {
         p.settings.cancellation = false;
         p.settings.hedging = false;
         p.churn = 2.0;
         p.faults = 0.02;
     }),
-    ("two tries, nothing called off", 0x75c3_0691_57f1_6488, |p| {
+    ("two attempts, no cancellation", 0x75c3_0691_57f1_6488, |p| {
         p.settings.cancellation = false;
         p.settings.max_attempts = 2;
         p.churn = 3.0;
@@ -169,7 +169,7 @@
         p.stalls = 0.15;
         p.query_rate = 60.0;
     }),
-    ("few deaths", 0x1d57_9a77_3fea_82d4, |p| {
+    ("few queries of death", 0x1d57_9a77_3fea_82d4, |p| {
         p.parts = (1, 30);
         p.queries_of_death = 0.002;
         p.query_rate = 12.0;
@@ -182,7 +182,7 @@
         p.churn = 0.0;
         p.query_rate = 60.0;
     }),
-    ("patience that varies, wide queries, slow", 0x84df_614d_7c5c_ad3f, |p| {
+    ("times left that vary, wide queries, slow", 0x84df_614d_7c5c_ad3f, |p| {
         let hurried = Class { latency_objective: 0.4, deadline: 0.6, late_weight: 0.0, ..class() };
         p.settings.classes = vec![hurried];
         p.time_left_jitter = 0.2;
@@ -193,7 +193,7 @@
         p.max_in_flight = 40;
         p.burst = 4.0;
     }),
-    ("seldom met and slow", 0xd851_0c0a_e28c_ec11, |p| {
+    ("sparse traffic, slow", 0xd851_0c0a_e28c_ec11, |p| {
         let hurried = Class { latency_objective: 0.35, late_weight: 0.0, ..class() };
         p.settings.classes = vec![hurried];
         p.servers = 400;
@@ -208,7 +208,8 @@
 
 #[test]
 fn the_same_events_give_the_same_actions_as_recorded() {
-    let (mut seen, mut other) = ([0; 9], Vec::new());
+    let mut action_counts = [0; 9];
+    let mut changed = Vec::new();
     for (n, (name, recorded, differ)) in STREAMS.iter().enumerate() {
         let mut plan = base();
         differ(&mut plan);
@@ -225,13 +226,13 @@
             "{name}: little happens, {:?}",
             world.action_counts
         );
-        seen.iter_mut().zip(world.action_counts).for_each(|(all, n)| *all += n);
+        action_counts.iter_mut().zip(world.action_counts).for_each(|(all, n)| *all += n);
         let hash = world.hash.finish();
         println!("{hash:#018x} {:?} {name}", world.action_counts);
         if hash != *recorded {
-            other.push(format!("{name}: {hash:#018x}"));
+            changed.push(format!("{name}: {hash:#018x}"));
         }
     }
-    assert!(seen.iter().all(|n| *n > 10), "some kind of action is hardly met: {seen:?}");
-    assert!(other.is_empty(), "these streams went otherwise than recorded: {other:#?}");
+    assert!(action_counts.iter().all(|n| *n > 10), "some kind of action is hardly met: {action_counts:?}");
+    assert!(changed.is_empty(), "these streams went otherwise than recorded: {changed:#?}");
 }
--- a/tests/recorded_large.rs
+++ b/tests/recorded_large.rs
@@ -17,12 +17,12 @@
 /// Name, rounds, the hash of all actions as recorded, and how the plan differs from the common one.
 type Stream = (&'static str, u32, u64, fn(&mut Plan));
 const LARGE: &[Stream] = &[
-    ("wide, cold rule", 1000, 0xdc49_dc18_c172_bfd8, |p| p.settings.slow_start = Some(SLOW_START)),
-    ("wide, nothing goes wrong", 600, 0x87c0_264a_48c6_07c7, |p| {
+    ("wide, slow start", 1000, 0xdc49_dc18_c172_bfd8, |p| p.settings.slow_start = Some(SLOW_START)),
+    ("wide, no mishaps", 600, 0x87c0_264a_48c6_07c7, |p| {
         p.churn = 0.0;
         p.faults = 0.0;
     }),
-    ("partial, second step, probes, zones lost", 800, 0x51a6_c769_b271_eb7a, |p| {
+    ("partial, second step, health checks, zone outages", 800, 0x51a6_c769_b271_eb7a, |p| {
         let part = Class {
             target_coverage: 0.9,
             min_coverage: 0.5,
@@ -36,7 +36,7 @@
         p.zone_outages = 0.3;
         p.zones = 25;
     }),
-    ("eleven thousand, no reports, asked for the list", 500, 0x2ef1_d205_6ed8_d44d, |p| {
+    ("eleven thousand, no reports, polled list", 500, 0x2ef1_d205_6ed8_d44d, |p| {
         p.servers = 11_000;
         p.settings.cells = 410;
         p.zones = 16;
@@ -45,7 +45,7 @@
         p.settings.load_reporting = LoadReporting::Off;
         p.settings.discovery = Discovery::Poll { poll_within: 10.0 };
     }),
-    ("eleven thousand, cold rule, stalls", 500, 0xc1fc_dafd_33d5_39ef, |p| {
+    ("eleven thousand, slow start, stalls", 500, 0xc1fc_dafd_33d5_39ef, |p| {
         p.servers = 11_000;
         p.settings.cells = 410;
         p.zones = 16;
@@ -54,7 +54,7 @@
         p.settings.slow_start = Some(SLOW_START);
         p.stalls = 0.2;
     }),
-    ("overload, tenants, told budget", 800, 0xfd2e_56a0_374b_6516, |p| {
+    ("overload, tenants, stated retry budget", 800, 0xfd2e_56a0_374b_6516, |p| {
         p.settings.tenants = vec![Tenant { quota: 1.0 }, Tenant { quota: 4.0 }, Tenant { quota: f64::MAX }];
         p.settings.retry_budget = Some(RetryBudget { free: 2.0, share: 0.1, window: 3.0 });
         p.settings.over_quota_weight = 0.2;
@@ -62,16 +62,21 @@
         p.burst = 4.0;
         p.service_time = 0.1;
     }),
-    ("deadly, streamed, left, numbers used again", 800, 0x8065_38ae_a67c_43bd, |p| {
-        let keyed = Class { idempotency: Idempotency::Keyed { window: 0.8 }, ..class() };
-        p.settings.classes = vec![keyed, class()];
-        p.queries_of_death = 0.1;
-        p.streaming = 0.2;
-        p.disconnects = 0.2;
-        p.reused_numbers = 0.1;
-        p.connection_losses = 0.5;
-        p.churn = 20.0;
-    }),
+    (
+        "queries of death, streamed values, clients that disconnect, numbers used again",
+        800,
+        0x8065_38ae_a67c_43bd,
+        |p| {
+            let keyed = Class { idempotency: Idempotency::Keyed { window: 0.8 }, ..class() };
+            p.settings.classes = vec![keyed, class()];
+            p.queries_of_death = 0.1;
+            p.streaming = 0.2;
+            p.disconnects = 0.2;
+            p.reused_numbers = 0.1;
+            p.connection_losses = 0.5;
+            p.churn = 20.0;
+        },
+    ),
 ];
 
 /// How many plans are drawn, and the hash of each as recorded.
@@ -150,7 +155,7 @@
 
 #[test]
 fn large_streams_go_as_recorded() {
-    let mut other = Vec::new();
+    let mut changed = Vec::new();
     for (n, (name, rounds, recorded, differ)) in LARGE.iter().enumerate() {
         let mut plan = base();
         differ(&mut plan);
@@ -158,23 +163,24 @@
         println!("{hash:#018x} {seen:?} {name}");
         assert!(seen[0] > 500 && seen[2] + seen[3] > 5, "{name}: little happens, {seen:?}");
         if hash != *recorded {
-            other.push(format!("{name}: {hash:#018x}"));
+            changed.push(format!("{name}: {hash:#018x}"));
         }
     }
-    assert!(other.is_empty(), "these streams went otherwise than recorded: {other:#?}");
+    assert!(changed.is_empty(), "these streams went otherwise than recorded: {changed:#?}");
 }
 
 #[test]
 fn drawn_streams_go_as_recorded() {
-    let (mut all, mut other) = ([0; 9], Vec::new());
+    let mut all = [0; 9];
+    let mut changed = Vec::new();
     for (n, recorded) in DRAWN.iter().enumerate() {
         let (hash, seen) = run(drawn(n as u64), n as u64 + 100, 1500);
         println!("    {hash:#018x}, // {seen:?}");
         all.iter_mut().zip(seen).for_each(|(all, n)| *all += n);
         if hash != *recorded {
-            other.push(format!("{n}: {hash:#018x}"));
+            changed.push(format!("{n}: {hash:#018x}"));
         }
     }
     assert!(all.iter().all(|n| *n > 10), "some kind of action is hardly met: {all:?}");
-    assert!(other.is_empty(), "these plans went otherwise than recorded: {other:#?}");
+    assert!(changed.is_empty(), "these plans went otherwise than recorded: {changed:#?}");
 }
