--- a/src/balancer/replica_selection.rs
+++ b/src/balancer/replica_selection.rs
@@ -1,7 +1,7 @@
 //! Who may be drawn for a part, and which of two gets it.
 use super::*;
 
-/// Share of the told multiple that we use of a cold replica; the room left for chance: `docs/acceptance.md`.
+/// Share of the told multiple that we use of a cold replica; the room left for chance: `docs/history/acceptance.md`.
 const COLD_CAUTION: f64 = 0.8;
 /// Replicas that are drawn where each is met seldom: the fastest two of them are the pair.
 const DRAWN_SELDOM: usize = 4;
