--- /dev/null
+++ b/src/net/grpc/front/call.rs
@@ -0,0 +1,273 @@
+//! The life of one call, from its headers to its one status.
+use std::cell::{Cell, RefCell};
+use std::sync::Arc;
+use std::time::{Duration, Instant};
+
+use bytes::{Bytes, BytesMut};
+use futures_lite::FutureExt;
+use h2::server::SendResponse;
+use h2::RecvStream;
+use http::{HeaderMap, Method, Request};
+use slog::{info, warn};
+
+use super::{span, Front, Table};
+use crate::balancer::interface::{Idempotency, ShardId, TenantId};
+use crate::coordinator::{Query, QueryHandle, QueryOutcome};
+use crate::grpc_routing::Route;
+use crate::net::grpc::attempt::passed_on;
+use crate::net::grpc::caller::{malformed, Caller, Left, Side};
+use crate::net::grpc::exchange::Exchange;
+use crate::net::grpc::health;
+use crate::net::grpc::replay::Replay;
+use crate::net::grpc::servers::Servers;
+use crate::net::grpc::status::{self, Code, Status};
+use crate::net::grpc::wire::{self, Framer};
+use crate::net::timeout_at;
+
+/// The module ends a query this long before its client's deadline: what ends within it ended for want of time.
+const ENDING: Duration = Duration::from_millis(20);
+
+/// A call that has a route.
+struct RoutedCall<'c> {
+    table: &'c Table,
+    route: &'c Arc<Route>,
+    idempotency: Idempotency,
+    head: &'c http::request::Parts,
+    started: Instant,
+    deadline: Instant,
+}
+
+/// What of a request was read before the call is taken.
+struct RequestStart {
+    /// The bytes of the first message; of a unary request, all of it.
+    first: Bytes,
+    framer: Framer,
+    replay: Replay,
+}
+
+impl Front {
+    pub(super) async fn call(&self, request: Request<RecvStream>, respond: SendResponse<Bytes>) {
+        let started = Instant::now();
+        let (head, body) = request.into_parts();
+        let mut client = Caller { body, side: Side::Head(respond) };
+        let table = self.table.load_full();
+        let path = head.uri.path();
+        let checked = self.check_head(&head);
+        if path.starts_with(health::SERVICE) && checked.is_ok() {
+            return self.health(path, client).await;
+        }
+        let routed = checked.and_then(|timeout| route_call(&table, timeout, started, &head));
+        let result = match routed {
+            Ok(call) => Box::pin(self.serve_call(&call, &mut client)).await,
+            Err(status) => Err(status),
+        };
+        if let Err(status) = result {
+            if let Some(suppressed) = self.log_limiters.bad.permit() {
+                warn!(self.log, "unusable call"; "path" => path, "status" => status.code.name(),
+                    "error" => &status.message, "suppressed" => suppressed);
+            }
+            client.end(wire::trailers(&status));
+        }
+    }
+
+    /// Checks what every call must be, and gives its time-out, if it has one.
+    fn check_head(&self, head: &http::request::Parts) -> Result<Option<Duration>, Status> {
+        let bad = |what: &str| Err(Status::new(Code::InvalidArgument, what));
+        if head.method != Method::POST {
+            return bad("a call is a POST");
+        }
+        if !wire::is_grpc(&head.headers) {
+            return bad("content-type is not application/grpc");
+        }
+        let mut timeouts = head.headers.get_all(wire::GRPC_TIMEOUT).iter();
+        match (timeouts.next(), timeouts.next()) {
+            (None, _) => Ok(None),
+            (Some(value), None) => match wire::timeout(value.as_bytes()) {
+                Some(timeout) => Ok(Some(timeout)),
+                None => bad("grpc-timeout cannot be used"),
+            },
+            _ => bad("grpc-timeout is there twice"),
+        }
+    }
+
+    /// Serves a call that has a route. `Err`: it goes no further, and nothing of it has.
+    async fn serve_call(&self, call: &RoutedCall<'_>, client: &mut Caller) -> Result<(), Status> {
+        let start = self.read_start(call, client).await?;
+        let shards = self.shards(call.route, &call.head.headers, &start.first)?;
+        let _open = self.room(call.table, call.route)?;
+        let query = self.query(call, &shards, start.replay);
+        let Some(handle) = self.coordinator.take(query) else {
+            self.reject(call, client);
+            return Ok(());
+        };
+        self.relay(call, client, handle, start.framer, &shards).await
+    }
+
+    /// Reads as much of a request as must be in before it is taken. A request of one message is read whole: any
+    /// attempt can have all of it. Of a stream, no more than what the route must look into.
+    async fn read_start(&self, call: &RoutedCall<'_>, client: &mut Caller) -> Result<RequestStart, Status> {
+        let route = call.route;
+        let mut replay = Replay::new(self.limits.replay, self.budget.clone());
+        let mut framer = Framer::new(route.message, route.kind.streams_up());
+        let unary = !route.kind.streams_up();
+        let first = if unary || route.looks_inside() {
+            let read = client.take(&mut framer, unary);
+            let late = Status::new(Code::DeadlineExceeded, "the request did not come in in time");
+            let read = timeout_at(call.deadline, read).await;
+            read.unwrap_or(Err(Some(late))).map_err(|s| s.unwrap_or_else(gone))?
+        } else {
+            BytesMut::new()
+        };
+        let first = first.freeze();
+        if unary {
+            framer.end().map_err(malformed)?;
+        }
+        replay.push(first.clone());
+        if unary {
+            replay.end();
+        }
+        Ok(RequestStart { first, framer, replay })
+    }
+
+    /// The query of a call: one part of equal weight for each shard.
+    fn query(&self, call: &RoutedCall<'_>, shards: &[ShardId], replay: Replay) -> Query<Exchange> {
+        let route = call.route.clone();
+        let merged = route.merge.is_some();
+        let mut metadata = passed_on(&call.head.headers);
+        if merged {
+            // Messages that are to be put together must come as they are.
+            metadata.remove("grpc-accept-encoding");
+        }
+        let weight = 1.0 / shards.len() as f64;
+        let class = route.class;
+        let exchange = Exchange {
+            path: call.head.uri.path().to_owned(),
+            metadata,
+            route,
+            effect: call.idempotency,
+            merged,
+            bound: self.limits.window as usize,
+            request: RefCell::new(replay),
+            request_moved: Default::default(),
+            reply: Default::default(),
+            reply_moved: Default::default(),
+            last: Default::default(),
+        };
+        Query {
+            class,
+            tenant: TenantId::NONE,
+            deadline: call.deadline,
+            is_retry: call.head.headers.contains_key("grpc-previous-rpc-attempts"),
+            parts: shards.iter().map(|shard| (*shard, weight)).collect(),
+            context: exchange,
+            protection: None,
+        }
+    }
+
+    /// Answers a call that finds as many queries and parts open as may be.
+    fn reject(&self, call: &RoutedCall<'_>, client: &mut Caller) {
+        if let Some(suppressed) = self.log_limiters.refused.permit() {
+            info!(self.log, "refused"; "why" => "as much is open as may be", "path" => call.head.uri.path(),
+                "open" => self.coordinator.open(), "held" => self.coordinator.open_parts(),
+                "suppressed" => suppressed);
+        }
+        let retry_after = call.table.deployment.settings.retry_after;
+        let status = Status::new(Code::ResourceExhausted, "as much is open as may be");
+        client.end(wire::trailers(&Status { retry_after, ..status }));
+    }
+
+    /// Passes a call on until it has its final outcome, its client is gone, or its time is over.
+    async fn relay(
+        &self,
+        call: &RoutedCall<'_>,
+        client: &mut Caller,
+        handle: QueryHandle<Servers>,
+        framer: Framer,
+        shards: &[ShardId],
+    ) -> Result<(), Status> {
+        let exchange = handle.carried();
+        let final_outcome = Cell::new(None);
+        let outcome = async {
+            final_outcome.set(Some(handle.outcome().await));
+            exchange.over();
+            std::future::pending().await
+        };
+        let relay = Box::pin(client.relay(&exchange, framer));
+        let ended = timeout_at(call.deadline, relay.or(outcome)).await;
+        // Dropping the handle withdraws a query that is still open.
+        drop(handle);
+        match ended {
+            Some(Err(Left::Malformed(e))) => return Err(malformed(e)),
+            Some(Err(Left::Gone)) => {
+                self.log_client_gone(call);
+                return Ok(());
+            }
+            _ => {}
+        }
+        let out_of_time = ended.is_none() || Instant::now() + ENDING >= call.deadline;
+        let outcome = final_outcome.take().unwrap_or(QueryOutcome::DeadlineExceeded);
+        let own = exchange.reply.borrow_mut().end.take().filter(|_| ended.is_some());
+        let trailers = match own {
+            Some(trailers) => trailers,
+            None => self.end_of(call, client, &exchange, &outcome, shards, out_of_time).await,
+        };
+        client.end(trailers);
+        Ok(())
+    }
+
+    fn log_client_gone(&self, call: &RoutedCall<'_>) {
+        if let Some(suppressed) = self.log_limiters.gone.permit() {
+            info!(self.log, "client gone"; "path" => call.head.uri.path(),
+                "after_ms" => call.started.elapsed().as_millis() as u64, "suppressed" => suppressed);
+        }
+    }
+
+    /// The trailers of a call that no server has ended: of the merged answers, or of what became of the query.
+    async fn end_of(
+        &self,
+        call: &RoutedCall<'_>,
+        client: &mut Caller,
+        exchange: &Exchange,
+        outcome: &QueryOutcome,
+        shards: &[ShardId],
+        out_of_time: bool,
+    ) -> HeaderMap {
+        if let QueryOutcome::Answered { complete, values } = outcome {
+            if exchange.merged {
+                let merged = client.merged(shards, values, *complete, call.deadline).await;
+                let late = || status::ended(&QueryOutcome::DeadlineExceeded, None, true, true);
+                return merged.unwrap_or_else(|| wire::trailers(&late()));
+            }
+        }
+        let begun_to_answer = matches!(client.side, Side::Body(_));
+        let last = exchange.last.borrow();
+        let status = status::ended(outcome, last.as_ref(), begun_to_answer, out_of_time);
+        if let Some(suppressed) = self.log_limiters.unanswered.permit() {
+            info!(self.log, "not answered"; "path" => call.head.uri.path(), "status" => status.code.name(),
+                "outcome" => ?outcome, "after_ms" => call.started.elapsed().as_millis() as u64,
+                "suppressed" => suppressed);
+        }
+        wire::trailers(&status)
+    }
+}
+
+/// Finds the route of a call, and its deadline.
+fn route_call<'c>(
+    table: &'c Table,
+    timeout: Option<Duration>,
+    started: Instant,
+    head: &'c http::request::Parts,
+) -> Result<RoutedCall<'c>, Status> {
+    let path = head.uri.path();
+    let unknown = || Status::new(Code::Unimplemented, format!("no route for {path}"));
+    let route = table.routes.find(path).ok_or_else(unknown)?;
+    let class = table.deployment.settings.classes.get(usize::from(route.class.0));
+    let class = class.ok_or_else(|| Status::new(Code::Internal, "the route's class is not known"))?;
+    let longest = span(class.deadline);
+    let deadline = started + timeout.unwrap_or(longest).min(longest);
+    Ok(RoutedCall { table, route, idempotency: class.idempotency, head, started, deadline })
+}
+
+fn gone() -> Status {
+    Status::new(Code::Cancelled, "the client has gone")
+}
--- a/src/net/grpc/front/checks.rs
+++ b/src/net/grpc/front/checks.rs
@@ -1,5 +1,17 @@
 //! What is looked at before a call is taken: its shards, its route's room; and the health service's answers.
-use super::*;
+use std::time::{Duration, Instant};
+
+use http::HeaderMap;
+use rand_core::RngCore;
+
+use super::{Front, OfRoute, Table, LEAVE};
+use crate::balancer::interface::ShardId;
+use crate::grpc_routing::{self, Route};
+use crate::net::grpc::caller::{grpc_head, Caller};
+use crate::net::grpc::health;
+use crate::net::grpc::status::{Code, Status};
+use crate::net::grpc::wire::{self, Framer};
+use crate::net::timeout_at;
 
 impl Front {
     pub(super) fn shards(
@@ -7,7 +19,7 @@
         route: &Route,
         headers: &HeaderMap,
         first: &[u8],
-    ) -> Result<Vec<crate::balancer::interface::ShardId>, Status> {
+    ) -> Result<Vec<ShardId>, Status> {
         let refuse = |e: grpc_routing::NoShard| match e {
             grpc_routing::NoShard::TooLarge => Status::new(Code::ResourceExhausted, e.to_string()),
             grpc_routing::NoShard::Packed(_) => Status::new(Code::Unimplemented, e.to_string()),
@@ -81,11 +93,11 @@
                 if client.open(grpc_head()).is_err() {
                     return;
                 }
-                let mut said = None;
+                let mut sent = None;
                 loop {
                     let now = state();
-                    if said != Some(now) {
-                        said = Some(now);
+                    if sent != Some(now) {
+                        sent = Some(now);
                         if client.write(health::message(now)).await.is_err() {
                             return;
                         }
--- /dev/null
+++ b/src/net/grpc/front/connection.rs
@@ -0,0 +1,192 @@
+//! The life of a client's HTTP/2 connection, on which calls are served side by side.
+use std::cell::Cell;
+use std::future::poll_fn;
+use std::rc::Rc;
+use std::time::Instant;
+
+use async_io::Timer;
+use bytes::Bytes;
+use event_listener::Event as Wake;
+use futures_lite::FutureExt;
+use h2::server::{Connection, SendResponse};
+use h2::{Reason, RecvStream};
+use http::Request;
+use slog::warn;
+use tokio_util::compat::{Compat, FuturesAsyncReadCompatExt};
+
+use super::{span, Front, LEAVE};
+use crate::net::grpc::guard::Guard;
+use crate::net::grpc::io::{Alarm, Guarded};
+use crate::net::http_server::Client;
+use crate::net::timeout_at;
+
+/// The server's side of a connection whose input passes the guard against floods.
+type GuardedConnection<'s> = Connection<Compat<Guarded<'s>>, Bytes>;
+
+/// A call as it comes in: its headers and body, and where its answer goes.
+type IncomingCall = (Request<RecvStream>, SendResponse<Bytes>);
+
+/// What a connection waits for.
+enum ConnectionEvent {
+    Call(Box<IncomingCall>),
+    /// The client closed it, or it broke.
+    Closed,
+    /// The guard has seen a flood of frames.
+    Flood,
+    /// It is idle, asked to make way, or the program stops: no further calls are wanted.
+    Drain,
+    /// The number of open calls has changed.
+    OpenCallsChanged,
+}
+
+/// The number of open calls of one connection.
+#[derive(Default)]
+struct OpenCalls {
+    count: Cell<usize>,
+    changed: Wake,
+}
+
+/// Counts one call as open until it is dropped.
+struct OpenCallGuard(Rc<OpenCalls>);
+
+impl OpenCallGuard {
+    fn new(calls: &Rc<OpenCalls>) -> OpenCallGuard {
+        calls.count.set(calls.count.get() + 1);
+        calls.changed.notify(usize::MAX);
+        OpenCallGuard(calls.clone())
+    }
+}
+
+impl Drop for OpenCallGuard {
+    fn drop(&mut self) {
+        self.0.count.set(self.0.count.get() - 1);
+        self.0.changed.notify(usize::MAX);
+    }
+}
+
+impl Front {
+    /// Serves a client's connection until it ends, is idle for long, floods us, has to make way, or the program
+    /// stops. Its calls are tasks of their own.
+    pub async fn serve(self: Rc<Self>, client: Client) {
+        let alarm = Rc::new(Alarm::default());
+        let Some(mut connection) = self.handshake(&client, &alarm).await else { return };
+        let calls = Rc::new(OpenCalls::default());
+        let mut draining = false;
+        loop {
+            client.busy(calls.count.get() > 0);
+            match self.next_event(&client, &alarm, &calls, &mut connection, draining).await {
+                ConnectionEvent::Call(call) => self.clone().start_call(*call, &calls),
+                ConnectionEvent::Flood => return self.end_flooding(&alarm, connection).await,
+                ConnectionEvent::Drain => {
+                    draining = true;
+                    connection.graceful_shutdown();
+                    // A client that rests has nothing to be waited for but the end itself.
+                    if calls.count.get() == 0 {
+                        return drain(&mut connection).await;
+                    }
+                }
+                ConnectionEvent::OpenCallsChanged => {}
+                ConnectionEvent::Closed => return,
+            }
+        }
+    }
+
+    /// The HTTP/2 handshake, within its time. Prevents connections from staying that never say what they are.
+    async fn handshake<'s>(&self, client: &'s Client, alarm: &Rc<Alarm>) -> Option<GuardedConnection<'s>> {
+        let limits = &self.limits;
+        let guarded = Guarded { stream: client.stream(), guard: Guard::new(limits), alarm: alarm.clone() };
+        let mut builder = h2::server::Builder::new();
+        builder
+            .max_concurrent_streams(limits.streams)
+            .max_header_list_size(limits.header_list)
+            .initial_window_size(limits.window)
+            .initial_connection_window_size(limits.connection_window)
+            .max_concurrent_reset_streams(limits.streams as usize)
+            .max_pending_accept_reset_streams(limits.streams as usize)
+            .max_send_buffer_size(limits.window as usize);
+        let latest = client.accepted() + span(limits.handshake_s);
+        let evicted = async {
+            client.unwanted().await;
+            None
+        };
+        let handshake = async { Some(builder.handshake::<_, Bytes>(guarded.compat()).await) };
+        timeout_at(latest, handshake.or(evicted)).await.flatten()?.ok()
+    }
+
+    async fn next_event(
+        &self,
+        client: &Client,
+        alarm: &Alarm,
+        calls: &OpenCalls,
+        connection: &mut GuardedConnection<'_>,
+        draining: bool,
+    ) -> ConnectionEvent {
+        let changed = calls.changed.listen();
+        let accept = async {
+            match poll_fn(|cx| connection.poll_accept(cx)).await {
+                Some(Ok(call)) => ConnectionEvent::Call(Box::new(call)),
+                _ => ConnectionEvent::Closed,
+            }
+        };
+        let flood = async {
+            alarm.raised().await;
+            ConnectionEvent::Flood
+        };
+        let changed = async {
+            changed.await;
+            ConnectionEvent::OpenCallsChanged
+        };
+        let resting = calls.count.get() == 0 && !draining;
+        let drain = async {
+            self.until_unwanted(client, resting, draining).await;
+            ConnectionEvent::Drain
+        };
+        flood.or(accept).or(drain).or(changed).await
+    }
+
+    /// Resolves when no further calls are wanted on the connection.
+    async fn until_unwanted(&self, client: &Client, resting: bool, draining: bool) {
+        let idle_since = Instant::now();
+        let idle = async {
+            if resting {
+                Timer::at(idle_since + span(self.limits.idle_s)).await;
+            } else {
+                std::future::pending::<()>().await;
+            }
+        };
+        let stopping = async {
+            if draining {
+                std::future::pending::<()>().await;
+            } else {
+                self.closing.told().await;
+            }
+        };
+        idle.or(client.unwanted()).or(stopping).await;
+    }
+
+    fn start_call(self: Rc<Self>, call: IncomingCall, calls: &Rc<OpenCalls>) {
+        let (request, respond) = call;
+        let open_call = OpenCallGuard::new(calls);
+        let executor = self.executor.clone();
+        let life = async move {
+            self.call(request, respond).await;
+            drop(open_call);
+        };
+        executor.spawn(life).detach();
+    }
+
+    async fn end_flooding(&self, alarm: &Alarm, mut connection: GuardedConnection<'_>) {
+        if let Some(suppressed) = self.log_limiters.flood.permit() {
+            let kind = alarm.flood.get().map_or("", |f| f.name());
+            warn!(self.log, "flood on a client's connection"; "frames" => kind, "suppressed" => suppressed);
+        }
+        connection.abrupt_shutdown(Reason::ENHANCE_YOUR_CALM);
+        timeout_at(Instant::now() + LEAVE, poll_fn(|cx| connection.poll_closed(cx))).await;
+    }
+}
+
+/// Waits for the end of a connection that is draining and carries no call.
+async fn drain(connection: &mut GuardedConnection<'_>) {
+    let closed = async { while poll_fn(|cx| connection.poll_accept(cx)).await.is_some_and(|c| c.is_ok()) {} };
+    timeout_at(Instant::now() + LEAVE, closed).await;
+}
