--- a/src/balancer/replica_selection.rs
+++ b/src/balancer/replica_selection.rs
@@ -1,7 +1,8 @@
 //! Who may be drawn for a part, and which of two gets it.
 use super::*;
 
-/// Share of the told multiple that we use of a cold replica; the room left for chance: `docs/history/acceptance.md`.
+/// Share of the stated overload factor that we use of a warming replica; the rest is left for chance
+/// (`docs/history/`).
 const COLD_CAUTION: f64 = 0.8;
 /// Replicas that are drawn where each is met seldom: the fastest two of them are the pair.
 const DRAWN_SELDOM: usize = 4;
