--- a/src/bin/marlgap-simhost.rs
+++ b/src/bin/marlgap-simhost.rs
@@ -5,7 +5,7 @@
 fn main() -> ExitCode {
     let mut input = BufReader::new(stdin().lock());
     let mut output = BufWriter::new(stdout().lock());
-    match marlgap::wire::serve(&mut input, &mut output) {
+    match marlgap::simulator_wire::serve(&mut input, &mut output) {
         Ok(()) => ExitCode::SUCCESS,
         Err(error) => {
             eprintln!("marlgap-simhost: {error}");
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -11,9 +11,9 @@
 pub mod net;
 pub mod send_policy;
 pub mod shard_layout;
+pub mod simulator_wire;
 pub mod subsetting;
 pub mod topology_forecast;
-pub mod wire;
 
 pub use balancer::Balancer;
 
--- a/src/net/data_nodes/connection.rs
+++ b/src/net/data_nodes/connection.rs
@@ -10,7 +10,7 @@
 use super::RequestContext;
 use crate::balancer::interface::*;
 use crate::coordinator::{AttemptResult, CancellationToken};
-use crate::send_policy::Permit;
+use crate::send_policy::SendPermit;
 
 /// For how long behind its time a given-up part may still hold its place.
 const LATE: Duration = Duration::from_secs(1);
@@ -35,7 +35,7 @@
     pub stop: CancellationToken,
     pub end: Ending,
     /// What it was written by.
-    pub permit: Cell<Option<Permit>>,
+    pub permit: Cell<Option<SendPermit>>,
 }
 
 impl Item {
--- a/src/net/data_nodes/exchange.rs
+++ b/src/net/data_nodes/exchange.rs
@@ -16,7 +16,7 @@
 use crate::net::invariants;
 use crate::net::socket::{self, ConnectError, Stream};
 use crate::net::timeout_at;
-use crate::send_policy::{Denied, SendConditions, FRAME_TIME};
+use crate::send_policy::{SendDenied, SendConditions, MAX_FRAME_WRITE_TIME};
 
 /// Share of the time after which a data node would close an idle connection: we do it then. A request that
 /// crosses its close would end as a reset.
@@ -150,8 +150,8 @@
             }
             // An error comes only instead of the last byte: with that taken, all is written.
             let latest =
-                parts.iter().filter_map(|item| item.permit.get()).map(|permit| permit.latest()).min();
-            let latest = latest.unwrap_or_else(|| Instant::now() + FRAME_TIME);
+                parts.iter().filter_map(|item| item.permit.get()).map(|permit| permit.write_deadline()).min();
+            let latest = latest.unwrap_or_else(|| Instant::now() + MAX_FRAME_WRITE_TIME);
             match timeout_at(latest, stream.write_all(&bytes)).await {
                 Some(Ok(())) => {}
                 Some(Err(_)) => return,
@@ -159,7 +159,7 @@
             }
             let written = Instant::now();
             let permits = parts.iter().filter_map(|item| item.permit.get());
-            permits.for_each(|permit| invariants::check(permit.written(written)));
+            permits.for_each(|permit| invariants::check(permit.check_written(written)));
             connection.under_way.borrow_mut().clear();
         }
     }
@@ -209,10 +209,10 @@
                     let conditions = SendConditions {
                         now,
                         deadline: item.deadline,
-                        transit,
-                        called_off: item.stop.is_cancelled(),
+                        transit_time: transit,
+                        cancelled: item.stop.is_cancelled(),
                         replica_ready: node.is_some_and(|n| n.life == item.life),
-                        window_over: item.stop.too_late(now),
+                        retry_window_closed: item.stop.too_late(now),
                     };
                     let permit = match conditions.permit() {
                         Ok(permit) => permit,
@@ -220,14 +220,14 @@
                             invariants::denied(denied);
                             debug!(self.log, "not sent"; "id" => &item.id, "replica" => replica.0, "why" => ?denied);
                             // Otherwise its attempt has ended, or is about to be told so.
-                            if matches!(denied, Denied::ReplicaNotReady | Denied::WindowOver) {
+                            if matches!(denied, SendDenied::ReplicaNotReady | SendDenied::RetryWindowClosed) {
                                 drop(item.end.0.try_send(Outcome::NeverSent.into()));
                             }
                             continue;
                         }
                     };
                     item.permit.set(Some(permit));
-                    let left = permit.told_ms();
+                    let left = permit.timeout_ms();
                     let Item { id, shard, extra, carried, .. } = &*item;
                     let head = format!("{id} {} d={left}{extra} {}\n", shard.0, carried.statement.len());
                     bytes.extend_from_slice(head.as_bytes());
--- a/src/net/data_nodes/mod.rs
+++ b/src/net/data_nodes/mod.rs
@@ -170,7 +170,7 @@
         let (address, phase, connections) = (entry.address, entry.phase, Vec::new());
         let new = || DataNode { address, phase, gone: None, life: 0, born: 0, started: None, connections };
         let node = nodes.entry(id).or_insert_with(new);
-        let restarted = send_policy::is_another_start(entry.born, node.born);
+        let restarted = send_policy::is_restart(entry.born, node.born);
         // Guards against waiting on connections to a process that is no more: its machine may have
         // vanished without a word, and they stay open and silent.
         if (restarted || entry.address != node.address) && !node.connections.is_empty() {
--- a/src/net/discovery/mod.rs
+++ b/src/net/discovery/mod.rs
@@ -22,7 +22,7 @@
 use super::{timeout_at, LogRateLimiter};
 use crate::balancer::interface::{self, CellId, Endpoint, EndpointState, EndpointUpdate, ZoneId};
 use crate::coordinator::{Clock, Coordinator};
-use crate::send_policy::{self, StartNotice};
+use crate::send_policy::{self, StartObservation};
 use crate::subsetting::{self, Subset};
 pub use list::{DiscoveryError, Host, List};
 use watch_policy::{Terms, CONNECT, CONTINUES, PACE, PAUSE, SLOW, START};
@@ -112,7 +112,7 @@
             let by_wall_clock = clock.born(host.born_ms)?;
             let now = clock.at(Instant::now());
             let last_list_without = self.last_list.get().map(|at| clock.at(at));
-            Some(send_policy::started(StartNotice { by_wall_clock, now, last_list_without }))
+            Some(send_policy::estimate_start(StartObservation { by_wall_clock, now, last_list_without }))
         });
         let zone = self.zones.iter().position(|z| *z == host.site).map_or(u8::MAX, |n| n as u8);
         let (cell, weight) = (CellId(host.block), host.share);
--- a/src/net/grpc/attempt.rs
+++ b/src/net/grpc/attempt.rs
@@ -82,10 +82,10 @@
         let conditions = SendConditions {
             now,
             deadline: call.deadline,
-            transit: Duration::ZERO,
-            called_off: stop.is_cancelled(),
+            transit_time: Duration::ZERO,
+            cancelled: stop.is_cancelled(),
             replica_ready: ready.is_some(),
-            window_over: stop.too_late(now),
+            retry_window_closed: stop.too_late(now),
         };
         let (Some((address, _)), Ok(permit)) =
             (ready, conditions.permit().inspect_err(|denied| invariants::denied(*denied)))
@@ -95,7 +95,7 @@
         let Some(mut send) = place.send.take() else {
             return Err(Broken::new(Code::Unavailable, "no connection", Outcome::ConnectFailed));
         };
-        let request = head(exchange, address, permit.left());
+        let request = head(exchange, address, permit.time_left());
         let request = request.map_err(|e| Broken::new(Code::Internal, e.to_string(), Outcome::NeverSent))?;
         let (answer, body) = send.send_request(request, false).map_err(|e| self.broken(&place, &e, false))?;
         drop(send);
--- a/src/net/http_server/closing.rs
+++ b/src/net/http_server/closing.rs
@@ -5,7 +5,7 @@
 use async_io::Timer;
 use event_listener::Event as Wake;
 
-use crate::send_policy::HELD_UP;
+use crate::send_policy::MAX_PROCESS_STALL;
 
 /// The protocol's figures for a planned restart. What comes in later than `LATE` after SIGTERM is lost if SIGKILL
 /// finds it unanswered; SIGKILL comes no sooner than that much behind the longest deadline, which counts as
@@ -21,7 +21,7 @@
 /// The time before SIGKILL in which nothing is waited for any more: answers leave, and the program ends. Guards what was
 /// taken against a process that is held up just then: half of the rest behind that is for its answers.
 const LAST: Duration = Duration::from_millis(240);
-const _: () = assert!(HELD_UP.as_millis() + OVER_SOCKETS.as_millis() < LAST.as_millis());
+const _: () = assert!(MAX_PROCESS_STALL.as_millis() + OVER_SOCKETS.as_millis() < LAST.as_millis());
 const _: () = assert!(STILL_COMING.as_millis() + LAST.as_millis() < LATE.as_millis());
 
 #[derive(Default)]
--- a/src/net/http_server/mod.rs
+++ b/src/net/http_server/mod.rs
@@ -16,7 +16,7 @@
 use super::invariants;
 use super::socket::Stream;
 use super::timeout_at;
-use crate::send_policy::{self, Answered};
+use crate::send_policy::{self, CloseConditions};
 pub use acceptor::Acceptor;
 pub use closing::{GracefulShutdown, STILL_COMING};
 
@@ -195,7 +195,7 @@
     pub async fn write(&mut self, answer: &Answer, keep_alive: bool) -> bool {
         let wanted = !self.closing.begun.get() && !self.crowded.get() && self.seat.wanted();
         let another_begun = self.input.begins_another();
-        let ends = Answered { keep_alive, wanted, another_begun }.may_end();
+        let ends = CloseConditions { keep_alive, server_keeps_alive: wanted, next_request_started: another_begun }.may_close();
         self.send(answer, !ends, LEAVE, keep_alive).await
     }
 
@@ -220,7 +220,7 @@
     /// still comes is dropped, in bounds, and never served: its client has been told by then.
     async fn leave(&mut self, owed: bool) {
         if owed && self.input.begins_another() {
-            invariants::check(send_policy::end_of_connection(self.input.buffer.unread().len()));
+            invariants::check(send_policy::check_close(self.input.buffer.unread().len()));
         }
         let Client { stream, input: Input { buffer, .. }, seat, .. } = self;
         seat.set(Doing::Leaving);
--- a/src/net/invariants.rs
+++ b/src/net/invariants.rs
@@ -5,7 +5,7 @@
 
 use slog::{error, Logger};
 
-use crate::send_policy::{Denied, Violation};
+use crate::send_policy::{SendDenied, Violation};
 
 /// The process's counts so far.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
@@ -39,12 +39,12 @@
     count.fetch_add(1, Ordering::Relaxed);
 }
 
-pub fn denied(why: Denied) {
+pub fn denied(why: SendDenied) {
     add(match why {
-        Denied::CalledOff => &CALLED_OFF,
-        Denied::OutOfTime => &OUT_OF_TIME,
-        Denied::ReplicaNotReady => &REPLICA_NOT_READY,
-        Denied::WindowOver => &WINDOW_OVER,
+        SendDenied::Cancelled => &CALLED_OFF,
+        SendDenied::DeadlineExceeded => &OUT_OF_TIME,
+        SendDenied::ReplicaNotReady => &REPLICA_NOT_READY,
+        SendDenied::RetryWindowClosed => &WINDOW_OVER,
     });
 }
 
--- a/src/net/opensearch/servers.rs
+++ b/src/net/opensearch/servers.rs
@@ -21,7 +21,7 @@
 use crate::net::invariants;
 use crate::net::socket::{self, ConnectError, Stream};
 use crate::net::timeout_at;
-use crate::send_policy::{Permit, SendConditions};
+use crate::send_policy::{SendPermit, SendConditions};
 
 const PROBE_WAIT: Duration = Duration::from_millis(250);
 /// Idle connections are closed this much before a server would.
@@ -126,10 +126,10 @@
         let conditions = SendConditions {
             now,
             deadline: call.deadline,
-            transit: Duration::ZERO,
-            called_off: stop.is_cancelled(),
+            transit_time: Duration::ZERO,
+            cancelled: stop.is_cancelled(),
             replica_ready: self.ready(call.replica) == Some((address, life)),
-            window_over: stop.too_late(now),
+            retry_window_closed: stop.too_late(now),
         };
         let Ok(permit) = conditions.permit().inspect_err(|denied| invariants::denied(*denied)) else {
             return Outcome::NeverSent.into();
@@ -226,9 +226,9 @@
     }
 }
 
-fn request(call: &Call<Servers>, address: SocketAddr, permit: Permit) -> Vec<u8> {
+fn request(call: &Call<Servers>, address: SocketAddr, permit: SendPermit) -> Vec<u8> {
     let RequestContext { search, opaque, ranked, .. } = &*call.context;
-    let left = permit.told_ms().max(1);
+    let left = permit.timeout_ms().max(1);
     let body = if *ranked && call.step == Step::First { &search.ranking } else { &search.body };
     format!(
         "POST /{}/_search?preference=_shards%3A{}&allow_partial_search_results=false&timeout={left}ms HTTP/1.1\r\n\
--- a/src/send_policy/mod.rs
+++ b/src/send_policy/mod.rs
@@ -6,15 +6,15 @@
 mod send;
 mod start;
 
-pub use close::{end_of_connection, Answered};
-pub use send::{Denied, Permit, SendConditions, FRAME_TIME, HELD_UP};
-pub use start::{is_another_start, started, StartNotice};
+pub use close::{check_close, CloseConditions};
+pub use send::{SendDenied, SendPermit, SendConditions, MAX_FRAME_WRITE_TIME, MAX_PROCESS_STALL};
+pub use start::{is_restart, estimate_start, StartObservation};
 
 /// An invariant that was broken.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Violation {
     /// An attempt tells more time than its client has left: its frame took so long from the look to its last byte.
-    StaleDeadline { took: std::time::Duration, left: std::time::Duration },
+    StaleDeadline { write_time: std::time::Duration, time_left: std::time::Duration },
     /// A connection ends with so many bytes of a request on it that were read, and will not be answered.
-    Unanswered { bytes: usize },
+    UnansweredRequest { bytes: usize },
 }
--- a/src/send_policy/send.rs
+++ b/src/send_policy/send.rs
@@ -5,21 +5,21 @@
 
 /// How long a frame may take from the look that permits it to its last byte, with which the attempt begins. The rules
 /// allow 0.15 s for what is told over what is left, and 0.1 s behind a client's leaving.
-pub const FRAME_TIME: Duration = Duration::from_millis(100);
+pub const MAX_FRAME_WRITE_TIME: Duration = Duration::from_millis(100);
 /// For how long the process may be held up between a look at the clock and what follows it.
-pub const HELD_UP: Duration = Duration::from_millis(150);
+pub const MAX_PROCESS_STALL: Duration = Duration::from_millis(150);
 
 /// Why an attempt may not be written.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Denied {
+pub enum SendDenied {
     /// Nobody waits for it: its query is over, its client has left, or another attempt was first.
-    CalledOff,
+    Cancelled,
     /// Its time is over, or would be on the way.
-    OutOfTime,
+    DeadlineExceeded,
     /// Its data node drains, is gone, or is another process than the one that it was meant for.
     ReplicaNotReady,
     /// It would repeat one that may have run, after its class's window.
-    WindowOver,
+    RetryWindowClosed,
 }
 
 /// All that decides it, as it is at one moment.
@@ -29,61 +29,61 @@
     /// When its time ends.
     pub deadline: Instant,
     /// What it is told less, for the time in transit to its data node.
-    pub transit: Duration,
-    pub called_off: bool,
+    pub transit_time: Duration,
+    pub cancelled: bool,
     /// Its data node takes work, and is the process that it was meant for.
     pub replica_ready: bool,
-    pub window_over: bool,
+    pub retry_window_closed: bool,
 }
 
 /// An attempt that may be written, right now.
 #[derive(Clone, Copy, Debug)]
-pub struct Permit {
-    looked: Instant,
+pub struct SendPermit {
+    granted_at: Instant,
     deadline: Instant,
-    left: Duration,
+    time_left: Duration,
 }
 
 impl SendConditions {
-    pub fn permit(&self) -> Result<Permit, Denied> {
-        let left = self.deadline.saturating_duration_since(self.now + self.transit);
+    pub fn permit(&self) -> Result<SendPermit, SendDenied> {
+        let left = self.deadline.saturating_duration_since(self.now + self.transit_time);
         let denied = [
-            (self.called_off, Denied::CalledOff),
-            (left.is_zero(), Denied::OutOfTime),
-            (!self.replica_ready, Denied::ReplicaNotReady),
-            (self.window_over, Denied::WindowOver),
+            (self.cancelled, SendDenied::Cancelled),
+            (left.is_zero(), SendDenied::DeadlineExceeded),
+            (!self.replica_ready, SendDenied::ReplicaNotReady),
+            (self.retry_window_closed, SendDenied::RetryWindowClosed),
         ];
         match denied.iter().find(|(holds, _)| *holds) {
             Some((_, denied)) => Err(*denied),
-            None => Ok(Permit { looked: self.now, deadline: self.deadline, left }),
+            None => Ok(SendPermit { granted_at: self.now, deadline: self.deadline, time_left: left }),
         }
     }
 }
 
-impl Permit {
+impl SendPermit {
     /// The time that is left to it.
-    pub fn left(&self) -> Duration {
-        self.left
+    pub fn time_left(&self) -> Duration {
+        self.time_left
     }
 
     /// The time that its data node is told, in whole milliseconds.
-    pub fn told_ms(&self) -> u128 {
-        self.left.as_millis()
+    pub fn timeout_ms(&self) -> u128 {
+        self.time_left.as_millis()
     }
 
     /// By when its last byte has to be written.
-    pub fn latest(&self) -> Instant {
-        self.looked + FRAME_TIME
+    pub fn write_deadline(&self) -> Instant {
+        self.granted_at + MAX_FRAME_WRITE_TIME
     }
 
     /// Its last byte is written. Invariant: that is within [`FRAME_TIME`] of the look, or what the process was held up
     /// by; else what was told is over what is left by more than the rules allow.
-    pub fn written(&self, now: Instant) -> Result<(), Violation> {
-        let took = now.saturating_duration_since(self.looked);
+    pub fn check_written(&self, now: Instant) -> Result<(), Violation> {
+        let took = now.saturating_duration_since(self.granted_at);
         let left = self.deadline.saturating_duration_since(now);
-        match took <= FRAME_TIME + HELD_UP {
+        match took <= MAX_FRAME_WRITE_TIME + MAX_PROCESS_STALL {
             true => Ok(()),
-            false => Err(Violation::StaleDeadline { took, left }),
+            false => Err(Violation::StaleDeadline { write_time: took, time_left: left }),
         }
     }
 }
--- a/src/send_policy/start.rs
+++ b/src/send_policy/start.rs
@@ -9,7 +9,7 @@
 
 /// What is known of a start, in seconds on our own clock.
 #[derive(Clone, Copy, Debug)]
-pub struct StartNotice {
+pub struct StartObservation {
     /// What the two wall clocks say.
     pub by_wall_clock: f64,
     /// Now, when it is listed first.
@@ -20,8 +20,8 @@
 
 /// When it started, or rather later: guards the rule on cold replicas. A time that the bounds rule out shows that the
 /// wall clocks disagree, and says nothing; then it has just started.
-pub fn started(notice: StartNotice) -> f64 {
-    let StartNotice { by_wall_clock, now, last_list_without } = notice;
+pub fn estimate_start(notice: StartObservation) -> f64 {
+    let StartObservation { by_wall_clock, now, last_list_without } = notice;
     let earliest = last_list_without.map_or(f64::NEG_INFINITY, |at| at - NOTIFIED_WITHIN);
     match (earliest..=now).contains(&by_wall_clock) {
         true => by_wall_clock,
@@ -31,6 +31,6 @@
 
 /// Whether a listed start, in Unix ms, is another one than the one that was known; 0 is one of long ago. Whichever of the
 /// two is the greater number: its machine's wall clock may have been stepped in between.
-pub fn is_another_start(listed_ms: u64, known_ms: u64) -> bool {
+pub fn is_restart(listed_ms: u64, known_ms: u64) -> bool {
     listed_ms > 0 && listed_ms != known_ms
 }
--- a/tests/wire.rs
+++ b/tests/simulator_wire.rs
@@ -1,5 +1,5 @@
 //! The codec on bytes of our own making.
-use marlgap::wire::{serve, Host};
+use marlgap::simulator_wire::{serve, Host};
 
 const SETTINGS: &str = r#"{"Classes": [{"AimS": 1.0, "DeadlineS": 2.0, "LateWorth": 0.0, "Semantics": "pure",
   "Worth": 1.0}], "FamilyInfo": {"ClassNeed": [1.0], "LeastShare": [1.0], "Positions": 1, "InARow": 1},
