--- a/benches/scale/client.rs
+++ b/benches/scale/client.rs
@@ -83,7 +83,7 @@
         let descriptors = Rc::new(Descriptors::new(DESCRIPTORS));
         let nodes = DataNodes::new(told.clone(), descriptors, executor.clone(), log.clone());
         let core =
-            Coordinator::new(told.over_sockets(), SEED, told.max_open, executor.clone(), nodes.clone())
+            Coordinator::new(told.with_default_tenant(), SEED, told.max_open, executor.clone(), nodes.clone())
                 .expect("the bench's own settings are sound");
         let how = (told.settings.discovery, told.zones);
         // No configuration moves it.
--- a/src/cli/show.rs
+++ b/src/cli/show.rs
@@ -29,7 +29,7 @@
         let servers = servers(path, "grpc.records", &grpc.source)?;
         let routes = grpc.routes.all().count();
         let _ = writeln!(out, "gRPC on {}: {routes} routes, {} servers", grpc.listen, servers.len());
-        for shard in (0..grpc.deployment.shards.unwrap_or(0)).map(ShardId) {
+        for shard in (0..grpc.deployment.shard_count.unwrap_or(0)).map(ShardId) {
             if holders(&grpc.deployment, &servers, shard).is_empty() {
                 let _ = writeln!(out, "  shard {} has no server that is up", shard.0);
             }
--- a/src/config/operator/mod.rs
+++ b/src/config/operator/mod.rs
@@ -207,7 +207,7 @@
         })?;
         let settings_at = |what: String| at(&[Seg::Key("settings".into())], what);
         crate::balancer::state::check(&told.settings).map_err(|e| settings_at(e.to_string()))?;
-        let shards = told.shards.filter(|n| *n > 0);
+        let shards = told.shard_count.filter(|n| *n > 0);
         let shards = shards.ok_or_else(|| settings_at("FamilyInfo.Shards is missing or 0".into()))?;
         let folder = path.parent().unwrap_or(Path::new(""));
         let source =
--- a/src/config/settings.rs
+++ b/src/config/settings.rs
@@ -32,7 +32,7 @@
     pub report_names: Vec<String>,
     pub zones: Vec<String>,
     /// How many shards there are, if that is told.
-    pub shards: Option<u32>,
+    pub shard_count: Option<u32>,
     /// Queries and parts that may be open at once.
     pub max_open: usize,
     pub connections: ConnectionSettings,
@@ -44,7 +44,7 @@
     /// Behind the tenants that are told comes one without a share, for whoever names none of them: it is served where
     /// there is room, and is the first to wait where there is not. So a tenant that another configuration tells is
     /// not refused, and nobody takes another's share by leaving out a name.
-    pub fn over_sockets(&self) -> Settings {
+    pub fn with_default_tenant(&self) -> Settings {
         let mut settings = self.settings.clone();
         if !settings.tenants.is_empty() {
             settings.tenants.push(Tenant { quota: 0.0 });
@@ -53,7 +53,7 @@
     }
 
     /// The tenant of a query over sockets; without tenants there is one.
-    pub fn tenant(&self, name: Option<&str>) -> TenantId {
+    pub fn tenant_id(&self, name: Option<&str>) -> TenantId {
         let told = self.tenant_names.iter().position(|t| !t.is_empty() && Some(t.as_str()) == name);
         TenantId(told.unwrap_or(self.tenant_names.len()) as u16)
     }
@@ -89,15 +89,15 @@
 }
 
 /// A load report from its values, in the order in which the settings name them.
-pub fn report(names: &[LoadReportField], values: impl Iterator<Item = f64>) -> LoadReport {
+pub fn load_report(names: &[LoadReportField], values: impl Iterator<Item = f64>) -> LoadReport {
     let mut out = LoadReport::default();
     for (name, value) in names.iter().zip(values) {
         let value = Some(value).filter(|v| v.is_finite());
         match name {
-            LoadReportField::Queue => out.queue_depth = value,
+            LoadReportField::QueueDepth => out.queue_depth = value,
             LoadReportField::InFlight => out.in_flight = value,
-            LoadReportField::Busy => out.utilization = value,
-            LoadReportField::ServiceMs => out.service_time = value.map(|ms| ms / 1000.0),
+            LoadReportField::Utilization => out.utilization = value,
+            LoadReportField::ServiceTimeMs => out.service_time = value.map(|ms| ms / 1000.0),
             LoadReportField::Rate => out.rate = value,
             LoadReportField::Other => {}
         }
@@ -108,10 +108,10 @@
 /// What a value of a load report stands for.
 #[derive(Clone, Copy, Debug)]
 pub enum LoadReportField {
-    Queue,
+    QueueDepth,
     InFlight,
-    Busy,
-    ServiceMs,
+    Utilization,
+    ServiceTimeMs,
     Rate,
     Other,
 }
@@ -181,10 +181,10 @@
     let mut names = Vec::new();
     for name in list(&v, "Reporting.Names")? {
         names.push(match name.as_str() {
-            Some("depth") => LoadReportField::Queue,
+            Some("depth") => LoadReportField::QueueDepth,
             Some("concurrent") => LoadReportField::InFlight,
-            Some("load_share") => LoadReportField::Busy,
-            Some("mean_ms") => LoadReportField::ServiceMs,
+            Some("load_share") => LoadReportField::Utilization,
+            Some("mean_ms") => LoadReportField::ServiceTimeMs,
             Some("tps") => LoadReportField::Rate,
             _ => LoadReportField::Other,
         });
@@ -267,7 +267,7 @@
         tenant_names: names_of(&v, "Tenants")?,
         report_names: list(&v, "Reporting.Names")?.iter().map(plain).collect(),
         zones: list(&v, "Localities")?.iter().map(plain).collect(),
-        shards: count(&v, "FamilyInfo.Shards", u32::MAX)?,
+        shard_count: count(&v, "FamilyInfo.Shards", u32::MAX)?,
         max_open: count(&v, "Limits.OpenCap", u32::MAX)?.map_or(usize::MAX, |n| n as usize),
         connections: sockets,
     })
--- a/src/main.rs
+++ b/src/main.rs
@@ -98,7 +98,7 @@
         let told = Rc::new(platform.deployment.clone());
         let descriptors = Rc::new(Descriptors::new(all));
         let nodes = DataNodes::new((*told).clone(), descriptors.clone(), executor.clone(), log.clone());
-        let settings = told.over_sockets();
+        let settings = told.with_default_tenant();
         let core = Coordinator::new(settings, config.seed, told.max_open, executor.clone(), nodes.clone())
             .map_err(ConfigError::Settings)?;
         let how = (told.settings.discovery, told.zones.clone());
--- a/src/net/data_nodes/exchange.rs
+++ b/src/net/data_nodes/exchange.rs
@@ -367,6 +367,6 @@
 
     fn report(&self, report: &str) -> Option<LoadReport> {
         let values = self.deployment.report_names.iter().map(|name| frames::reported(report, name));
-        (report != "-").then(|| settings::report(&self.deployment.report_fields, values))
+        (report != "-").then(|| settings::load_report(&self.deployment.report_fields, values))
     }
 }
--- a/src/net/discovery/mod.rs
+++ b/src/net/discovery/mod.rs
@@ -63,7 +63,7 @@
     ) -> Discovery {
         let (address, called, slow) = (Cell::new(address), Cell::new(Instant::now()), Cell::default());
         let (terms, zones, said) = (Terms::of(told.0), told.1, LogRateLimiter::default());
-        let (last_list, subset) = (Cell::new(None), RefCell::new(Subset::new(seed, subsetting::MOST)));
+        let (last_list, subset) = (Cell::new(None), RefCell::new(Subset::new(seed, subsetting::SUBSET_SIZE)));
         Discovery {
             address,
             moves,
--- a/src/net/grpc/mod.rs
+++ b/src/net/grpc/mod.rs
@@ -77,7 +77,7 @@
         let old = self.table.load_full();
         let mut told = old.deployment.clone();
         let known = told.settings.classes.len();
-        let shards = told.shards.unwrap_or(1);
+        let shards = told.shard_count.unwrap_or(1);
         let routes = crate::grpc_routing::Routes::compile(rows, &mut told, shards, self.limits.message)?;
         let unfit = |e: crate::balancer::interface::SettingsError| crate::grpc_routing::RowError {
             row: 0,
--- a/src/net/platform_api.rs
+++ b/src/net/platform_api.rs
@@ -238,7 +238,7 @@
                 .transpose()
                 .map_err(|()| RequestError::Header("Req-Owner"))?,
         };
-        let tenant = self.deployment.tenant(tenant);
+        let tenant = self.deployment.tenant_id(tenant);
         let wait = header("Req-Deadline-Ms")?;
         let digits = wait.bytes().all(|b| b.is_ascii_digit());
         let wait = wait
@@ -252,7 +252,7 @@
         let body: Body = serde_json::from_slice(&body).map_err(RequestError::Body)?;
         let mut parts: Vec<(ShardId, f64)> =
             body.tablets.iter().map(|t| (ShardId(t.tablet), t.fraction)).collect();
-        let shards = self.deployment.shards.unwrap_or(u32::MAX);
+        let shards = self.deployment.shard_count.unwrap_or(u32::MAX);
         if parts.is_empty() || parts.iter().any(|(s, f)| s.0 >= shards || !(0.0..=1.0 + ROUNDING).contains(f))
         {
             return Err(RequestError::Parts("none, one that does not exist, or a fraction out of range"));
--- a/src/simulator_wire.rs
+++ b/src/simulator_wire.rs
@@ -77,7 +77,7 @@
         return Ok(None);
     }
     let values = (0..n).map(|i| record.f32(at + 1 + 4 * i));
-    Ok(Some(settings::report(names, values)))
+    Ok(Some(settings::load_report(names, values)))
 }
 
 struct Instance {
@@ -88,14 +88,14 @@
 
 /// All instances of one process, and the lists they share the carriage of.
 #[derive(Default)]
-pub struct Host {
+pub struct SimulatorHost {
     instances: BTreeMap<u16, Instance>,
     lists: BTreeMap<u32, Vec<Endpoint>>,
 }
 
-impl Host {
+impl SimulatorHost {
     /// Take one batch (without its header) and give back the reply, header included.
-    pub fn batch(&mut self, records: u32, clock: f64, body: &[u8]) -> Result<Vec<u8>, WireError> {
+    pub fn handle_batch(&mut self, records: u32, clock: f64, body: &[u8]) -> Result<Vec<u8>, WireError> {
         let Some(split) = (records as usize).checked_mul(EVENT_BYTES).filter(|n| *n <= body.len()) else {
             return bad(format!("batch of {records} records does not fit its {} bytes", body.len()));
         };
@@ -366,7 +366,7 @@
 
 /// Serve batches until the input ends.
 pub fn serve(input: &mut impl Read, output: &mut impl Write) -> Result<(), WireError> {
-    let mut host = Host::default();
+    let mut host = SimulatorHost::default();
     for batch in 0u64.. {
         let head = read_up_to(input, 16)?;
         if head.is_empty() {
@@ -385,7 +385,7 @@
             return bad(format!("batch {batch}: {} bytes of {length} came", body.len()));
         }
         let reply = host
-            .batch(fields.u32(0), fields.f64(8), &body)
+            .handle_batch(fields.u32(0), fields.f64(8), &body)
             .map_err(|e| WireError(format!("batch {batch}: {e}")))?;
         let sent = output.write_all(&reply).and_then(|()| output.flush());
         sent.map_err(|e| WireError(format!("batch {batch}: writing the reply: {e}")))?;
--- a/src/subsetting.rs
+++ b/src/subsetting.rs
@@ -17,11 +17,11 @@
 
 /// Ready replicas up to which all are worked with: as many as the fleets have that the days are drawn for. A coordinator
 /// of a larger one sees no more traffic.
-pub const MOST: usize = 200;
+pub const SUBSET_SIZE: usize = 200;
 
 /// Chosen ones of a cell at least, if it has so many: a shard may be held by one cell alone, and its parts need others to
 /// go to.
-pub const LEAST_IN_CELL: usize = 4;
+pub const MIN_PER_CELL: usize = 4;
 
 /// The ready replicas of a cell.
 #[derive(Debug, Default)]
@@ -52,7 +52,7 @@
     /// While it chooses: those that were announced, and not as gone.
     announced: BTreeSet<ReplicaId>,
     /// Replicas and cells gone through so far.
-    pub through: usize,
+    pub entries_visited: usize,
 }
 
 impl Subset {
@@ -60,7 +60,7 @@
     pub fn new(seed: u64, most: usize) -> Subset {
         let (known, cells, announced) = Default::default();
         let random = Pcg64Mcg::seed_from_u64(seed);
-        Subset { random, most, known, cells, ready: 0, chooses: false, announced, through: 0 }
+        Subset { random, most, known, cells, ready: 0, chooses: false, announced, entries_visited: 0 }
     }
 
     /// Take over news of the list; what of it is announced.
@@ -76,7 +76,7 @@
         let cells = self.cells.len();
         let mut changed: BTreeSet<CellId> = entries.iter().filter_map(|entry| self.place(entry)).collect();
         changed.extend(entries.iter().map(|e| e.cell));
-        self.through += entries.len();
+        self.entries_visited += entries.len();
         let chose = std::mem::replace(&mut self.chooses, self.ready > self.most);
         if !chose && !self.chooses {
             return entries;
@@ -98,7 +98,7 @@
             changed.extend(self.cells.keys());
         }
         changed.into_iter().for_each(|cell| self.fill(cell, &mut touched));
-        self.through += touched.len();
+        self.entries_visited += touched.len();
         let announced = touched.into_iter().filter_map(|id| self.announce(id)).collect();
         if !self.chooses {
             self.choose_none();
@@ -158,9 +158,9 @@
 
     /// Choose where a cell has room: for what has come, and in place of what has left.
     fn fill(&mut self, cell: CellId, touched: &mut BTreeSet<ReplicaId>) {
-        let share = self.most.div_ceil(self.cells.len().max(1)).max(LEAST_IN_CELL);
+        let share = self.most.div_ceil(self.cells.len().max(1)).max(MIN_PER_CELL);
         let share = if self.chooses { share } else { usize::MAX };
-        self.through += 1;
+        self.entries_visited += 1;
         let Some(cell) = self.cells.get_mut(&cell) else { return };
         while cell.chosen.len() < share {
             let Some((_, id)) = cell.spare.pop_first() else { break };
--- a/tests/settings.rs
+++ b/tests/settings.rs
@@ -31,7 +31,7 @@
 fn start(v: &Value) -> Result<Deployment, String> {
     let told = settings::parse(v.to_string().as_bytes()).map_err(|e| e.to_string())?;
     Balancer::new(told.settings.clone(), 1).map_err(|e| e.to_string())?;
-    Balancer::new(told.over_sockets(), 1).map_err(|e| e.to_string())?;
+    Balancer::new(told.with_default_tenant(), 1).map_err(|e| e.to_string())?;
     Ok(told)
 }
 
@@ -211,7 +211,7 @@
     // Either figure of the budget alone is one.
     let alone = served("/Safety/RepeatRatio", None).settings.retry_budget.expect("a budget");
     assert_eq!((alone.share, alone.free), (0.0, 3.0));
-    assert_eq!(served("/Tenants", None).over_sockets().tenants, Vec::new());
+    assert_eq!(served("/Tenants", None).with_default_tenant().tenants, Vec::new());
     let pushed = served("/Discovery", Some(json!("push")));
     assert_eq!(pushed.settings.discovery, Discovery::Push);
 }
@@ -235,17 +235,17 @@
 #[test]
 fn each_tenant_has_its_own_place_and_others_one_without_a_share() {
     let told = start(&told()).expect("served");
-    assert_eq!((told.tenant(Some("t")), told.tenant(Some("u"))), (TenantId(0), TenantId(1)));
+    assert_eq!((told.tenant_id(Some("t")), told.tenant_id(Some("u"))), (TenantId(0), TenantId(1)));
     for other in [None, Some(""), Some("T"), Some("nobody")] {
-        assert_eq!(told.tenant(other), TenantId(2), "{other:?}");
+        assert_eq!(told.tenant_id(other), TenantId(2), "{other:?}");
     }
-    assert_eq!(told.over_sockets().tenants[2].quota, 0.0);
-    assert_eq!(start(&with("/Tenants", None)).expect("served").tenant(Some("t")), TenantId(0));
+    assert_eq!(told.with_default_tenant().tenants[2].quota, 0.0);
+    assert_eq!(start(&with("/Tenants", None)).expect("served").tenant_id(Some("t")), TenantId(0));
 }
 
 /// How many of the queries of two tenants are admitted at once when there is room for few.
 fn admitted(flooding: u16, other: u16) -> (usize, usize) {
-    let mut settings = start(&told()).expect("served").over_sockets();
+    let mut settings = start(&told()).expect("served").with_default_tenant();
     settings.coordinators = 1;
     let mut balancer = Balancer::new(settings, 1).expect("served");
     let listed = |n| Endpoint {
--- a/tests/simulator_wire.rs
+++ b/tests/simulator_wire.rs
@@ -1,5 +1,5 @@
 //! The codec on bytes of our own making.
-use marlgap::simulator_wire::{serve, Host};
+use marlgap::simulator_wire::{serve, SimulatorHost};
 
 const SETTINGS: &str = r#"{"Classes": [{"AimS": 1.0, "DeadlineS": 2.0, "LateWorth": 0.0, "Semantics": "pure",
   "Worth": 1.0}], "FamilyInfo": {"ClassNeed": [1.0], "LeastShare": [1.0], "Positions": 1, "InARow": 1},
@@ -81,10 +81,10 @@
 
 #[test]
 fn a_query_is_sent_and_its_answer_given() {
-    let mut host = Host::default();
+    let mut host = SimulatorHost::default();
     let mut batch = Batch::default();
     batch.start(SETTINGS).list(9).query(40);
-    let reply = host.batch(batch.records.len() as u32, 1.0, &batch.body()).expect("served");
+    let reply = host.handle_batch(batch.records.len() as u32, 1.0, &batch.body()).expect("served");
     let records: Vec<&[u8]> = reply[8..].chunks(24).collect();
     assert_eq!(records[0][..3], [7, 3, 0]);
     let send = records.iter().find(|r| r[0] == 0).expect("a transmit");
@@ -94,7 +94,7 @@
     let mut batch = Batch::default();
     batch.record(11, &[(1, &[3, 0])]);
     batch.record(4, &[(1, &41u32.to_le_bytes()), (6, &[10, 18, 74, 7, 9, 0]), (14, &0.1f64.to_le_bytes())]);
-    let reply = host.batch(2, 1.1, &batch.body()).expect("served");
+    let reply = host.handle_batch(2, 1.1, &batch.body()).expect("served");
     let answer = reply[8..].chunks(24).find(|r| r[0] == 13).expect("an answer");
     assert_eq!((answer[1..5].to_vec(), answer[5]), (40u32.to_le_bytes().to_vec(), 1));
 }
@@ -103,21 +103,21 @@
 fn a_list_number_may_be_used_again_within_a_batch() {
     let mut batch = Batch::default();
     batch.start(SETTINGS).list(1).list(2).query(40);
-    let reply = Host::default().batch(batch.records.len() as u32, 1.0, &batch.body()).expect("served");
+    let reply = SimulatorHost::default().handle_batch(batch.records.len() as u32, 1.0, &batch.body()).expect("served");
     let send = reply[8..].chunks(24).find(|r| r[0] == 0).expect("a transmit");
     assert_eq!(send[9], 2, "the later full list stands");
 }
 
 #[test]
 fn a_crash_and_a_start_in_one_batch_leave_a_new_life() {
-    let mut host = Host::default();
+    let mut host = SimulatorHost::default();
     let mut batch = Batch::default();
     batch.start(SETTINGS).list(1);
-    host.batch(batch.records.len() as u32, 1.0, &batch.body()).expect("served");
+    host.handle_batch(batch.records.len() as u32, 1.0, &batch.body()).expect("served");
     let mut batch = Batch::default();
     batch.record(11, &[(1, &[3, 0])]).query(40).record(9, &[]);
     batch.start(SETTINGS);
-    let reply = host.batch(batch.records.len() as u32, 2.0, &batch.body()).expect("served");
+    let reply = host.handle_batch(batch.records.len() as u32, 2.0, &batch.body()).expect("served");
     assert!(reply[8..].chunks(24).all(|r| r[0] != 0), "the old life's query is forgotten");
 }
 
--- a/tests/subset.rs
+++ b/tests/subset.rs
@@ -2,7 +2,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 use marlgap::balancer::interface::*;
-use marlgap::subsetting::{Subset, LEAST_IN_CELL};
+use marlgap::subsetting::{Subset, MIN_PER_CELL};
 use proptest::prelude::*;
 
 const MOST: usize = 12;
@@ -79,7 +79,7 @@
             };
             let cells = (0..u64::from(CELLS)).filter(|cell| of_cell(&listed_ready, *cell) > 0).count();
             for cell in 0..u64::from(CELLS) {
-                let share = MOST.div_ceil(cells).max(LEAST_IN_CELL).min(of_cell(&listed_ready, cell));
+                let share = MOST.div_ceil(cells).max(MIN_PER_CELL).min(of_cell(&listed_ready, cell));
                 prop_assert!(of_cell(&chosen, cell) >= share, "cell {}", cell);
             }
             // Whoever was chosen and is ready still is; a new choice begins where all were worked with before.
@@ -112,13 +112,13 @@
 fn cost_of_a_change(listed: u64) -> usize {
     let mut subset = Subset::new(1, 200);
     subset.update(EndpointUpdate::Full, (0..listed).map(|n| entry(n, EndpointState::Ready, 0)).collect());
-    let before = subset.through;
+    let before = subset.entries_visited;
     for n in 0..20 {
         subset.update(EndpointUpdate::Delta, vec![entry(n, EndpointState::Draining, 0)]);
         subset.update(EndpointUpdate::Delta, vec![entry(n, EndpointState::Removed, 0)]);
         subset.update(EndpointUpdate::Delta, vec![entry(listed + n, EndpointState::Ready, 7)]);
     }
-    subset.through - before
+    subset.entries_visited - before
 }
 
 #[test]
