--- a/benches/scale/client.rs
+++ b/benches/scale/client.rs
@@ -82,9 +82,14 @@
         let executor = Rc::new(LocalExecutor::new());
         let descriptors = Rc::new(Descriptors::new(DESCRIPTORS));
         let nodes = DataNodes::new(told.clone(), descriptors, executor.clone(), log.clone());
-        let core =
-            Coordinator::new(told.with_default_tenant(), SEED, told.max_open, executor.clone(), nodes.clone())
-                .expect("the bench's own settings are sound");
+        let core = Coordinator::new(
+            told.with_default_tenant(),
+            SEED,
+            told.max_open,
+            executor.clone(),
+            nodes.clone(),
+        )
+        .expect("the bench's own settings are sound");
         let how = (told.settings.discovery, told.zones);
         // No configuration moves it.
         let (_, moves) = async_channel::bounded(1);
--- a/src/config/operator/mod.rs
+++ b/src/config/operator/mod.rs
@@ -73,7 +73,7 @@
     #[serde(default)]
     front: FrontLimits,
     #[serde(default)]
-    pool: connection_pool::Limits,
+    pool: connection_pool::PoolLimits,
 }
 
 /// Bounds of the gRPC front. Sizes are bytes, times seconds, rates a second for each connection.
@@ -156,7 +156,7 @@
     /// The rows that those were compiled from.
     pub rows: Vec<grpc_routing::Row>,
     pub front: FrontLimits,
-    pub pool: connection_pool::Limits,
+    pub pool: connection_pool::PoolLimits,
     /// The settings with a class more for each effect that a route gives one of them.
     pub deployment: Rc<Deployment>,
 }
--- a/src/connection_pool/mod.rs
+++ b/src/connection_pool/mod.rs
@@ -16,7 +16,7 @@
 /// Bounds of the connections to one server. Times are seconds.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields, default)]
-pub struct Limits {
+pub struct PoolLimits {
     /// Connections that take calls, those coming up included.
     pub connections: usize,
     /// Calls on one connection at most, whatever its server allows.
@@ -39,9 +39,9 @@
     pub backoff_most_s: f64,
 }
 
-impl Default for Limits {
+impl Default for PoolLimits {
     fn default() -> Self {
-        Limits {
+        PoolLimits {
             connections: 4,
             streams: 100,
             waiting: 256,
@@ -56,7 +56,7 @@
     }
 }
 
-impl Limits {
+impl PoolLimits {
     /// The key at fault and what is wrong with it.
     pub fn check(&self) -> Result<(), (&'static str, String)> {
         let spans = [
@@ -97,38 +97,38 @@
 
 /// Where a call goes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Assign {
+pub enum Assignment {
     /// It has a place on this connection, until [`Pool::release`].
-    Take(ConnectionId),
+    Assigned(ConnectionId),
     /// Open this connection, and wait.
-    Open(ConnectionId),
+    Connect(ConnectionId),
     /// Ask again when something has changed.
     Wait,
     /// The server wants nothing new.
     NotReady,
     /// Connects failed lately; none is tried before then.
-    Resting(Instant),
+    BackingOff(Instant),
     /// As many calls wait as may.
-    Full,
+    QueueFull,
 }
 
 /// What is to be done with a connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Do {
+pub enum PoolAction {
     Ping(ConnectionId),
-    Close(ConnectionId, Why),
+    Close(ConnectionId, CloseReason),
 }
 
 /// Why a connection is closed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Why {
+pub enum CloseReason {
     Idle,
     /// It answered no PING.
-    Silent,
+    KeepaliveTimeout,
     /// It drained, and its last call has ended or has had its time.
     Drained,
     /// Its server is another process now, or at another place.
-    Moved,
+    ServerReplaced,
 }
 
 #[derive(Debug)]
@@ -156,21 +156,21 @@
 
 /// The connections to all servers.
 #[derive(Debug)]
-pub struct Pool {
-    limits: Limits,
+pub struct ConnectionPool {
+    limits: PoolLimits,
     servers: BTreeMap<ReplicaId, Server>,
     homes: BTreeMap<ConnectionId, ReplicaId>,
     last: u64,
 }
 
-impl Pool {
-    pub fn new(limits: Limits) -> Pool {
-        Pool { limits, servers: BTreeMap::new(), homes: BTreeMap::new(), last: 0 }
+impl ConnectionPool {
+    pub fn new(limits: PoolLimits) -> ConnectionPool {
+        ConnectionPool { limits, servers: BTreeMap::new(), homes: BTreeMap::new(), last: 0 }
     }
 
     /// A server's phase, as its records have it. One that is not ready gets nothing new from here on; what it is
     /// doing it may finish.
-    pub fn phase(&mut self, now: Instant, server: ReplicaId, phase: EndpointState) {
+    pub fn set_server_state(&mut self, now: Instant, server: ReplicaId, phase: EndpointState) {
         let new = || Server { phase, failures: 0, rests: None, connections: BTreeMap::new() };
         let held = self.servers.entry(server).or_insert_with(new);
         held.phase = phase;
@@ -180,16 +180,16 @@
     }
 
     /// A server began a new life, or moved: its connections lead to a process that is no more.
-    pub fn moved(&mut self, server: ReplicaId) -> Vec<Do> {
+    pub fn server_replaced(&mut self, server: ReplicaId) -> Vec<PoolAction> {
         let Some(held) = self.servers.get_mut(&server) else { return Vec::new() };
         (held.failures, held.rests) = (0, None);
         let gone: Vec<_> = held.connections.keys().copied().collect();
         gone.iter().for_each(|id| self.forget(*id));
-        gone.into_iter().map(|id| Do::Close(id, Why::Moved)).collect()
+        gone.into_iter().map(|id| PoolAction::Close(id, CloseReason::ServerReplaced)).collect()
     }
 
     /// Forget a server that is gone and carries nothing.
-    pub fn remove(&mut self, server: ReplicaId) {
+    pub fn remove_server(&mut self, server: ReplicaId) {
         if self
             .servers
             .get(&server)
@@ -204,10 +204,10 @@
     /// The connection with the fewest calls takes it, one that was heard of before one that was asked for a sign
     /// of life. A new one is opened where none has a place and none is coming up, or fewer are than the waiting
     /// would fill.
-    pub fn assign(&mut self, now: Instant, server: ReplicaId, waiting: usize) -> Assign {
+    pub fn assign(&mut self, now: Instant, server: ReplicaId, waiting: usize) -> Assignment {
         let limits = &self.limits;
         let Some(held) = self.servers.get_mut(&server).filter(|s| s.phase == EndpointState::Ready) else {
-            return Assign::NotReady;
+            return Assignment::NotReady;
         };
         let free = held.connections.iter_mut().filter(|(_, c)| c.takes());
         if let Some((id, c)) = free.min_by_key(|(id, c)| (c.asked.is_some(), c.open, **id)) {
@@ -216,15 +216,15 @@
                 c.idle = now;
             }
             c.open += 1;
-            return Assign::Take(*id);
+            return Assignment::Assigned(*id);
         }
         if let Some(until) = held.rests.filter(|until| *until > now) {
-            return Assign::Resting(until);
+            return Assignment::BackingOff(until);
         }
         let taking = held.connections.values().filter(|c| c.draining.is_none()).count();
         let coming = held.connections.values().filter(|c| !c.up).count();
         if waiting >= limits.waiting {
-            return Assign::Full;
+            return Assignment::QueueFull;
         }
         if taking < limits.connections && waiting >= coming * limits.streams {
             self.last += 1;
@@ -233,9 +233,9 @@
             let c = Connection { up: false, limit, open, since: now, draining, heard: now, asked, idle: now };
             held.connections.insert(id, c);
             self.homes.insert(id, server);
-            return Assign::Open(id);
+            return Assignment::Connect(id);
         }
-        Assign::Wait
+        Assignment::Wait
     }
 
     /// A call's place is free again.
@@ -247,8 +247,8 @@
     }
 
     /// It came up; its server allows so many calls (SETTINGS_MAX_CONCURRENT_STREAMS, RFC 9113 6.5.2).
-    pub fn up(&mut self, now: Instant, id: ConnectionId, allowed: usize) {
-        self.allowed(id, allowed);
+    pub fn connected(&mut self, now: Instant, id: ConnectionId, allowed: usize) {
+        self.set_stream_limit(id, allowed);
         if let Some(server) = self.homes.get(&id).and_then(|s| self.servers.get_mut(s)) {
             (server.failures, server.rests) = (0, None);
         }
@@ -258,7 +258,7 @@
     }
 
     /// Its server changed how many calls it allows. Those under way stay (RFC 9113 5.1.2).
-    pub fn allowed(&mut self, id: ConnectionId, allowed: usize) {
+    pub fn set_stream_limit(&mut self, id: ConnectionId, allowed: usize) {
         let most = self.limits.streams;
         if let Some(c) = self.connection(id) {
             c.limit = allowed.min(most);
@@ -266,7 +266,7 @@
     }
 
     /// It did not come up. `chance`, from 0 to 1, spreads the rest that follows.
-    pub fn failed(&mut self, now: Instant, id: ConnectionId, chance: f64) {
+    pub fn connect_failed(&mut self, now: Instant, id: ConnectionId, chance: f64) {
         let (first, most) = (self.limits.backoff_s, self.limits.backoff_most_s);
         if let Some(server) = self.homes.get(&id).and_then(|s| self.servers.get_mut(s)) {
             let full = (first * 2f64.powi(server.failures.min(30) as i32)).min(most);
@@ -277,7 +277,7 @@
     }
 
     /// It is gone.
-    pub fn ended(&mut self, id: ConnectionId) {
+    pub fn closed(&mut self, id: ConnectionId) {
         self.forget(id);
     }
 
@@ -289,14 +289,14 @@
     }
 
     /// Something came on it: a header, data, or the answer to a PING.
-    pub fn heard(&mut self, now: Instant, id: ConnectionId) {
+    pub fn record_activity(&mut self, now: Instant, id: ConnectionId) {
         if let Some(c) = self.connection(id) {
             (c.heard, c.asked) = (now, None);
         }
     }
 
     /// What is due. To be called whenever [`Pool::due`] says.
-    pub fn tick(&mut self, now: Instant) -> Vec<Do> {
+    pub fn on_timer(&mut self, now: Instant) -> Vec<PoolAction> {
         let (limits, mut out) = (self.limits.clone(), Vec::new());
         for server in self.servers.values_mut() {
             for (id, c) in server.connections.iter_mut().filter(|(_, c)| c.up) {
@@ -304,23 +304,27 @@
                     c.drain(now);
                 }
                 let why = match (c.draining, c.asked) {
-                    (Some(_), _) if c.open == 0 => Some(Why::Drained),
-                    (Some(since), _) if now >= since + span(limits.drain_s) => Some(Why::Drained),
-                    (_, Some(asked)) if now >= asked + span(limits.ping_timeout_s) => Some(Why::Silent),
-                    (None, _) if c.open == 0 && now >= c.idle + span(limits.idle_s) => Some(Why::Idle),
+                    (Some(_), _) if c.open == 0 => Some(CloseReason::Drained),
+                    (Some(since), _) if now >= since + span(limits.drain_s) => Some(CloseReason::Drained),
+                    (_, Some(asked)) if now >= asked + span(limits.ping_timeout_s) => {
+                        Some(CloseReason::KeepaliveTimeout)
+                    }
+                    (None, _) if c.open == 0 && now >= c.idle + span(limits.idle_s) => {
+                        Some(CloseReason::Idle)
+                    }
                     _ => None,
                 };
                 if let Some(why) = why {
-                    out.push(Do::Close(*id, why));
+                    out.push(PoolAction::Close(*id, why));
                 } else if c.open > 0 && c.asked.is_none() && now >= c.heard.max(c.idle) + span(limits.ping_s)
                 {
                     c.asked = Some(now);
-                    out.push(Do::Ping(*id));
+                    out.push(PoolAction::Ping(*id));
                 }
             }
         }
         for act in &out {
-            if let Do::Close(id, _) = act {
+            if let PoolAction::Close(id, _) = act {
                 self.forget(*id);
             }
         }
@@ -328,7 +332,7 @@
     }
 
     /// When [`Pool::tick`] is due next.
-    pub fn due(&self) -> Option<Instant> {
+    pub fn next_timer(&self) -> Option<Instant> {
         let limits = &self.limits;
         let due = |c: &Connection| {
             let age = c.draining.is_none().then(|| c.since + span(limits.age_s));
@@ -346,13 +350,13 @@
     }
 
     /// Calls under way at a server, and connections to it.
-    pub fn load(&self, server: ReplicaId) -> (usize, usize) {
+    pub fn server_load(&self, server: ReplicaId) -> (usize, usize) {
         let held = self.servers.get(&server).map(|s| &s.connections);
         held.map_or((0, 0), |c| (c.values().map(|c| c.open).sum(), c.len()))
     }
 
     /// Connections in all.
-    pub fn connections(&self) -> usize {
+    pub fn connection_count(&self) -> usize {
         self.homes.len()
     }
 
--- a/src/net/data_nodes/exchange.rs
+++ b/src/net/data_nodes/exchange.rs
@@ -16,7 +16,7 @@
 use crate::net::invariants;
 use crate::net::socket::{self, ConnectError, Stream};
 use crate::net::timeout_at;
-use crate::send_policy::{SendDenied, SendConditions, MAX_FRAME_WRITE_TIME};
+use crate::send_policy::{SendConditions, SendDenied, MAX_FRAME_WRITE_TIME};
 
 /// Share of the time after which a data node would close an idle connection: we do it then. A request that
 /// crosses its close would end as a reset.
--- a/src/net/grpc/attempt.rs
+++ b/src/net/grpc/attempt.rs
@@ -19,7 +19,7 @@
 use super::status::{self, Code, Status};
 use super::wire::{self, Framer};
 use crate::balancer::interface::Outcome;
-use crate::connection_pool::Why;
+use crate::connection_pool::CloseReason;
 use crate::coordinator::{AttemptResult, Call, CancellationToken};
 use crate::net::invariants;
 use crate::send_policy::SendConditions;
@@ -108,7 +108,7 @@
         let down = async {
             let answer = answer.await.map_err(|e| self.broken(&place, &e, false))?;
             heard.set(true);
-            self.pool.borrow_mut().heard(Instant::now(), place.id);
+            self.pool.borrow_mut().record_activity(Instant::now(), place.id);
             self.answer(&place, call, exchange, answer).await
         };
         down.or(up).await
@@ -181,7 +181,7 @@
         let mut first = Some(BytesMut::new());
         while let Some(data) = body.data().await {
             let data = data.map_err(|e| self.broken(place, &e, true))?;
-            self.pool.borrow_mut().heard(Instant::now(), place.id);
+            self.pool.borrow_mut().record_activity(Instant::now(), place.id);
             let length = data.len();
             framer.follow(&data).map_err(Broken::malformed)?;
             match &mut first {
@@ -261,7 +261,7 @@
     fn broken(&self, place: &Place, e: &h2::Error, begun: bool) -> Broken {
         let said = |what: &str| format!("{what}: {e}");
         match e.reason() {
-            _ if place.link.closed.get().is_some_and(|why| why != Why::Moved) => {
+            _ if place.link.closed.get().is_some_and(|why| why != CloseReason::ServerReplaced) => {
                 Broken::new(Code::Unavailable, "the connection was given up", Outcome::ConnectionLost)
             }
             Some(_) if e.is_go_away() && e.is_remote() && !begun => {
--- a/src/net/grpc/servers.rs
+++ b/src/net/grpc/servers.rs
@@ -22,7 +22,7 @@
 use crate::balancer::interface::*;
 use crate::config::operator::FrontLimits;
 use crate::config::settings::ConnectionSettings;
-use crate::connection_pool::{Assign, ConnectionId, Do, Limits, Pool, Why};
+use crate::connection_pool::{Assignment, CloseReason, ConnectionId, ConnectionPool, PoolAction, PoolLimits};
 use crate::coordinator::{AttemptResult, Call, CancellationToken, Clock, Transport};
 use crate::net::dns_sd::watcher::{Book, Change, Follows};
 use crate::net::dns_sd::zone_file::Server;
@@ -38,7 +38,7 @@
     pub(super) send: RefCell<Option<SendRequest<Bytes>>>,
     ask: Cell<bool>,
     /// Why we closed it, if we did.
-    pub(super) closed: Cell<Option<Why>>,
+    pub(super) closed: Cell<Option<CloseReason>>,
     wake: Wake,
 }
 
@@ -56,7 +56,7 @@
 
 pub struct Servers {
     book: RefCell<Book>,
-    pub(super) pool: RefCell<Pool>,
+    pub(super) pool: RefCell<ConnectionPool>,
     links: RefCell<BTreeMap<ConnectionId, Rc<Link>>>,
     /// Calls that wait for a place, by server.
     waiting: RefCell<BTreeMap<ReplicaId, usize>>,
@@ -79,11 +79,11 @@
             let mut pool = self.pool.borrow_mut();
             let (acts, phase) = match change {
                 Change::Listed(phase) => (Vec::new(), phase),
-                Change::Moved(phase) => (pool.moved(replica), phase),
+                Change::Moved(phase) => (pool.server_replaced(replica), phase),
                 Change::Gone => (Vec::new(), EndpointState::Removed),
             };
-            pool.phase(now, replica, phase);
-            pool.remove(replica);
+            pool.set_server_state(now, replica, phase);
+            pool.remove_server(replica);
             drop(pool);
             acts.into_iter().for_each(|act| self.act(act));
         }
@@ -95,14 +95,14 @@
 impl Servers {
     pub fn new(
         sockets: ConnectionSettings,
-        pool: Limits,
+        pool: PoolLimits,
         limits: FrontLimits,
         room: usize,
         seed: u64,
         executor: Rc<LocalExecutor<'static>>,
         log: Logger,
     ) -> Rc<Self> {
-        let pool = RefCell::new(Pool::new(pool));
+        let pool = RefCell::new(ConnectionPool::new(pool));
         let rng = RefCell::new(Pcg64Mcg::seed_from_u64(seed));
         let (book, links, waiting, changed, said) = Default::default();
         Rc::new(Servers {
@@ -123,7 +123,7 @@
 
     /// Connections to servers, those coming up included.
     pub fn connections(&self) -> usize {
-        self.pool.borrow().connections()
+        self.pool.borrow().connection_count()
     }
 
     /// Carry out what is due for connections, for as long as the program runs.
@@ -136,19 +136,19 @@
                 }
             }
             Timer::at(Instant::now() + LOOK).await;
-            let acts = self.pool.borrow_mut().tick(Instant::now());
+            let acts = self.pool.borrow_mut().on_timer(Instant::now());
             acts.into_iter().for_each(|act| self.act(act));
         }
     }
 
-    fn act(&self, act: Do) {
-        let (Do::Ping(id) | Do::Close(id, _)) = act;
+    fn act(&self, act: PoolAction) {
+        let (PoolAction::Ping(id) | PoolAction::Close(id, _)) = act;
         let Some(link) = self.links.borrow().get(&id).cloned() else { return };
         match act {
-            Do::Ping(_) => link.ask.set(true),
-            Do::Close(_, why) => {
+            PoolAction::Ping(_) => link.ask.set(true),
+            PoolAction::Close(_, why) => {
                 if let Some(suppressed) =
-                    matches!(why, Why::Silent).then(|| self.log_limiter.permit()).flatten()
+                    matches!(why, CloseReason::KeepaliveTimeout).then(|| self.log_limiter.permit()).flatten()
                 {
                     info!(self.log, "connection to a server given up"; "why" => "no answer to a PING",
                         "connection" => id.0, "suppressed" => suppressed);
@@ -178,9 +178,9 @@
             let full = self.connections() >= self.room;
             let assigned = self.pool.borrow_mut().assign(now, replica, ahead);
             match assigned {
-                Assign::Take(id) => {
+                Assignment::Assigned(id) => {
                     let Some(link) = self.links.borrow().get(&id).cloned() else {
-                        self.pool.borrow_mut().ended(id);
+                        self.pool.borrow_mut().closed(id);
                         continue;
                     };
                     let mut place = Place { servers: self.clone(), id, link, send: None };
@@ -194,19 +194,19 @@
                         self.pool.borrow_mut().drain(Instant::now(), id);
                         continue;
                     };
-                    self.pool.borrow_mut().allowed(id, send.current_max_send_streams());
+                    self.pool.borrow_mut().set_stream_limit(id, send.current_max_send_streams());
                     place.send = Some(send);
                     return Ok(place);
                 }
-                Assign::Open(id) if full => {
-                    self.pool.borrow_mut().ended(id);
+                Assignment::Connect(id) if full => {
+                    self.pool.borrow_mut().closed(id);
                     return Err(Outcome::NeverSent);
                 }
-                Assign::Open(id) => self.open(id, address),
-                Assign::Wait => {}
-                Assign::NotReady => return Err(Outcome::NeverSent),
-                Assign::Resting(_) => return Err(Outcome::ConnectFailed),
-                Assign::Full => return Err(Outcome::Rejected),
+                Assignment::Connect(id) => self.open(id, address),
+                Assignment::Wait => {}
+                Assignment::NotReady => return Err(Outcome::NeverSent),
+                Assignment::BackingOff(_) => return Err(Outcome::ConnectFailed),
+                Assignment::QueueFull => return Err(Outcome::Rejected),
             }
             waiting.count();
             listener.await;
@@ -234,7 +234,7 @@
             None => {
                 debug!(self.log, "no connection"; "address" => %address);
                 let chance = f64::from(self.rng.borrow_mut().next_u32()) / f64::from(u32::MAX);
-                self.pool.borrow_mut().failed(Instant::now(), id, chance);
+                self.pool.borrow_mut().connect_failed(Instant::now(), id, chance);
             }
             Some((connection, mut pings)) => {
                 debug!(self.log, "connection up"; "address" => %address);
@@ -244,7 +244,7 @@
                         if pings.ping(Ping::opaque()).await.is_err() {
                             return std::future::pending::<()>().await;
                         }
-                        self.pool.borrow_mut().heard(Instant::now(), id);
+                        self.pool.borrow_mut().record_activity(Instant::now(), id);
                     }
                 };
                 let closed = async {
@@ -252,7 +252,7 @@
                 };
                 let carried = async { drop(connection.await) };
                 carried.or(closed).or(asked).await;
-                self.pool.borrow_mut().ended(id);
+                self.pool.borrow_mut().closed(id);
             }
         }
         link.send.take();
@@ -291,7 +291,7 @@
         ponged.or(broke).await?;
         let allowed = send.current_max_send_streams();
         *link.send.borrow_mut() = Some(send);
-        self.pool.borrow_mut().up(Instant::now(), id, allowed);
+        self.pool.borrow_mut().connected(Instant::now(), id, allowed);
         Some((connection, pings))
     }
 }
--- a/src/net/http_server/mod.rs
+++ b/src/net/http_server/mod.rs
@@ -195,7 +195,9 @@
     pub async fn write(&mut self, answer: &Answer, keep_alive: bool) -> bool {
         let wanted = !self.closing.begun.get() && !self.crowded.get() && self.seat.wanted();
         let another_begun = self.input.begins_another();
-        let ends = CloseConditions { keep_alive, server_keeps_alive: wanted, next_request_started: another_begun }.may_close();
+        let ends =
+            CloseConditions { keep_alive, server_keeps_alive: wanted, next_request_started: another_begun }
+                .may_close();
         self.send(answer, !ends, LEAVE, keep_alive).await
     }
 
--- a/src/net/opensearch/servers.rs
+++ b/src/net/opensearch/servers.rs
@@ -21,7 +21,7 @@
 use crate::net::invariants;
 use crate::net::socket::{self, ConnectError, Stream};
 use crate::net::timeout_at;
-use crate::send_policy::{SendPermit, SendConditions};
+use crate::send_policy::{SendConditions, SendPermit};
 
 const PROBE_WAIT: Duration = Duration::from_millis(250);
 /// Idle connections are closed this much before a server would.
--- a/src/send_policy/mod.rs
+++ b/src/send_policy/mod.rs
@@ -7,8 +7,8 @@
 mod start;
 
 pub use close::{check_close, CloseConditions};
-pub use send::{SendDenied, SendPermit, SendConditions, MAX_FRAME_WRITE_TIME, MAX_PROCESS_STALL};
-pub use start::{is_restart, estimate_start, StartObservation};
+pub use send::{SendConditions, SendDenied, SendPermit, MAX_FRAME_WRITE_TIME, MAX_PROCESS_STALL};
+pub use start::{estimate_start, is_restart, StartObservation};
 
 /// An invariant that was broken.
 #[derive(Clone, Debug, PartialEq, Eq)]
--- a/tests/grpc_decisions.rs
+++ b/tests/grpc_decisions.rs
@@ -6,7 +6,9 @@
 use bytes::Bytes;
 use marlgap::balancer::interface::{EndpointState, ReplicaId, ShardId};
 use marlgap::config::operator::{FrontLimits, OperatorConfig};
-use marlgap::connection_pool::{Assign, ConnectionId, Do, Limits, Pool, Why};
+use marlgap::connection_pool::{
+    Assignment, CloseReason, ConnectionId, ConnectionPool, PoolAction, PoolLimits,
+};
 use marlgap::grpc_routing::{field, first_message, stable_hash, Field, NoShard};
 use marlgap::net::grpc::guard::{Flood, Guard};
 use marlgap::net::grpc::replay::{Budget, Next, Replay};
@@ -144,10 +146,10 @@
     /// Any order of things that happen keeps the pool's bounds, and no call goes where none may.
     #[test]
     fn the_pool_keeps_its_bounds(steps in prop::collection::vec((0u8..12, 0u8..16, 0u8..100), 1..200)) {
-        let limits = Limits { connections: 2, streams: 3, waiting: 5, ..Limits::default() };
-        let mut pool = Pool::new(limits);
+        let limits = PoolLimits { connections: 2, streams: 3, waiting: 5, ..PoolLimits::default() };
+        let mut pool = ConnectionPool::new(limits);
         let (mut now, server) = (Instant::now(), |n: u8| ReplicaId(u64::from(n % 3)));
-        (0..3).for_each(|n| pool.phase(now, server(n), EndpointState::Ready));
+        (0..3).for_each(|n| pool.set_server_state(now, server(n), EndpointState::Ready));
         let mut phases = [EndpointState::Ready; 3];
         let mut coming: BTreeSet<ConnectionId> = BTreeSet::new();
         // What the server of each connection allows, and the calls that it carries.
@@ -158,7 +160,7 @@
             let some_up = || up.keys().nth(usize::from(a) % up.len().max(1)).copied();
             match what {
                 0..=3 => match pool.assign(now, server(a), usize::from(b % 7)) {
-                    Assign::Take(id) => {
+                    Assignment::Assigned(id) => {
                         let (allowed, open) = up.get_mut(&id).expect("it is up");
                         *open += 1;
                         prop_assert!(*open <= (*allowed).min(3), "over the limit");
@@ -166,22 +168,22 @@
                         prop_assert_eq!(homes[&id], server(a));
                         prop_assert_eq!(phases[usize::from(a % 3)], EndpointState::Ready);
                     }
-                    Assign::Open(id) => {
+                    Assignment::Connect(id) => {
                         prop_assert!(b % 7 < 5 && phases[usize::from(a % 3)] == EndpointState::Ready);
                         coming.insert(id);
                         homes.insert(id, server(a));
                     }
-                    Assign::NotReady => prop_assert!(phases[usize::from(a % 3)] != EndpointState::Ready),
-                    Assign::Full => prop_assert!(b % 7 >= 5),
-                    Assign::Resting(until) => prop_assert!(until > now && until <= now + Duration::from_secs(5)),
-                    Assign::Wait => {}
+                    Assignment::NotReady => prop_assert!(phases[usize::from(a % 3)] != EndpointState::Ready),
+                    Assignment::QueueFull => prop_assert!(b % 7 >= 5),
+                    Assignment::BackingOff(until) => prop_assert!(until > now && until <= now + Duration::from_secs(5)),
+                    Assignment::Wait => {}
                 },
                 4 => if let Some(id) = coming.pop_first() {
-                    pool.up(now, id, usize::from(b % 5));
+                    pool.connected(now, id, usize::from(b % 5));
                     up.insert(id, (usize::from(b % 5), 0));
                 },
                 5 => if let Some(id) = coming.pop_last() {
-                    pool.failed(now, id, f64::from(b) / 100.0);
+                    pool.connect_failed(now, id, f64::from(b) / 100.0);
                 },
                 6 => if let Some(id) = some_up() {
                     let (_, open) = up.get_mut(&id).expect("up");
@@ -195,32 +197,32 @@
                     draining.insert(id);
                 },
                 8 => if let Some(id) = some_up() {
-                    pool.ended(id);
+                    pool.closed(id);
                     up.remove(&id);
                 },
                 9 => {
                     let phase = [EndpointState::Ready, EndpointState::Draining, EndpointState::Removed][usize::from(b % 3)];
                     phases[usize::from(a % 3)] = phase;
-                    pool.phase(now, server(a), phase);
+                    pool.set_server_state(now, server(a), phase);
                     if phase != EndpointState::Ready {
                         draining.extend(homes.iter().filter(|(_, s)| **s == server(a)).map(|(id, _)| *id));
                     }
                 }
                 10 => if let Some(id) = some_up() {
-                    pool.allowed(id, usize::from(b % 4));
+                    pool.set_stream_limit(id, usize::from(b % 4));
                     up.get_mut(&id).expect("up").0 = usize::from(b % 4);
                 },
                 _ => {
                     now += Duration::from_millis(u64::from(b) * 10);
-                    let due = pool.due();
-                    let acts = pool.tick(now);
+                    let due = pool.next_timer();
+                    let acts = pool.on_timer(now);
                     prop_assert!(acts.is_empty() || due.is_some_and(|d| d <= now), "nothing is done before it is due");
                     for act in acts {
                         match act {
-                            Do::Ping(id) => prop_assert!(up[&id].1 > 0, "asked though it owes nothing"),
-                            Do::Close(id, why) => {
+                            PoolAction::Ping(id) => prop_assert!(up[&id].1 > 0, "asked though it owes nothing"),
+                            PoolAction::Close(id, why) => {
                                 let (_, open) = up.remove(&id).expect("it is up");
-                                prop_assert!(open == 0 || matches!(why, Why::Silent | Why::Drained));
+                                prop_assert!(open == 0 || matches!(why, CloseReason::KeepaliveTimeout | CloseReason::Drained));
                             }
                         }
                     }
@@ -234,40 +236,40 @@
 
 #[test]
 fn a_silent_connection_is_asked_then_given_up_and_others_are_preferred_meanwhile() {
-    let mut pool = Pool::new(Limits { connections: 2, streams: 1, ..Limits::default() });
+    let mut pool = ConnectionPool::new(PoolLimits { connections: 2, streams: 1, ..PoolLimits::default() });
     let (server, at) = (ReplicaId(1), |ms: u64| Duration::from_millis(ms));
     let start = Instant::now();
-    pool.phase(start, server, EndpointState::Ready);
-    let Assign::Open(first) = pool.assign(start, server, 0) else { panic!("none") };
-    assert_eq!(pool.assign(start, server, 0), Assign::Wait, "one is coming up");
-    pool.up(start, first, 10);
-    assert_eq!(pool.assign(start, server, 0), Assign::Take(first));
-    let Assign::Open(second) = pool.assign(start, server, 0) else { panic!("the first is full") };
-    pool.up(start, second, 10);
-    assert_eq!(pool.tick(start + at(499)), []);
-    assert_eq!(pool.due(), Some(start + at(500)));
-    assert_eq!(pool.tick(start + at(500)), [Do::Ping(first)]);
-    pool.heard(start + at(600), first);
-    assert_eq!(pool.tick(start + at(1100)), [Do::Ping(first)]);
+    pool.set_server_state(start, server, EndpointState::Ready);
+    let Assignment::Connect(first) = pool.assign(start, server, 0) else { panic!("none") };
+    assert_eq!(pool.assign(start, server, 0), Assignment::Wait, "one is coming up");
+    pool.connected(start, first, 10);
+    assert_eq!(pool.assign(start, server, 0), Assignment::Assigned(first));
+    let Assignment::Connect(second) = pool.assign(start, server, 0) else { panic!("the first is full") };
+    pool.connected(start, second, 10);
+    assert_eq!(pool.on_timer(start + at(499)), []);
+    assert_eq!(pool.next_timer(), Some(start + at(500)));
+    assert_eq!(pool.on_timer(start + at(500)), [PoolAction::Ping(first)]);
+    pool.record_activity(start + at(600), first);
+    assert_eq!(pool.on_timer(start + at(1100)), [PoolAction::Ping(first)]);
     // Asked and silent: the other one takes what comes, then this one is given up.
     pool.release(start + at(1100), first);
-    assert_eq!(pool.assign(start + at(1200), server, 0), Assign::Take(second));
-    assert_eq!(pool.assign(start + at(1200), server, 0), Assign::Take(first));
-    assert_eq!(pool.tick(start + at(1600)), [Do::Close(first, Why::Silent)]);
+    assert_eq!(pool.assign(start + at(1200), server, 0), Assignment::Assigned(second));
+    assert_eq!(pool.assign(start + at(1200), server, 0), Assignment::Assigned(first));
+    assert_eq!(pool.on_timer(start + at(1600)), [PoolAction::Close(first, CloseReason::KeepaliveTimeout)]);
     // A drain lets what is under way end, in time.
-    pool.phase(start + at(1700), server, EndpointState::Draining);
-    assert_eq!(pool.assign(start + at(1700), server, 0), Assign::NotReady);
-    pool.heard(start + at(1700), second);
+    pool.set_server_state(start + at(1700), server, EndpointState::Draining);
+    assert_eq!(pool.assign(start + at(1700), server, 0), Assignment::NotReady);
+    pool.record_activity(start + at(1700), second);
     pool.release(start + at(1800), second);
-    assert_eq!(pool.tick(start + at(1800)), [Do::Close(second, Why::Drained)]);
+    assert_eq!(pool.on_timer(start + at(1800)), [PoolAction::Close(second, CloseReason::Drained)]);
     // Failed connects rest for longer each time, by chance within their second half.
-    pool.phase(start, server, EndpointState::Ready);
+    pool.set_server_state(start, server, EndpointState::Ready);
     let mut rests = Vec::new();
     for chance in [0.0, 0.0, 0.0, 1.0] {
         let now = start + at(60_000 * (rests.len() as u64 + 1));
-        let Assign::Open(id) = pool.assign(now, server, 0) else { panic!("rested") };
-        pool.failed(now, id, chance);
-        let Assign::Resting(until) = pool.assign(now, server, 0) else { panic!("rests") };
+        let Assignment::Connect(id) = pool.assign(now, server, 0) else { panic!("rested") };
+        pool.connect_failed(now, id, chance);
+        let Assignment::BackingOff(until) = pool.assign(now, server, 0) else { panic!("rests") };
         rests.push((until - now).as_millis());
     }
     assert_eq!(rests, [50, 100, 200, 800]);
--- a/tests/simulator_wire.rs
+++ b/tests/simulator_wire.rs
@@ -103,7 +103,9 @@
 fn a_list_number_may_be_used_again_within_a_batch() {
     let mut batch = Batch::default();
     batch.start(SETTINGS).list(1).list(2).query(40);
-    let reply = SimulatorHost::default().handle_batch(batch.records.len() as u32, 1.0, &batch.body()).expect("served");
+    let reply = SimulatorHost::default()
+        .handle_batch(batch.records.len() as u32, 1.0, &batch.body())
+        .expect("served");
     let send = reply[8..].chunks(24).find(|r| r[0] == 0).expect("a transmit");
     assert_eq!(send[9], 2, "the later full list stands");
 }
