--- a/src/net/grpc/attempt.rs
+++ b/src/net/grpc/attempt.rs
@@ -19,7 +19,7 @@
 use super::status::{self, Code, Status};
 use super::wire::{self, Framer};
 use crate::balancer::interface::Outcome;
-use crate::connection_pool::Why;
+use crate::connection_pool::CloseReason;
 use crate::coordinator::{AttemptResult, Call, CancellationToken};
 use crate::net::invariants;
 use crate::send_policy::SendConditions;
@@ -82,10 +82,10 @@
         let conditions = SendConditions {
             now,
             deadline: call.deadline,
-            transit: Duration::ZERO,
-            called_off: stop.is_cancelled(),
+            transit_time: Duration::ZERO,
+            cancelled: stop.is_cancelled(),
             replica_ready: ready.is_some(),
-            window_over: stop.too_late(now),
+            retry_window_closed: stop.too_late(now),
         };
         let (Some((address, _)), Ok(permit)) =
             (ready, conditions.permit().inspect_err(|denied| invariants::denied(*denied)))
@@ -95,7 +95,7 @@
         let Some(mut send) = place.send.take() else {
             return Err(Broken::new(Code::Unavailable, "no connection", Outcome::ConnectFailed));
         };
-        let request = head(exchange, address, permit.left());
+        let request = head(exchange, address, permit.time_left());
         let request = request.map_err(|e| Broken::new(Code::Internal, e.to_string(), Outcome::NeverSent))?;
         let (answer, body) = send.send_request(request, false).map_err(|e| self.broken(&place, &e, false))?;
         drop(send);
@@ -108,7 +108,7 @@
         let down = async {
             let answer = answer.await.map_err(|e| self.broken(&place, &e, false))?;
             heard.set(true);
-            self.pool.borrow_mut().heard(Instant::now(), place.id);
+            self.pool.borrow_mut().record_activity(Instant::now(), place.id);
             self.answer(&place, call, exchange, answer).await
         };
         down.or(up).await
@@ -181,7 +181,7 @@
         let mut first = Some(BytesMut::new());
         while let Some(data) = body.data().await {
             let data = data.map_err(|e| self.broken(place, &e, true))?;
-            self.pool.borrow_mut().heard(Instant::now(), place.id);
+            self.pool.borrow_mut().record_activity(Instant::now(), place.id);
             let length = data.len();
             framer.follow(&data).map_err(Broken::malformed)?;
             match &mut first {
@@ -261,7 +261,7 @@
     fn broken(&self, place: &Place, e: &h2::Error, begun: bool) -> Broken {
         let said = |what: &str| format!("{what}: {e}");
         match e.reason() {
-            _ if place.link.closed.get().is_some_and(|why| why != Why::Moved) => {
+            _ if place.link.closed.get().is_some_and(|why| why != CloseReason::ServerReplaced) => {
                 Broken::new(Code::Unavailable, "the connection was given up", Outcome::ConnectionLost)
             }
             Some(_) if e.is_go_away() && e.is_remote() && !begun => {
