--- a/src/main.rs
+++ b/src/main.rs
@@ -23,7 +23,7 @@
 use marlgap::net::data_nodes::DataNodes;
 use marlgap::net::descriptors::Descriptors;
 use marlgap::net::discovery::Discovery;
-use marlgap::net::http_server::{Acceptor, GracefulShutdown, STILL_COMING};
+use marlgap::net::http_server::{Acceptor, GracefulShutdown, ACCEPT_GRACE};
 use marlgap::net::platform_api::PlatformApi;
 use marlgap::net::{grpc, invariants, opensearch, socket, timeout_at};
 use signals::{Request, SignalHandlers};
@@ -184,10 +184,10 @@
         };
     }
     let told_at = Instant::now();
-    closing.begin(told_at, platform_longest);
-    let held: usize = accepted.iter().map(|(a, _)| a.held()).sum();
+    closing.start_draining(told_at, platform_longest);
+    let held: usize = accepted.iter().map(|(a, _)| a.open_connections()).sum();
     info!(log, "stopping"; "connections" => held);
-    Timer::at(told_at + STILL_COMING).await;
+    Timer::at(told_at + ACCEPT_GRACE).await;
     closing.stop_keep_alive();
     if let Some(fleet) = &fleet {
         fleet.leave();
@@ -195,9 +195,9 @@
     let ended = async {
         for (acceptor, task) in accepted {
             task.await;
-            while acceptor.held() > 0 {
-                let freed = acceptor.freed.listen();
-                if acceptor.held() > 0 {
+            while acceptor.open_connections() > 0 {
+                let freed = acceptor.connection_closed.listen();
+                if acceptor.open_connections() > 0 {
                     freed.await;
                 }
             }
@@ -208,7 +208,7 @@
         }
     };
     // Guards the end against clients that don't read: SIGKILL would come before it.
-    let whole = match closing.end() {
+    let whole = match closing.exit_deadline() {
         Some(end) => timeout_at(end, ended).await.is_some(),
         None => {
             ended.await;
--- a/src/net/grpc/front.rs
+++ b/src/net/grpc/front.rs
@@ -38,7 +38,7 @@
 use crate::config::settings::Deployment;
 use crate::coordinator::{Coordinator, Query, QueryOutcome};
 use crate::grpc_routing::{self, Route, Routes};
-use crate::net::http_server::{Client, GracefulShutdown};
+use crate::net::http_server::{ClientConnection, GracefulShutdown};
 use crate::net::{timeout_at, LogRateLimiter};
 
 /// How long the end of a connection, or of a call, may take to leave.
@@ -117,7 +117,7 @@
 impl Front {
     /// The life of a client's connection: its calls are served side by side until it ends, is idle for long, floods
     /// us, has to make way, or the program stops.
-    pub async fn serve(self: Rc<Self>, client: Client) {
+    pub async fn serve(self: Rc<Self>, client: ClientConnection) {
         let alarm = Rc::new(Alarm::default());
         let limits = &self.limits;
         let guarded = Guarded { stream: client.stream(), guard: Guard::new(limits), alarm: alarm.clone() };
@@ -130,7 +130,7 @@
             .max_concurrent_reset_streams(limits.streams as usize)
             .max_pending_accept_reset_streams(limits.streams as usize)
             .max_send_buffer_size(limits.window as usize);
-        let latest = client.accepted() + span(limits.handshake_s);
+        let latest = client.accepted_at() + span(limits.handshake_s);
         let unwanted = async {
             client.unwanted().await;
             None
@@ -141,7 +141,7 @@
         let calls = Rc::new(Calls::default());
         let mut ending = false;
         loop {
-            client.busy(calls.open.get() > 0);
+            client.set_busy(calls.open.get() > 0);
             enum Next {
                 Call(Box<(Request<RecvStream>, SendResponse<Bytes>)>),
                 Ended,
@@ -174,7 +174,7 @@
                 };
                 let stopping = async {
                     match ending {
-                        false => self.closing.told().await,
+                        false => self.closing.drain_started().await,
                         true => std::future::pending().await,
                     }
                 };
--- a/src/net/grpc/front/checks.rs
+++ b/src/net/grpc/front/checks.rs
@@ -62,7 +62,7 @@
             }
         };
         let state =
-            || health::state(&asked, &table.routes, self.coordinator.ready(), self.closing.begun.get());
+            || health::state(&asked, &table.routes, self.coordinator.ready(), self.closing.draining.get());
         match path.strip_prefix(health::SERVICE) {
             Some("Check") => match health::check(state()) {
                 Ok(message) => {
@@ -90,7 +90,7 @@
                             return;
                         }
                     }
-                    if self.closing.begun.get() {
+                    if self.closing.draining.get() {
                         return client.end(wire::trailers(&Status::new(Code::Unavailable, "stopping")));
                     }
                     // Seldom enough to cost nothing, often enough for a balancer in front of us.
--- a/src/net/http_server/acceptor.rs
+++ b/src/net/http_server/acceptor.rs
@@ -12,7 +12,7 @@
 use futures_lite::FutureExt;
 use slog::{warn, Logger};
 
-use super::{Client, GracefulShutdown};
+use super::{ClientConnection, GracefulShutdown};
 use crate::net::descriptors::Descriptors;
 use crate::net::socket::{self, Accepted, Stream};
 use crate::net::{timeout_at, LogRateLimiter};
@@ -30,7 +30,7 @@
 
 /// What a connection is doing, the first to be closed for room first.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-pub(super) enum Doing {
+pub(super) enum ConnectionActivity {
     /// Its last answer is written, or it was told that it ends.
     Leaving,
     /// Its first request is not in.
@@ -43,7 +43,7 @@
 
 /// What a connection was told for the sake of others.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-enum Told {
+enum EvictionNotice {
     Nothing,
     /// End it as soon as nothing is asked on it.
     MakeWay,
@@ -52,20 +52,20 @@
 }
 
 /// A connection in the acceptor's book.
-pub(super) struct Seat {
-    doing: Cell<Doing>,
+pub(super) struct ConnectionSlot {
+    doing: Cell<ConnectionActivity>,
     since: Cell<Instant>,
-    told: Cell<Told>,
+    told: Cell<EvictionNotice>,
     told_at: Cell<Instant>,
     wake: Wake,
 }
 
-impl Seat {
-    pub(super) fn doing(&self) -> Doing {
+impl ConnectionSlot {
+    pub(super) fn doing(&self) -> ConnectionActivity {
         self.doing.get()
     }
 
-    pub(super) fn set(&self, doing: Doing) {
+    pub(super) fn set(&self, doing: ConnectionActivity) {
         self.doing.set(doing);
         self.since.set(Instant::now());
     }
@@ -74,28 +74,28 @@
     fn spare(&self) -> Option<Instant> {
         let since = self.since.get();
         match (self.doing.get(), self.told.get()) {
-            (Doing::Working, _) | (_, Told::Close) => None,
-            (Doing::Leaving, _) => Some(since + DRAINED),
-            (_, Told::MakeWay) => None,
-            (Doing::Mute, _) => Some(since + MUTE),
-            (Doing::Resting, _) => Some(since + RESTED),
+            (ConnectionActivity::Working, _) | (_, EvictionNotice::Close) => None,
+            (ConnectionActivity::Leaving, _) => Some(since + DRAINED),
+            (_, EvictionNotice::MakeWay) => None,
+            (ConnectionActivity::Mute, _) => Some(since + MUTE),
+            (ConnectionActivity::Resting, _) => Some(since + RESTED),
         }
     }
 
     /// Whether it was told just now, and has only to do it. A front that reads by itself may take longer.
     fn ending(&self, now: Instant) -> bool {
         let fresh = now < self.told_at.get() + LOOK;
-        fresh && self.told.get() == Told::MakeWay && self.doing.get() != Doing::Working
+        fresh && self.told.get() == EvictionNotice::MakeWay && self.doing.get() != ConnectionActivity::Working
     }
 
     fn tell(&self, now: Instant) {
         self.told_at.set(now);
-        let leaving = self.doing.get() == Doing::Leaving;
-        self.told.set(if leaving { Told::Close } else { Told::MakeWay });
+        let leaving = self.doing.get() == ConnectionActivity::Leaving;
+        self.told.set(if leaving { EvictionNotice::Close } else { EvictionNotice::MakeWay });
         self.wake.notify(usize::MAX);
     }
 
-    async fn told(&self, least: Told) {
+    async fn told(&self, least: EvictionNotice) {
         while self.told.get() < least {
             let listener = self.wake.listen();
             if self.told.get() < least {
@@ -105,15 +105,15 @@
     }
 
     pub(super) fn wanted(&self) -> bool {
-        self.told.get() == Told::Nothing
+        self.told.get() == EvictionNotice::Nothing
     }
 
     pub(super) async fn unwanted(&self) {
-        self.told(Told::MakeWay).await;
+        self.told(EvictionNotice::MakeWay).await;
     }
 
     pub(super) async fn closed(&self) {
-        self.told(Told::Close).await;
+        self.told(EvictionNotice::Close).await;
     }
 }
 
@@ -121,10 +121,10 @@
 pub struct Acceptor {
     executor: Rc<LocalExecutor<'static>>,
     closing: Rc<GracefulShutdown>,
-    seats: RefCell<BTreeMap<u64, Rc<Seat>>>,
+    seats: RefCell<BTreeMap<u64, Rc<ConnectionSlot>>>,
     /// Connections that were accepted so far.
     accepted: Cell<u64>,
-    pub freed: Wake,
+    pub connection_closed: Wake,
     descriptors: Rc<Descriptors>,
     /// Three quarters of the room are taken.
     crowded: Rc<Cell<bool>>,
@@ -145,7 +145,7 @@
             closing,
             seats,
             accepted,
-            freed,
+            connection_closed: freed,
             descriptors,
             crowded,
             log,
@@ -154,13 +154,13 @@
     }
 
     /// Connections that are being served.
-    pub fn held(&self) -> usize {
+    pub fn open_connections(&self) -> usize {
         self.seats.borrow().len()
     }
 
     fn count(&self) {
-        self.descriptors.hold(self.held());
-        self.crowded.set(4 * self.held() >= 3 * self.descriptors.most_clients());
+        self.descriptors.hold(self.open_connections());
+        self.crowded.set(4 * self.open_connections() >= 3 * self.descriptors.most_clients());
     }
 
     /// Tell one to make way, the longest first, or to be drained no longer; for how long to wait for it then. While
@@ -170,7 +170,7 @@
         let ending = seats.values().any(|s| s.ending(now));
         let spare = seats.values().filter(|s| s.spare().is_some_and(|at| at <= now));
         let first = spare.min_by_key(|s| (s.doing.get(), s.since.get()));
-        match first.filter(|s| !ending || s.doing.get() == Doing::Leaving) {
+        match first.filter(|s| !ending || s.doing.get() == ConnectionActivity::Leaving) {
             Some(seat) => seat.tell(now),
             None if !ending => return LOOK,
             None => {}
@@ -179,22 +179,25 @@
     }
 
     fn full(&self) -> bool {
-        self.held() >= self.descriptors.most_clients() && !self.closing.is_idle()
+        self.open_connections() >= self.descriptors.most_clients() && !self.closing.is_idle()
     }
 
     /// Wait for room, and make it. Guards against clients that keep their connections and ask no more, or
     /// connect and say nothing: were they left to hold all there is, nobody else would be served.
     async fn room(&self) {
         while self.full() {
-            let (freed, now) = (self.freed.listen(), Instant::now());
+            let (freed, now) = (self.connection_closed.listen(), Instant::now());
             let wait = self.make_way(now);
             timeout_at(now + wait, freed.or(self.closing.idle())).await;
         }
     }
 
     /// Accept until idle connections are closed; what the machine took for us by then is served too.
-    pub async fn accept<F>(self: Rc<Self>, listener: Async<TcpListener>, serve: impl Fn(Client) -> F)
-    where
+    pub async fn accept<F>(
+        self: Rc<Self>,
+        listener: Async<TcpListener>,
+        serve: impl Fn(ClientConnection) -> F,
+    ) where
         F: Future<Output = ()> + 'static,
     {
         // Since when connections may have waited unseen; none: nobody waited at the last look.
@@ -237,27 +240,31 @@
     }
 
     /// Serve a connection that was accepted, by a task of its own. `unseen`: since when it may have waited for that.
-    fn seat<F>(self: &Rc<Self>, stream: Stream, unseen: Option<Instant>, serve: &impl Fn(Client) -> F)
-    where
+    fn seat<F>(
+        self: &Rc<Self>,
+        stream: Stream,
+        unseen: Option<Instant>,
+        serve: &impl Fn(ClientConnection) -> F,
+    ) where
         F: Future<Output = ()> + 'static,
     {
         stream.set_nodelay();
         let now = Instant::now();
-        let (doing, since, told_at) = (Cell::new(Doing::Mute), Cell::new(now), Cell::new(now));
-        let (told, wake) = (Cell::new(Told::Nothing), Wake::new());
-        let seat = Rc::new(Seat { doing, since, told, told_at, wake });
+        let (doing, since, told_at) = (Cell::new(ConnectionActivity::Mute), Cell::new(now), Cell::new(now));
+        let (told, wake) = (Cell::new(EvictionNotice::Nothing), Wake::new());
+        let seat = Rc::new(ConnectionSlot { doing, since, told, told_at, wake });
         let number = self.accepted.get();
         self.accepted.set(number + 1);
         self.seats.borrow_mut().insert(number, seat.clone());
         self.count();
         let (closing, crowded) = (self.closing.clone(), self.crowded.clone());
-        let served = serve(Client::new(stream, seat, closing, crowded, now, unseen.unwrap_or(now)));
+        let served = serve(ClientConnection::new(stream, seat, closing, crowded, now, unseen.unwrap_or(now)));
         let acceptor = self.clone();
         let life = async move {
             served.await;
             acceptor.seats.borrow_mut().remove(&number);
             acceptor.count();
-            acceptor.freed.notify(1);
+            acceptor.connection_closed.notify(1);
         };
         self.executor.spawn(life).detach();
     }
--- a/src/net/http_server/closing.rs
+++ b/src/net/http_server/graceful_shutdown.rs
@@ -17,17 +17,17 @@
 const OVER_SOCKETS: Duration = Duration::from_millis(50);
 /// How long after SIGTERM connections are accepted, and rest: one that came last has its request in by then, and
 /// a query of the longest deadline taken then is still over before `LAST` begins.
-pub const STILL_COMING: Duration = NEW.saturating_add(OVER_SOCKETS);
+pub const ACCEPT_GRACE: Duration = NEW.saturating_add(OVER_SOCKETS);
 /// The time before SIGKILL in which nothing is waited for any more: answers leave, and the program ends. Guards what was
 /// taken against a process that is held up just then: half of the rest behind that is for its answers.
 const LAST: Duration = Duration::from_millis(240);
 const _: () = assert!(HELD_UP.as_millis() + OVER_SOCKETS.as_millis() < LAST.as_millis());
-const _: () = assert!(STILL_COMING.as_millis() + LAST.as_millis() < LATE.as_millis());
+const _: () = assert!(ACCEPT_GRACE.as_millis() + LAST.as_millis() < LATE.as_millis());
 
 #[derive(Default)]
 pub struct GracefulShutdown {
     /// No new work is wanted: answers say that the connection closes.
-    pub begun: Cell<bool>,
+    pub draining: Cell<bool>,
     /// Connections between requests are closed.
     idle: Cell<bool>,
     /// Until when the rest of a request may come in, and until when one that was taken is worked at.
@@ -38,8 +38,8 @@
 
 impl GracefulShutdown {
     /// SIGTERM came at `now`. Where SIGKILL goes by it, `longest` is the longest deadline of all classes.
-    pub fn begin(&self, now: Instant, longest: Option<Duration>) {
-        self.begun.set(true);
+    pub fn start_draining(&self, now: Instant, longest: Option<Duration>) {
+        self.draining.set(true);
         self.late.set(Some(now + LATE));
         self.over.set(longest.map(|longest| now + longest.min(COUNTED) + LATE - LAST));
         self.wake.notify(usize::MAX);
@@ -61,8 +61,8 @@
     }
 
     /// Resolves once no new work is wanted.
-    pub async fn told(&self) {
-        self.until(|| self.begun.get()).await;
+    pub async fn drain_started(&self) {
+        self.until(|| self.draining.get()).await;
     }
 
     pub(super) async fn idle(&self) {
@@ -87,17 +87,17 @@
 
     /// Resolves once what was taken has to be answered, finished or not. Guards against a query with more time
     /// than SIGKILL leaves us: it would get no answer at all.
-    pub async fn over(&self) {
+    pub async fn answer_deadline_passed(&self) {
         self.at(&self.over).await;
     }
 
     /// A deadline, cut to the time that is left.
-    pub fn cut(&self, deadline: Instant) -> Instant {
+    pub fn limit_deadline(&self, deadline: Instant) -> Instant {
         self.over.get().map_or(deadline, |over| deadline.min(over))
     }
 
     /// By when the program is to have ended.
-    pub fn end(&self) -> Option<Instant> {
+    pub fn exit_deadline(&self) -> Option<Instant> {
         self.over.get().map(|over| over + LAST / 2)
     }
 }
--- a/src/net/http_server/mod.rs
+++ b/src/net/http_server/mod.rs
@@ -1,6 +1,6 @@
 //! What both fronts share: accepting clients, reading their requests and writing their answers.
 mod acceptor;
-mod closing;
+mod graceful_shutdown;
 mod input;
 
 use std::cell::Cell;
@@ -9,7 +9,7 @@
 
 use futures_lite::{AsyncWriteExt, FutureExt};
 
-use self::acceptor::{Doing, Seat};
+use self::acceptor::{ConnectionActivity, ConnectionSlot};
 use self::input::Input;
 use super::buffer::Buffer;
 use super::http::{self, Answer, HttpError, Kind, Message, Reader};
@@ -18,7 +18,7 @@
 use super::timeout_at;
 use crate::send_policy::{self, Answered};
 pub use acceptor::Acceptor;
-pub use closing::{GracefulShutdown, STILL_COMING};
+pub use graceful_shutdown::{GracefulShutdown, ACCEPT_GRACE};
 
 /// How long a connection may rest between requests, and an answer may take to leave.
 const IDLE: Duration = Duration::from_secs(60);
@@ -38,10 +38,10 @@
 const AHEAD: usize = http::MOST_HEAD + http::MOST_BODY;
 
 /// A client's connection.
-pub struct Client {
+pub struct ClientConnection {
     stream: Stream,
     input: Input,
-    seat: Rc<Seat>,
+    seat: Rc<ConnectionSlot>,
     closing: Rc<GracefulShutdown>,
     crowded: Rc<Cell<bool>>,
     accepted: Instant,
@@ -49,16 +49,16 @@
     asked: bool,
 }
 
-impl Client {
+impl ClientConnection {
     fn new(
         stream: Stream,
-        seat: Rc<Seat>,
+        seat: Rc<ConnectionSlot>,
         closing: Rc<GracefulShutdown>,
         crowded: Rc<Cell<bool>>,
         accepted: Instant,
         unseen: Instant,
-    ) -> Client {
-        Client { stream, input: Input::new(unseen), seat, closing, crowded, accepted, asked: false }
+    ) -> ClientConnection {
+        ClientConnection { stream, input: Input::new(unseen), seat, closing, crowded, accepted, asked: false }
     }
 
     /// The bytes themselves, for a front that frames them by itself.
@@ -67,12 +67,12 @@
     }
 
     /// Since when it is there.
-    pub fn accepted(&self) -> Instant {
+    pub fn accepted_at(&self) -> Instant {
         self.accepted
     }
 
     /// When the request that was read came in: its client's time counts from there, also where it waited for us.
-    pub fn arrived(&self) -> Instant {
+    pub fn request_arrived_at(&self) -> Instant {
         self.input.arrived
     }
 
@@ -87,8 +87,8 @@
     }
 
     /// Whether it is being served, told by a front that reads by itself: one that is not may have to make way.
-    pub fn busy(&self, busy: bool) {
-        let doing = if busy { Doing::Working } else { Doing::Resting };
+    pub fn set_busy(&self, busy: bool) {
+        let doing = if busy { ConnectionActivity::Working } else { ConnectionActivity::Resting };
         if self.seat.doing() != doing {
             self.seat.set(doing);
         }
@@ -100,7 +100,7 @@
     }
 
     /// Read the next request, unless the connection ends, says nothing for long, or is closed between requests.
-    pub async fn next(&mut self) -> Result<Message, HttpError> {
+    pub async fn next_request(&mut self) -> Result<Message, HttpError> {
         // A line end behind a request's body is no request that begins.
         if !self.input.begins_another() {
             self.input.buffer.consume(usize::MAX);
@@ -115,9 +115,9 @@
     /// served; from then on nothing is: its client hears of the end, and asks again elsewhere.
     async fn some(&mut self) -> Result<(), HttpError> {
         let first = !self.asked;
-        self.seat.set(if first { Doing::Mute } else { Doing::Resting });
+        self.seat.set(if first { ConnectionActivity::Mute } else { ConnectionActivity::Resting });
         let latest = if first { self.accepted + ARRIVE } else { Instant::now() + IDLE };
-        let Client { stream, input, seat, closing, .. } = self;
+        let ClientConnection { stream, input, seat, closing, .. } = self;
         let some = async { Some(input.fill(stream).await) };
         let closed = async {
             closing.idle().or(seat.unwanted()).await;
@@ -139,9 +139,9 @@
         // The time is set by the connection's start or the first byte: guards against trickled requests.
         let latest = if first { self.accepted } else { Instant::now() } + ARRIVE;
         if !first {
-            self.seat.set(Doing::Working);
+            self.seat.set(ConnectionActivity::Working);
         }
-        let Client { stream, input, seat, closing, .. } = self;
+        let ClientConnection { stream, input, seat, closing, .. } = self;
         let mut stream = &*stream;
         let whole = async {
             let (mut reader, mut waits) = (Reader::new(Kind::Request, http::MOST_BODY), true);
@@ -170,13 +170,13 @@
         let message = timeout_at(latest, whole.or(closed)).await.unwrap_or(Err(HttpError::Late));
         if message.is_ok() {
             self.asked = true;
-            self.seat.set(Doing::Working);
+            self.seat.set(ConnectionActivity::Working);
         }
         message
     }
 
     /// Resolves when the client goes away, or floods us. What it sends meanwhile stays in the buffer.
-    pub async fn gone(&mut self, length: usize) -> HttpError {
+    pub async fn disconnected(&mut self, length: usize) -> HttpError {
         while self.input.buffer.unread().len() <= length + AHEAD {
             match self.input.fill_ahead(&self.stream, length).await {
                 Ok(n) if n > 0 => {}
@@ -192,8 +192,8 @@
     ///
     /// Invariant: a request of which we have read a byte is answered before we end its connection. Where another one
     /// has begun to come in behind this one, the connection goes on.
-    pub async fn write(&mut self, answer: &Answer, keep_alive: bool) -> bool {
-        let wanted = !self.closing.begun.get() && !self.crowded.get() && self.seat.wanted();
+    pub async fn write_response(&mut self, answer: &Answer, keep_alive: bool) -> bool {
+        let wanted = !self.closing.draining.get() && !self.crowded.get() && self.seat.wanted();
         let another_begun = self.input.begins_another();
         let ends = Answered { keep_alive, wanted, another_begun }.may_end();
         self.send(answer, !ends, LEAVE, keep_alive).await
@@ -222,8 +222,8 @@
         if owed && self.input.begins_another() {
             invariants::check(send_policy::end_of_connection(self.input.buffer.unread().len()));
         }
-        let Client { stream, input: Input { buffer, .. }, seat, .. } = self;
-        seat.set(Doing::Leaving);
+        let ClientConnection { stream, input: Input { buffer, .. }, seat, .. } = self;
+        seat.set(ConnectionActivity::Leaving);
         stream.shut_down_writing();
         let mut stream = &*stream;
         let drained = async {
--- a/src/net/opensearch/query_api.rs
+++ b/src/net/opensearch/query_api.rs
@@ -9,13 +9,13 @@
 use super::search::{error, path, segments, Ready};
 use crate::net::buffer::Buffer;
 use crate::net::http::{Answer, HttpError, Message};
-use crate::net::http_server::Client;
+use crate::net::http_server::ClientConnection;
 
 impl Front {
     /// The life of a client's connection and of each search on it, from its bytes to its one answer.
-    pub async fn serve(self: Rc<Self>, mut client: Client) {
+    pub async fn serve(self: Rc<Self>, mut client: ClientConnection) {
         loop {
-            let message = match client.next().await {
+            let message = match client.next_request().await {
                 Ok(message) => message,
                 Err(e) => {
                     if let Some(status) = e.status() {
@@ -31,7 +31,7 @@
                 }
             };
             let mut flooded = false;
-            let answer = match self.ready(&message, client.buffer(), client.arrived()) {
+            let answer = match self.ready(&message, client.buffer(), client.request_arrived_at()) {
                 Err(answer) => answer,
                 Ok(ready) => match self.search(&mut client, &message, ready).await {
                     Ok(answer) => answer,
@@ -44,7 +44,7 @@
                 },
             };
             client.consume(message.length);
-            if !client.write(&answer, message.keep_alive && !flooded).await {
+            if !client.write_response(&answer, message.keep_alive && !flooded).await {
                 return;
             }
         }
@@ -53,13 +53,13 @@
     /// The answer to a search; `Err` where its client left before, or floods us.
     async fn search(
         &self,
-        client: &mut Client,
+        client: &mut ClientConnection,
         message: &Message,
         ready: Ready,
     ) -> Result<Answer, HttpError> {
         if let Some((fleet, ask)) = self.protected(message, client.buffer(), &ready) {
             let asked = async { Ok(self.asked(&fleet, ask, ready.deadline).await) };
-            let left = async { Err(client.gone(message.length).await) };
+            let left = async { Err(client.disconnected(message.length).await) };
             // What its client leaves goes on in the fleet.
             if let Some(answer) = asked.or(left).await? {
                 return Ok(answer);
@@ -70,7 +70,7 @@
             return Ok(self.refused("too many searches are open"));
         };
         let ended = async { Ok(taken.outcome().await) };
-        let left = async { Err(client.gone(message.length).await) };
+        let left = async { Err(client.disconnected(message.length).await) };
         // Dropping what was taken withdraws it.
         let outcome = ended.or(left).await?;
         let notes = notes.borrow();
@@ -103,7 +103,7 @@
     }
 
     fn health(&self) -> Answer {
-        let ready = self.coordinator.ready() && !self.closing.begun.get();
+        let ready = self.coordinator.ready() && !self.closing.draining.get();
         Answer::new(if ready { 200 } else { 503 }, json!({"ready": ready}).to_string())
     }
 }
--- a/src/net/platform_api.rs
+++ b/src/net/platform_api.rs
@@ -13,7 +13,7 @@
 use super::buffer::Buffer;
 use super::data_nodes::{DataNodes, RequestContext};
 use super::http::{Answer, HttpError, Message};
-use super::http_server::{Client, GracefulShutdown};
+use super::http_server::{ClientConnection, GracefulShutdown};
 use super::LogRateLimiter;
 use crate::balancer::interface::*;
 use crate::config::settings::Deployment;
@@ -93,9 +93,9 @@
 
 impl PlatformApi {
     /// The life of a client's connection and of each request on it, from its bytes to its one answer.
-    pub async fn serve(self: Rc<Self>, mut client: Client) {
+    pub async fn serve(self: Rc<Self>, mut client: ClientConnection) {
         loop {
-            let message = match client.next().await {
+            let message = match client.next_request().await {
                 Ok(message) => message,
                 Err(e) => {
                     if let Some(status) = e.status() {
@@ -107,7 +107,7 @@
                     return;
                 }
             };
-            let begun = client.arrived();
+            let begun = client.request_arrived_at();
             let mut flooded = false;
             let answer = match (
                 message.text(client.buffer(), &message.method),
@@ -134,7 +134,7 @@
                 _ => Answer::new(404, fault(&"no such path")),
             };
             client.consume(message.length);
-            if !client.write(&answer, message.keep_alive && !flooded).await {
+            if !client.write_response(&answer, message.keep_alive && !flooded).await {
                 return;
             }
         }
@@ -144,11 +144,11 @@
     async fn outcome(
         &self,
         query: Query<RequestContext>,
-        client: &mut Client,
+        client: &mut ClientConnection,
         message: &Message,
         begun: Instant,
     ) -> Result<Answer, HttpError> {
-        let query = Query { deadline: self.closing.cut(query.deadline), ..query };
+        let query = Query { deadline: self.closing.limit_deadline(query.deadline), ..query };
         let class = message.header(client.buffer(), "Req-Kind").unwrap_or_default().to_owned();
         let id = query.context.id.clone();
         let Some(taken) = self.coordinator.take(query) else {
@@ -166,10 +166,10 @@
         }
         let ended = async { Ok(taken.outcome().await) };
         let over = async {
-            self.closing.over().await;
+            self.closing.answer_deadline_passed().await;
             Ok(QueryOutcome::DeadlineExceeded)
         };
-        let left = async { Err(client.gone(message.length).await) };
+        let left = async { Err(client.disconnected(message.length).await) };
         // Dropping what was taken withdraws it.
         let outcome = ended.or(left).or(over).await;
         let after = begun.elapsed().as_millis() as u64;
@@ -193,7 +193,7 @@
 
     /// Ready once queries can be served.
     fn health(&self) -> Answer {
-        let ready = self.coordinator.ready() && !self.closing.begun.get();
+        let ready = self.coordinator.ready() && !self.closing.draining.get();
         Answer::new(
             if ready { 200 } else { 503 },
             if ready { "{\"ready\":true}" } else { "{\"ready\":false}" },
--- a/tests/clients_order.rs
+++ b/tests/clients_order.rs
@@ -22,17 +22,17 @@
     let descriptors = Rc::new(Descriptors::new(16));
     let acceptor = Acceptor::new(executor.clone(), closing.clone(), descriptors, log);
     let (noted, held) = (read.clone(), acceptor.clone());
-    let serve = move |mut client: http_server::Client| {
+    let serve = move |mut client: http_server::ClientConnection| {
         let noted = noted.clone();
         async move {
-            let next = client.next().await;
+            let next = client.next_request().await;
             noted.borrow_mut().push(next.is_ok());
         }
     };
     executor.spawn(acceptor.accept(listener, serve)).detach();
     let mut client = TcpStream::connect(address).expect("connects");
     let crossing = async {
-        while held.held() == 0 {
+        while held.open_connections() == 0 {
             yield_now().await;
         }
         // Let it wait for its first bytes.
@@ -40,7 +40,7 @@
             yield_now().await;
         }
         crosses(&closing, &mut client, &read).await;
-        while held.held() > 0 {
+        while held.open_connections() > 0 {
             yield_now().await;
         }
     };
