--- a/benches/scale/control/plane/watches.rs
+++ b/benches/scale/control/plane/watches.rs
@@ -12,7 +12,7 @@
 use marlgap::net::buffer::Buffer;
 use marlgap::net::discovery::watch_policy::{Terms, CONNECT, CONTINUES, PACE, PAUSE};
 use marlgap::net::discovery::{version, List, MOST_LIST};
-use marlgap::net::http::{self, Kind};
+use marlgap::net::http::{self, MessageKind};
 
 use super::catalogue::{number, Catalogue, Health};
 use super::links::{Links, Micros, Place, MS, SECOND};
--- a/benches/scale/control/plane/watches/calls.rs
+++ b/benches/scale/control/plane/watches/calls.rs
@@ -130,7 +130,7 @@
     fn take(&mut self, i: usize, bytes: &[u8]) -> Result<bool, String> {
         let mut buffer = Buffer::default();
         let mut stream = bytes;
-        let read = http::read(&mut stream, &mut buffer, Kind::Answer, MOST_LIST);
+        let read = http::read(&mut stream, &mut buffer, MessageKind::Response, MOST_LIST);
         let message = futures_lite::future::block_on(read).map_err(|e| e.to_string())?;
         let body = message.body(&buffer);
         let list: List = serde_json::from_slice(&body).map_err(|e| e.to_string())?;
--- a/src/main.rs
+++ b/src/main.rs
@@ -111,8 +111,8 @@
         let front = Rc::new(PlatformApi {
             coordinator: core_of,
             deployment: told,
-            closing: closing_of,
-            open,
+            shutdown: closing_of,
+            open_ids: open,
             log: log.clone(),
             log_limiters: said,
         });
--- a/src/net/discovery/mod.rs
+++ b/src/net/discovery/mod.rs
@@ -17,7 +17,7 @@
 
 use super::buffer::Buffer;
 use super::data_nodes::{DataNodes, ListedDataNode};
-use super::http::{self, HttpError, Kind};
+use super::http::{self, HttpError, MessageKind};
 use super::socket::{self, ConnectError, Stream};
 use super::{timeout_at, LogRateLimiter};
 use crate::balancer::interface::{self, CellId, Endpoint, EndpointState, EndpointUpdate, ZoneId};
@@ -231,14 +231,14 @@
             let call = version::call(self.address.get(), *seq, hold);
             let answer = async {
                 stream.write_all(call.as_bytes()).await?;
-                http::read(&mut stream, &mut buffer, Kind::Answer, MOST_LIST).await
+                http::read(&mut stream, &mut buffer, MessageKind::Response, MOST_LIST).await
             };
             let latest = self.called.get() + self.terms.hold + self.terms.late + self.slow.get();
             let answer = match timeout_at(latest, answer).await {
                 Some(Ok(answer)) => answer,
                 // Closed between two calls, just as we wrote the next one: no failure, and the watch goes on if that
                 // comes in time.
-                Some(Err(HttpError::Ended | HttpError::Io(_)))
+                Some(Err(HttpError::ConnectionClosed | HttpError::Io(_)))
                     if buffer.unread().is_empty() && continues.is_some_and(|at| Instant::now() < at) =>
                 {
                     (buffer, continues) = (Buffer::default(), None);
--- a/src/net/http.rs
+++ b/src/net/http.rs
@@ -8,8 +8,8 @@
 use super::buffer::Buffer;
 
 /// The largest body of the platform's messages.
-pub const MOST_BODY: usize = 64 * 1024;
-pub const MOST_HEAD: usize = 16 * 1024;
+pub const MAX_BODY_BYTES: usize = 64 * 1024;
+pub const MAX_HEAD_BYTES: usize = 16 * 1024;
 const MOST_HEADERS: usize = 64;
 /// Bytes of empty lines before a message.
 const MOST_BLANK: usize = 64;
@@ -17,24 +17,24 @@
 #[derive(Debug)]
 pub enum HttpError {
     /// The stream ended, or broke, before the message was whole.
-    Ended,
+    ConnectionClosed,
     Malformed(&'static str),
     TooLarge,
     /// It took longer to come in than it may.
-    Late,
+    RequestTimeout,
     /// We end the connection before the message is whole.
-    Unwanted,
+    ServerClosing,
     Io(io::Error),
 }
 
 impl fmt::Display for HttpError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            HttpError::Ended => f.write_str("the connection ended"),
+            HttpError::ConnectionClosed => f.write_str("the connection ended"),
             HttpError::Malformed(what) => write!(f, "malformed message: {what}"),
             HttpError::TooLarge => f.write_str("message too large"),
-            HttpError::Late => f.write_str("the request did not come in in time"),
-            HttpError::Unwanted => f.write_str("the connection makes way, or the program ends"),
+            HttpError::RequestTimeout => f.write_str("the request did not come in in time"),
+            HttpError::ServerClosing => f.write_str("the connection makes way, or the program ends"),
             HttpError::Io(e) => write!(f, "{e}"),
         }
     }
@@ -48,9 +48,9 @@
         match self {
             HttpError::Malformed(_) => Some(400),
             HttpError::TooLarge => Some(413),
-            HttpError::Late => Some(408),
-            HttpError::Unwanted => Some(503),
-            HttpError::Ended | HttpError::Io(_) => None,
+            HttpError::RequestTimeout => Some(408),
+            HttpError::ServerClosing => Some(503),
+            HttpError::ConnectionClosed | HttpError::Io(_) => None,
         }
     }
 }
@@ -87,7 +87,7 @@
     }
 
     /// A header that may stand once: guards against two readers of a request each taking another one.
-    pub fn only<'a>(&self, buffer: &'a Buffer, name: &str) -> Option<Result<&'a str, ()>> {
+    pub fn unique_header<'a>(&self, buffer: &'a Buffer, name: &str) -> Option<Result<&'a str, ()>> {
         let named = |(n, _): &&(Range<usize>, Range<usize>)| self.text(buffer, n).eq_ignore_ascii_case(name);
         let mut found = self.headers.iter().filter(named).map(|(_, value)| self.text(buffer, value));
         let first = found.next()?;
@@ -106,16 +106,16 @@
 }
 
 #[derive(Clone, Copy, PartialEq)]
-pub enum Kind {
+pub enum MessageKind {
     Request,
-    Answer,
+    Response,
 }
 
 /// Read one message. It stays in the buffer until its `length` is consumed.
 pub async fn read(
     stream: &mut (impl AsyncRead + Unpin),
     buffer: &mut Buffer,
-    kind: Kind,
+    kind: MessageKind,
     most_body: usize,
 ) -> Result<Message, HttpError> {
     let mut reader = Reader::new(kind, most_body);
@@ -124,13 +124,13 @@
             return Ok(message);
         }
         if buffer.fill(stream).await? == 0 {
-            return Err(HttpError::Ended);
+            return Err(HttpError::ConnectionClosed);
         }
     }
 }
 
 /// The message at the front of `bytes`, if it is whole.
-pub fn parse(bytes: &[u8], kind: Kind, most_body: usize) -> Result<Option<Message>, HttpError> {
+pub fn parse(bytes: &[u8], kind: MessageKind, most_body: usize) -> Result<Option<Message>, HttpError> {
     Reader::new(kind, most_body).read(bytes)
 }
 
@@ -149,14 +149,14 @@
 /// A message that comes in. Guards against work that grows with the square of its pieces: what was read of it is
 /// not read again for the next one.
 pub struct Reader {
-    kind: Kind,
+    kind: MessageKind,
     most_body: usize,
     seen: usize,
     head: Option<(Message, Rest)>,
 }
 
 impl Reader {
-    pub fn new(kind: Kind, most_body: usize) -> Reader {
+    pub fn new(kind: MessageKind, most_body: usize) -> Reader {
         Reader { kind, most_body, seen: 0, head: None }
     }
 
@@ -170,7 +170,7 @@
         if self.head.is_none() {
             // A head ends with a line; of a line's middle only a first piece shows anything.
             let new = bytes.get(self.seen..).unwrap_or_default();
-            let worth = self.seen == 0 || new.contains(&b'\n') || bytes.len() > MOST_HEAD;
+            let worth = self.seen == 0 || new.contains(&b'\n') || bytes.len() > MAX_HEAD_BYTES;
             self.seen = bytes.len();
             if worth {
                 self.head = read_head(bytes, self.kind, self.most_body)?;
@@ -189,7 +189,11 @@
     }
 }
 
-fn read_head(bytes: &[u8], kind: Kind, most_body: usize) -> Result<Option<(Message, Rest)>, HttpError> {
+fn read_head(
+    bytes: &[u8],
+    kind: MessageKind,
+    most_body: usize,
+) -> Result<Option<(Message, Rest)>, HttpError> {
     // A client may send an empty line between requests.
     let skipped = bytes.iter().take_while(|b| matches!(b, b'\r' | b'\n')).count();
     if skipped > MOST_BLANK {
@@ -201,13 +205,13 @@
     };
     let mut headers = [httparse::EMPTY_HEADER; MOST_HEADERS];
     let (head, method, path, status, minor, fields) = match kind {
-        Kind::Request => {
+        MessageKind::Request => {
             let mut r = httparse::Request::new(&mut headers);
             let Some(head) = head(r.parse(&bytes[skipped..]), bytes)? else { return Ok(None) };
             let (method, path) = (r.method.unwrap_or(""), r.path.unwrap_or(""));
             (head, place(method.as_bytes()), place(path.as_bytes()), 0, r.version, r.headers)
         }
-        Kind::Answer => {
+        MessageKind::Response => {
             let mut r = httparse::Response::new(&mut headers);
             let Some(head) = head(r.parse(&bytes[skipped..]), bytes)? else { return Ok(None) };
             (head, 0..0, 0..0, r.code.unwrap_or(0), r.version, r.headers)
@@ -255,7 +259,7 @@
 fn head(parsed: httparse::Result<usize>, bytes: &[u8]) -> Result<Option<usize>, HttpError> {
     match parsed {
         Ok(httparse::Status::Complete(n)) => Ok(Some(n)),
-        Ok(httparse::Status::Partial) if bytes.len() > MOST_HEAD => Err(HttpError::TooLarge),
+        Ok(httparse::Status::Partial) if bytes.len() > MAX_HEAD_BYTES => Err(HttpError::TooLarge),
         Ok(httparse::Status::Partial) => Ok(None),
         Err(httparse::Error::TooManyHeaders) => Err(HttpError::TooLarge),
         Err(_) => Err(HttpError::Malformed("head")),
@@ -311,7 +315,7 @@
     *looked = bytes.len();
     match bytes[from..].windows(4).position(|w| w == b"\r\n\r\n") {
         Some(n) => Ok(Some(from + n + 4)),
-        None if rest.len() > MOST_HEAD => Err(HttpError::TooLarge),
+        None if rest.len() > MAX_HEAD_BYTES => Err(HttpError::TooLarge),
         None => Ok(None),
     }
 }
@@ -334,19 +338,19 @@
 }
 
 /// A whole answer.
-pub struct Answer {
+pub struct Response {
     pub status: u16,
     pub retry_after: Option<f64>,
     pub allow: Option<&'static str>,
     pub body: Vec<u8>,
 }
 
-impl Answer {
+impl Response {
     pub fn new(status: u16, body: impl Into<Vec<u8>>) -> Self {
-        Answer { status, retry_after: None, allow: None, body: body.into() }
+        Response { status, retry_after: None, allow: None, body: body.into() }
     }
 
-    pub fn bytes(&self, keep_alive: bool) -> Vec<u8> {
+    pub fn to_bytes(&self, keep_alive: bool) -> Vec<u8> {
         let mut out = format!("HTTP/1.1 {} {}\r\n", self.status, reason(self.status));
         if let Some(seconds) = self.retry_after {
             out += &format!("Retry-After: {seconds}\r\n");
--- a/src/net/http_server/mod.rs
+++ b/src/net/http_server/mod.rs
@@ -12,7 +12,7 @@
 use self::acceptor::{ConnectionActivity, ConnectionSlot};
 use self::input::Input;
 use super::buffer::Buffer;
-use super::http::{self, Answer, HttpError, Kind, Message, Reader};
+use super::http::{self, HttpError, Message, MessageKind, Reader, Response};
 use super::invariants;
 use super::socket::Stream;
 use super::timeout_at;
@@ -35,7 +35,7 @@
 const MOST_LINGER: usize = 256 * 1024;
 /// What a client may send behind a request before it has the answer: one more request. More is a flood, and would
 /// hide from us that its client has gone.
-const AHEAD: usize = http::MOST_HEAD + http::MOST_BODY;
+const AHEAD: usize = http::MAX_HEAD_BYTES + http::MAX_BODY_BYTES;
 
 /// A client's connection.
 pub struct ClientConnection {
@@ -125,10 +125,10 @@
         };
         match timeout_at(latest, some.or(closed)).await.flatten() {
             Some(Ok(n)) if n > 0 => Ok(()),
-            Some(_) => Err(HttpError::Ended),
+            Some(_) => Err(HttpError::ConnectionClosed),
             None => {
                 self.leave(true).await;
-                Err(HttpError::Ended)
+                Err(HttpError::ConnectionClosed)
             }
         }
     }
@@ -144,7 +144,7 @@
         let ClientConnection { stream, input, seat, closing, .. } = self;
         let mut stream = &*stream;
         let whole = async {
-            let (mut reader, mut waits) = (Reader::new(Kind::Request, http::MOST_BODY), true);
+            let (mut reader, mut waits) = (Reader::new(MessageKind::Request, http::MAX_BODY_BYTES), true);
             loop {
                 if let Some(message) = reader.read(input.buffer.unread())? {
                     return Ok(message);
@@ -159,15 +159,15 @@
                     }
                 }
                 if input.fill(stream).await? == 0 {
-                    return Err(HttpError::Ended);
+                    return Err(HttpError::ConnectionClosed);
                 }
             }
         };
         let closed = async {
             closing.late().or(seat.unwanted()).await;
-            Err(HttpError::Unwanted)
+            Err(HttpError::ServerClosing)
         };
-        let message = timeout_at(latest, whole.or(closed)).await.unwrap_or(Err(HttpError::Late));
+        let message = timeout_at(latest, whole.or(closed)).await.unwrap_or(Err(HttpError::RequestTimeout));
         if message.is_ok() {
             self.asked = true;
             self.seat.set(ConnectionActivity::Working);
@@ -180,7 +180,7 @@
         while self.input.buffer.unread().len() <= length + AHEAD {
             match self.input.fill_ahead(&self.stream, length).await {
                 Ok(n) if n > 0 => {}
-                _ => return HttpError::Ended,
+                _ => return HttpError::ConnectionClosed,
             }
         }
         HttpError::TooLarge
@@ -192,7 +192,7 @@
     ///
     /// Invariant: a request of which we have read a byte is answered before we end its connection. Where another one
     /// has begun to come in behind this one, the connection goes on.
-    pub async fn write_response(&mut self, answer: &Answer, keep_alive: bool) -> bool {
+    pub async fn write_response(&mut self, answer: &Response, keep_alive: bool) -> bool {
         let wanted = !self.closing.draining.get() && !self.crowded.get() && self.seat.wanted();
         let another_begun = self.input.begins_another();
         let ends = Answered { keep_alive, wanted, another_begun }.may_end();
@@ -200,14 +200,14 @@
     }
 
     /// Write what is wrong with the client's bytes, and end the connection.
-    pub async fn write_error(&mut self, answer: &Answer) {
+    pub async fn write_error(&mut self, answer: &Response) {
         self.send(answer, false, LEAVE_ERROR, false).await;
     }
 
     /// Write an answer, and end the connection unless it is kept alive. `owed`: what was read behind it is to be
     /// answered too.
-    async fn send(&mut self, answer: &Answer, keep_alive: bool, leave: Duration, owed: bool) -> bool {
-        let bytes = answer.bytes(keep_alive);
+    async fn send(&mut self, answer: &Response, keep_alive: bool, leave: Duration, owed: bool) -> bool {
+        let bytes = answer.to_bytes(keep_alive);
         let written = timeout_at(Instant::now() + leave, (&self.stream).write_all(&bytes)).await;
         if matches!(written, Some(Ok(()))) && !keep_alive {
             self.leave(owed).await;
--- a/src/net/opensearch/mod.rs
+++ b/src/net/opensearch/mod.rs
@@ -12,7 +12,7 @@
 use async_executor::LocalExecutor;
 use slog::Logger;
 
-use self::query_api::Front;
+use self::query_api::QueryApiServer;
 use self::servers::Servers;
 use super::dns_sd::watcher::Watch;
 use super::http_server::GracefulShutdown;
@@ -28,7 +28,7 @@
     executor: &Rc<LocalExecutor<'static>>,
     closing: &Rc<GracefulShutdown>,
     log: &Logger,
-) -> Result<Rc<Front>, StartError> {
+) -> Result<Rc<QueryApiServer>, StartError> {
     let QueryApi { source, indices, shards, deployment, .. } = setup;
     let servers = Servers::new(deployment.connections, descriptors, log.clone());
     let settings = deployment.settings.clone();
@@ -39,5 +39,14 @@
     executor.spawn(core.clone().run()).detach();
     executor.spawn(watch.map_err(StartError::Source)?.run()).detach();
     let (closing, log, (log_limiter, joined)) = (closing.clone(), log.clone(), Default::default());
-    Ok(Rc::new(Front { coordinator: core, deployment, indices, shards, closing, log, log_limiter, joined }))
+    Ok(Rc::new(QueryApiServer {
+        coordinator: core,
+        deployment,
+        indices,
+        shards,
+        shutdown: closing,
+        log,
+        log_limiter,
+        joined,
+    }))
 }
--- a/src/net/opensearch/protected.rs
+++ b/src/net/opensearch/protected.rs
@@ -9,15 +9,15 @@
 use futures_lite::FutureExt;
 use slog::warn;
 
-use super::outcome::{self, Text};
-use super::search::{error, Front, Joined, Ready};
+use super::outcome::{self, SearchText};
+use super::search::{error, Joined, QueryApiServer, Ready};
 use super::servers::Notes;
 use crate::balancer::interface::ShardId;
 use crate::cluster::takeover::{Ask, Key, Part, Record, Reply};
 use crate::coordinator::{AttemptGate, PendingGrant, PriorProgress, TakeoverProtection, Value};
 use crate::net::buffer::Buffer;
 use crate::net::cluster::{ClusterNode, Execute, Hold};
-use crate::net::http::{Answer, Message};
+use crate::net::http::{Message, Response};
 use crate::net::timeout_at;
 
 /// The longest id that a search can be asked for under, in bytes.
@@ -25,7 +25,7 @@
 /// The fleet ends each ask at its client's end. Guards the connection against one that it forgets.
 const FORGOTTEN: Duration = Duration::from_secs(1);
 
-impl Front {
+impl QueryApiServer {
     /// Ask the fleet for the searches of its protected classes from here on, and execute those that fall to this
     /// member. The first fleet stays.
     pub fn join(self: &Rc<Self>, fleet: Rc<ClusterNode>, executor: &Rc<LocalExecutor<'static>>) {
@@ -44,7 +44,8 @@
     ) -> Option<(Rc<ClusterNode>, Ask)> {
         let fleet = &self.joined.get()?.fleet;
         let class = ready.query.class.0;
-        let Some(Ok(id)) = message.only(buffer, "X-Opaque-Id").filter(|_| fleet.protects(class)) else {
+        let Some(Ok(id)) = message.unique_header(buffer, "X-Opaque-Id").filter(|_| fleet.protects(class))
+        else {
             return None;
         };
         if !(1..=MOST_ID).contains(&id.len()) || !id.bytes().all(|b| b.is_ascii_graphic()) {
@@ -53,13 +54,13 @@
         let (target, body) = (message.text(buffer, &message.path), message.body(buffer));
         let left = ready.deadline.saturating_duration_since(Instant::now()).as_millis();
         let ends = fleet.unix_ms().saturating_add(u64::try_from(left).unwrap_or(u64::MAX));
-        let text = Text { target: &Text::untimed(target), body: &body }.encode().into();
+        let text = SearchText { target: &SearchText::untimed(target), body: &body }.encode().into();
         let parts = ready.parts.iter().map(|s| s.0).collect();
         Some((fleet.clone(), Ask { id: id.into(), class, text, ends, parts }))
     }
 
     /// The fleet's answer to a search. `None`: it is to be run here, without protection.
-    pub(super) async fn asked(&self, fleet: &ClusterNode, ask: Ask, deadline: Instant) -> Option<Answer> {
+    pub(super) async fn asked(&self, fleet: &ClusterNode, ask: Ask, deadline: Instant) -> Option<Response> {
         let latest = deadline.checked_add(FORGOTTEN).unwrap_or(deadline);
         let reply = timeout_at(latest, fleet.ask(ask)).await.unwrap_or(Reply::Late);
         Some(match reply {
@@ -73,7 +74,7 @@
             Reply::OtherText => {
                 error(409, "id_conflict_exception", "the id is that of another search that is not over yet")
             }
-            Reply::Refused { retry_after } => Answer {
+            Reply::Refused { retry_after } => Response {
                 retry_after: Some(retry_after),
                 ..error(429, "rejected_execution_exception", "the fleet cannot take the search now")
             },
@@ -95,8 +96,8 @@
         }
     }
 
-    async fn executed(&self, record: &Record, takeover: bool, ends: Instant, hold: &Hold) -> Answer {
-        let text = match Text::decode(&record.text) {
+    async fn executed(&self, record: &Record, takeover: bool, ends: Instant, hold: &Hold) -> Response {
+        let text = match SearchText::decode(&record.text) {
             Ok(text) => text,
             Err(e) => {
                 self.spoilt("spoilt text of a protected search", &e);
@@ -125,14 +126,14 @@
         }
     }
 
-    fn spoilt(&self, what: &'static str, error: &outcome::Spoilt) {
+    fn spoilt(&self, what: &'static str, error: &outcome::CorruptRecord) {
         if let Some(suppressed) = self.log_limiter.permit() {
             warn!(self.log, "{}", what; "error" => %error, "suppressed" => suppressed);
         }
     }
 }
 
-impl Execute for Front {
+impl Execute for QueryApiServer {
     fn start(self: Rc<Self>, _: Key, record: Rc<Record>, takeover: bool, hold: Hold) {
         let Some(Joined { fleet, executor }) = self.joined.get() else { return };
         let left = Duration::from_millis(record.ends.saturating_sub(fleet.unix_ms()));
--- a/src/net/opensearch/query.rs
+++ b/src/net/opensearch/query.rs
@@ -34,24 +34,24 @@
 
 /// What is wrong with a request, in the public specification's terms.
 #[derive(Debug, PartialEq)]
-pub struct BadQuery {
+pub struct InvalidSearch {
     pub kind: &'static str,
     pub reason: String,
 }
 
-impl fmt::Display for BadQuery {
+impl fmt::Display for InvalidSearch {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(f, "{}: {}", self.kind, self.reason)
     }
 }
 
-impl std::error::Error for BadQuery {}
+impl std::error::Error for InvalidSearch {}
 
-fn bad<T>(kind: &'static str, reason: impl Into<String>) -> Result<T, BadQuery> {
-    Err(BadQuery { kind, reason: reason.into() })
+fn bad<T>(kind: &'static str, reason: impl Into<String>) -> Result<T, InvalidSearch> {
+    Err(InvalidSearch { kind, reason: reason.into() })
 }
 
-fn illegal<T>(reason: impl Into<String>) -> Result<T, BadQuery> {
+fn illegal<T>(reason: impl Into<String>) -> Result<T, InvalidSearch> {
     bad("illegal_argument_exception", reason)
 }
 
@@ -81,7 +81,7 @@
 }
 
 /// Read a search from the pieces of its request.
-pub fn parse(index: &str, query: &str, body: &[u8]) -> Result<Search, BadQuery> {
+pub fn parse(index: &str, query: &str, body: &[u8]) -> Result<Search, InvalidSearch> {
     let text = std::str::from_utf8(body).or_else(|_| bad("parse_exception", "the body is not UTF-8"))?;
     let fields: BTreeMap<Cow<str>, &RawValue> = match text.trim() {
         "" => BTreeMap::new(),
@@ -162,7 +162,7 @@
 }
 
 /// Whether a query clause is one that is understood, down to its leaves.
-fn clause(value: &Value) -> Result<(), BadQuery> {
+fn clause(value: &Value) -> Result<(), InvalidSearch> {
     let Some(object) = value.as_object() else {
         return bad("parsing_exception", "a query clause must be an object");
     };
@@ -196,13 +196,13 @@
     Ok(())
 }
 
-fn sort(value: &Value) -> Result<Vec<SortKey>, BadQuery> {
+fn sort(value: &Value) -> Result<Vec<SortKey>, InvalidSearch> {
     let one = std::slice::from_ref(value);
     let keys = value.as_array().map_or(one, Vec::as_slice);
     keys.iter().map(sort_key).collect()
 }
 
-fn sort_key(value: &Value) -> Result<SortKey, BadQuery> {
+fn sort_key(value: &Value) -> Result<SortKey, InvalidSearch> {
     let by_default = |field: &str| SortKey { descending: field == "_score" };
     let order = |text: &str| match text {
         "asc" => Ok(SortKey { descending: false }),
@@ -225,7 +225,7 @@
     }
 }
 
-fn flag(name: &str, value: &str) -> Result<bool, BadQuery> {
+fn flag(name: &str, value: &str) -> Result<bool, InvalidSearch> {
     match value {
         "true" | "" => Ok(true),
         "false" => Ok(false),
@@ -234,7 +234,7 @@
 }
 
 /// `_shards:3,5` of the `preference` parameter.
-fn shards(value: &str) -> Result<Vec<u32>, BadQuery> {
+fn shards(value: &str) -> Result<Vec<u32>, InvalidSearch> {
     let Some(list) = value.strip_prefix("_shards:") else {
         return illegal(format!("unsupported preference [{value}]"));
     };
@@ -248,7 +248,7 @@
 }
 
 /// A span of time with its unit; `-1` is none.
-fn time(text: &str) -> Result<Option<Duration>, BadQuery> {
+fn time(text: &str) -> Result<Option<Duration>, InvalidSearch> {
     if text == "-1" {
         return Ok(None);
     }
--- a/src/net/opensearch/query_api.rs
+++ b/src/net/opensearch/query_api.rs
@@ -5,13 +5,13 @@
 use futures_lite::FutureExt;
 use serde_json::json;
 
-pub use super::search::Front;
+pub use super::search::QueryApiServer;
 use super::search::{error, path, segments, Ready};
 use crate::net::buffer::Buffer;
-use crate::net::http::{Answer, HttpError, Message};
+use crate::net::http::{HttpError, Message, Response};
 use crate::net::http_server::ClientConnection;
 
-impl Front {
+impl QueryApiServer {
     /// The life of a client's connection and of each search on it, from its bytes to its one answer.
     pub async fn serve(self: Rc<Self>, mut client: ClientConnection) {
         loop {
@@ -36,7 +36,7 @@
                 Ok(ready) => match self.search(&mut client, &message, ready).await {
                     Ok(answer) => answer,
                     // Nothing is written, now or later.
-                    Err(HttpError::Ended) => return,
+                    Err(HttpError::ConnectionClosed) => return,
                     Err(e) => {
                         flooded = true;
                         error(e.status().unwrap_or(400), "content_too_long_exception", &e.to_string())
@@ -56,7 +56,7 @@
         client: &mut ClientConnection,
         message: &Message,
         ready: Ready,
-    ) -> Result<Answer, HttpError> {
+    ) -> Result<Response, HttpError> {
         if let Some((fleet, ask)) = self.protected(message, client.buffer(), &ready) {
             let asked = async { Ok(self.asked(&fleet, ask, ready.deadline).await) };
             let left = async { Err(client.disconnected(message.length).await) };
@@ -78,7 +78,7 @@
     }
 
     /// What to do with a request: a search to be taken, or the answer that it gets at once.
-    fn ready(&self, message: &Message, buffer: &Buffer, now: Instant) -> Result<Ready, Answer> {
+    fn ready(&self, message: &Message, buffer: &Buffer, now: Instant) -> Result<Ready, Response> {
         let (method, target) = (message.text(buffer, &message.method), message.text(buffer, &message.path));
         let path = path(target);
         match (method, &segments(&path)[..]) {
@@ -93,7 +93,7 @@
                     "method_not_allowed_exception",
                     &format!("[{method}] is not supported for [_search], use GET or POST"),
                 );
-                Err(Answer { allow: Some("GET, POST"), ..answer })
+                Err(Response { allow: Some("GET, POST"), ..answer })
             }
             _ => {
                 let reason = format!("no handler found for uri [{target}] and method [{method}]");
@@ -102,8 +102,8 @@
         }
     }
 
-    fn health(&self) -> Answer {
-        let ready = self.coordinator.ready() && !self.closing.draining.get();
-        Answer::new(if ready { 200 } else { 503 }, json!({"ready": ready}).to_string())
+    fn health(&self) -> Response {
+        let ready = self.coordinator.ready() && !self.shutdown.draining.get();
+        Response::new(if ready { 200 } else { 503 }, json!({"ready": ready}).to_string())
     }
 }
--- a/src/net/opensearch/search.rs
+++ b/src/net/opensearch/search.rs
@@ -9,26 +9,26 @@
 use slog::{warn, Logger};
 
 use super::merge::{self, Failure, MissingShards};
-use super::query::{self, BadQuery, Search};
+use super::query::{self, InvalidSearch, Search};
 use super::servers::{Notes, RequestContext, Servers};
 use crate::balancer::interface::*;
 use crate::config::settings::Deployment;
 use crate::coordinator::{Coordinator, Query, QueryOutcome};
 use crate::net::cluster::ClusterNode;
-use crate::net::http::Answer;
+use crate::net::http::Response;
 use crate::net::http_server::GracefulShutdown;
 use crate::net::LogRateLimiter;
 
 /// An answer that comes this close before the end of its time was cut off by it.
 const END: Duration = Duration::from_millis(60);
 
-pub struct Front {
+pub struct QueryApiServer {
     pub coordinator: Rc<Coordinator<Servers>>,
     pub deployment: Rc<Deployment>,
     /// The index of each class, in the order of the classes, where it has one.
     pub indices: Vec<Option<String>>,
     pub shards: u32,
-    pub closing: Rc<GracefulShutdown>,
+    pub shutdown: Rc<GracefulShutdown>,
     pub log: Logger,
     pub log_limiter: LogRateLimiter,
     /// The fleet that it belongs to, if any.
@@ -51,7 +51,7 @@
     pub query: Query<RequestContext>,
 }
 
-impl Front {
+impl QueryApiServer {
     /// A search by its text: the same, whether its client sent it here or to another member of the fleet.
     pub(super) fn understand(
         &self,
@@ -59,11 +59,11 @@
         body: &[u8],
         opaque: &str,
         now: Instant,
-    ) -> Result<Ready, Answer> {
+    ) -> Result<Ready, Response> {
         let path = path(target);
         let index = segments(&path).first().copied().unwrap_or_default();
         let parameters = target.split_once('?').map_or("", |(_, parameters)| parameters);
-        let refuse = |bad: BadQuery| {
+        let refuse = |bad: InvalidSearch| {
             if let Some(suppressed) = self.log_limiter.permit() {
                 warn!(self.log, "unusable search"; "error" => %bad, "suppressed" => suppressed);
             }
@@ -71,7 +71,7 @@
         };
         if index.contains([',', '*']) {
             let reason = format!("several indices in one search are not supported: [{index}]");
-            return Err(refuse(BadQuery { kind: "illegal_argument_exception", reason }));
+            return Err(refuse(InvalidSearch { kind: "illegal_argument_exception", reason }));
         }
         let Some(class) = self.indices.iter().position(|i| i.as_deref() == Some(index)) else {
             return Err(error(404, "index_not_found_exception", &format!("no such index [{index}]")));
@@ -83,7 +83,7 @@
         };
         if let Some(none) = parts.iter().find(|s| s.0 >= self.shards) {
             let reason = format!("[{index}] has no shard [{}]", none.0);
-            return Err(refuse(BadQuery { kind: "illegal_argument_exception", reason }));
+            return Err(refuse(InvalidSearch { kind: "illegal_argument_exception", reason }));
         }
         let class_settings = &self.deployment.settings.classes[class];
         let wait = Duration::try_from_secs_f64(class_settings.deadline).unwrap_or(Duration::MAX);
@@ -115,7 +115,7 @@
         parts: &[ShardId],
         begun: Instant,
         deadline: Instant,
-    ) -> Answer {
+    ) -> Response {
         match outcome {
             QueryOutcome::Answered { complete, values } => {
                 self.answered(search, values, &missing_shards(parts, values, notes, *complete), begun)
@@ -124,12 +124,18 @@
         }
     }
 
-    fn answered(&self, search: &Search, values: &Values, missing: &MissingShards, begun: Instant) -> Answer {
+    fn answered(
+        &self,
+        search: &Search,
+        values: &Values,
+        missing: &MissingShards,
+        begun: Instant,
+    ) -> Response {
         if !search.partial && (!missing.failures.is_empty() || missing.timed_out) {
             return shards_failed(search, "Partial shards failure", &missing.failures, 503);
         }
         match merge::merge(search, values, missing, begun.elapsed().as_millis()) {
-            Some(body) => Answer::new(200, body),
+            Some(body) => Response::new(200, body),
             None => error(500, "merge_exception", "the answers of the shards could not be put together"),
         }
     }
@@ -142,7 +148,7 @@
         notes: &Notes,
         parts: &[ShardId],
         deadline: Instant,
-    ) -> Answer {
+    ) -> Response {
         let failures: Vec<_> =
             parts.iter().filter_map(|s| Some((*s, notes.failures.get(s)?.clone()))).collect();
         let late = matches!(outcome, QueryOutcome::DeadlineExceeded) || Instant::now() + END >= deadline;
@@ -160,12 +166,12 @@
             None if notes.begun => error(503, "search_phase_execution_exception", "the search failed"),
             None => return self.refused("the coordinator cannot take the search now"),
         };
-        Answer { retry_after, ..answer }
+        Response { retry_after, ..answer }
     }
 
-    pub(super) fn refused(&self, reason: &str) -> Answer {
+    pub(super) fn refused(&self, reason: &str) -> Response {
         let retry_after = self.deployment.settings.retry_after;
-        Answer { retry_after, ..error(429, "rejected_execution_exception", reason) }
+        Response { retry_after, ..error(429, "rejected_execution_exception", reason) }
     }
 }
 
@@ -201,16 +207,16 @@
     MissingShards { total: parts.len(), failures, timed_out }
 }
 
-pub(super) fn error(status: u16, kind: &str, reason: &str) -> Answer {
+pub(super) fn error(status: u16, kind: &str, reason: &str) -> Response {
     let cause = json!({"type": kind, "reason": reason});
     let body = json!({"error": {"root_cause": [cause], "type": kind, "reason": reason}, "status": status});
-    Answer::new(status, body.to_string())
+    Response::new(status, body.to_string())
 }
 
-fn shards_failed(search: &Search, reason: &str, failures: &[(ShardId, Failure)], status: u16) -> Answer {
+fn shards_failed(search: &Search, reason: &str, failures: &[(ShardId, Failure)], status: u16) -> Response {
     let failed: Vec<Value> = failures.iter().map(|(s, f)| f.json(&search.index, *s)).collect();
     let causes: Vec<&Value> = failed.iter().map(|f| &f["reason"]).collect();
     let body = json!({"error": {"root_cause": causes, "type": "search_phase_execution_exception",
         "reason": reason, "phase": "query", "grouped": true, "failed_shards": failed}, "status": status});
-    Answer::new(status, body.to_string())
+    Response::new(status, body.to_string())
 }
--- a/src/net/opensearch/servers.rs
+++ b/src/net/opensearch/servers.rs
@@ -17,7 +17,7 @@
 use crate::net::buffer::Buffer;
 use crate::net::dns_sd::watcher::{Book, Change, Follows};
 use crate::net::dns_sd::zone_file::Server;
-use crate::net::http::{self, HttpError, Kind, Message};
+use crate::net::http::{self, HttpError, Message, MessageKind};
 use crate::net::invariants;
 use crate::net::socket::{self, ConnectError, Stream};
 use crate::net::timeout_at;
@@ -141,7 +141,7 @@
         }
         call.context.notes.borrow_mut().begun = true;
         let mut buffer = Buffer::default();
-        match http::read(stream, &mut buffer, Kind::Answer, MOST_ANSWER).await {
+        match http::read(stream, &mut buffer, MessageKind::Response, MOST_ANSWER).await {
             Ok(message) => {
                 let ended = self.classify(call, &message, &buffer);
                 if message.keep_alive && buffer.unread().len() == message.length {
@@ -149,7 +149,7 @@
                 }
                 ended
             }
-            Err(HttpError::Ended | HttpError::Io(_)) => {
+            Err(HttpError::ConnectionClosed | HttpError::Io(_)) => {
                 self.failed(call, Outcome::Reset, (503, "node_disconnected_exception", "connection broke"))
             }
             Err(e) => self.failed(call, Outcome::Error, (500, "malformed_answer", &e.to_string())),
@@ -265,7 +265,7 @@
             let stream = place.stream.as_mut()?;
             let request = format!("GET / HTTP/1.1\r\nHost: {address}\r\nConnection: close\r\n\r\n");
             stream.write_all(request.as_bytes()).await.ok()?;
-            let answer = http::read(stream, &mut Buffer::default(), Kind::Answer, MOST_ANSWER).await;
+            let answer = http::read(stream, &mut Buffer::default(), MessageKind::Response, MOST_ANSWER).await;
             answer.ok().map(|m| m.status)
         };
         (timeout_at(latest, probe).await.flatten() == Some(200), None)
--- a/src/net/platform_api.rs
+++ b/src/net/platform_api.rs
@@ -12,7 +12,7 @@
 
 use super::buffer::Buffer;
 use super::data_nodes::{DataNodes, RequestContext};
-use super::http::{Answer, HttpError, Message};
+use super::http::{HttpError, Message, Response};
 use super::http_server::{ClientConnection, GracefulShutdown};
 use super::LogRateLimiter;
 use crate::balancer::interface::*;
@@ -66,9 +66,9 @@
 pub struct PlatformApi {
     pub coordinator: Rc<Coordinator<DataNodes>>,
     pub deployment: Rc<Deployment>,
-    pub closing: Rc<GracefulShutdown>,
+    pub shutdown: Rc<GracefulShutdown>,
     /// The ids of the queries that are open.
-    pub open: Rc<RefCell<BTreeSet<String>>>,
+    pub open_ids: Rc<RefCell<BTreeSet<String>>>,
     pub log: Logger,
     pub log_limiters: LogLimiters,
 }
@@ -102,7 +102,7 @@
                         if let Some(suppressed) = self.log_limiters.bad.permit() {
                             warn!(self.log, "unusable request"; "error" => %e, "suppressed" => suppressed);
                         }
-                        client.write_error(&Answer::new(status, fault(&e))).await;
+                        client.write_error(&Response::new(status, fault(&e))).await;
                     }
                     return;
                 }
@@ -119,19 +119,19 @@
                         if let Some(suppressed) = self.log_limiters.bad.permit() {
                             warn!(self.log, "unusable query"; "error" => %bad, "suppressed" => suppressed);
                         }
-                        Answer::new(if matches!(bad, RequestError::Open) { 409 } else { 400 }, fault(&bad))
+                        Response::new(if matches!(bad, RequestError::Open) { 409 } else { 400 }, fault(&bad))
                     }
                     Ok((query, _open)) => match self.outcome(query, &mut client, &message, begun).await {
                         Ok(answer) => answer,
-                        Err(HttpError::Ended) => return,
+                        Err(HttpError::ConnectionClosed) => return,
                         Err(e) => {
                             flooded = true;
-                            Answer::new(e.status().unwrap_or(400), fault(&e))
+                            Response::new(e.status().unwrap_or(400), fault(&e))
                         }
                     },
                 },
-                (_, "/_health" | "/api") => Answer::new(405, fault(&"method not allowed")),
-                _ => Answer::new(404, fault(&"no such path")),
+                (_, "/_health" | "/api") => Response::new(405, fault(&"method not allowed")),
+                _ => Response::new(404, fault(&"no such path")),
             };
             client.consume(message.length);
             if !client.write_response(&answer, message.keep_alive && !flooded).await {
@@ -147,8 +147,8 @@
         client: &mut ClientConnection,
         message: &Message,
         begun: Instant,
-    ) -> Result<Answer, HttpError> {
-        let query = Query { deadline: self.closing.limit_deadline(query.deadline), ..query };
+    ) -> Result<Response, HttpError> {
+        let query = Query { deadline: self.shutdown.limit_deadline(query.deadline), ..query };
         let class = message.header(client.buffer(), "Req-Kind").unwrap_or_default().to_owned();
         let id = query.context.id.clone();
         let Some(taken) = self.coordinator.take(query) else {
@@ -166,7 +166,7 @@
         }
         let ended = async { Ok(taken.outcome().await) };
         let over = async {
-            self.closing.answer_deadline_passed().await;
+            self.shutdown.answer_deadline_passed().await;
             Ok(QueryOutcome::DeadlineExceeded)
         };
         let left = async { Err(client.disconnected(message.length).await) };
@@ -192,9 +192,9 @@
     }
 
     /// Ready once queries can be served.
-    fn health(&self) -> Answer {
-        let ready = self.coordinator.ready() && !self.closing.draining.get();
-        Answer::new(
+    fn health(&self) -> Response {
+        let ready = self.coordinator.ready() && !self.shutdown.draining.get();
+        Response::new(
             if ready { 200 } else { 503 },
             if ready { "{\"ready\":true}" } else { "{\"ready\":false}" },
         )
@@ -209,7 +209,7 @@
         buffer: &Buffer,
         now: Instant,
     ) -> Result<(Query<RequestContext>, Taken), RequestError> {
-        let header = |name| match message.only(buffer, name) {
+        let header = |name| match message.unique_header(buffer, name) {
             Some(Ok(value)) => Ok(value),
             Some(Err(())) => Err(RequestError::Header(name)),
             None => Err(RequestError::Missing(name)),
@@ -221,7 +221,7 @@
         {
             return Err(RequestError::Header("Req-Id"));
         }
-        if self.open.borrow().contains(id) {
+        if self.open_ids.borrow().contains(id) {
             return Err(RequestError::Open);
         }
         let kind = header("Req-Kind")?;
@@ -234,7 +234,7 @@
         let tenant = match self.deployment.tenant_names.is_empty() {
             true => None,
             false => message
-                .only(buffer, "Req-Owner")
+                .unique_header(buffer, "Req-Owner")
                 .transpose()
                 .map_err(|()| RequestError::Header("Req-Owner"))?,
         };
@@ -270,8 +270,8 @@
         parts.iter_mut().for_each(|p| p.1 /= sum);
         // Copied: attempts are written long after the buffer has moved on.
         let carried = RequestContext::new(id.to_owned(), body.statement.as_bytes().to_vec());
-        self.open.borrow_mut().insert(id.to_owned());
-        let open = Taken(self.open.clone(), id.to_owned());
+        self.open_ids.borrow_mut().insert(id.to_owned());
+        let open = Taken(self.open_ids.clone(), id.to_owned());
         let class = ClassId(class as u16);
         Ok((
             Query { class, tenant, deadline, is_retry: repeat, parts, context: carried, protection: None },
@@ -279,21 +279,21 @@
         ))
     }
 
-    fn answer(&self, outcome: &QueryOutcome) -> Answer {
+    fn answer(&self, outcome: &QueryOutcome) -> Response {
         match outcome {
             QueryOutcome::Answered { complete, values } => {
                 let piece = |(shard, value): &(ShardId, Rc<[u8]>)| serde_json::json!({"tablet": shard.0, "cell": String::from_utf8_lossy(value)});
                 let pieces: Vec<_> = values.iter().map(piece).collect();
-                Answer::new(200, serde_json::json!({"full": complete, "pieces": pieces}).to_string())
+                Response::new(200, serde_json::json!({"full": complete, "pieces": pieces}).to_string())
             }
             QueryOutcome::Rejected { retry_after } => self.refused(503, *retry_after),
-            QueryOutcome::Failed => Answer::new(500, fault(&"failed")),
-            QueryOutcome::DeadlineExceeded => Answer::new(504, fault(&"out of time")),
+            QueryOutcome::Failed => Response::new(500, fault(&"failed")),
+            QueryOutcome::DeadlineExceeded => Response::new(504, fault(&"out of time")),
         }
     }
 
-    fn refused(&self, status: u16, retry_after: Option<f64>) -> Answer {
-        Answer { retry_after, ..Answer::new(status, fault(&"refused")) }
+    fn refused(&self, status: u16, retry_after: Option<f64>) -> Response {
+        Response { retry_after, ..Response::new(status, fault(&"refused")) }
     }
 }
 
--- a/tests/clients_pieces.rs
+++ b/tests/clients_pieces.rs
@@ -6,7 +6,7 @@
 
 use futures_lite::{future, AsyncRead};
 use marlgap::net::buffer::Buffer;
-use marlgap::net::http::{self, HttpError, Kind, Message};
+use marlgap::net::http::{self, HttpError, Message, MessageKind};
 
 /// Gives its bytes in pieces of a size.
 struct Pieces<'b>(&'b [u8], usize);
@@ -22,7 +22,7 @@
 
 fn read(bytes: &[u8], size: usize) -> (Result<Message, HttpError>, Buffer) {
     let (mut buffer, mut pieces) = (Buffer::default(), Pieces(bytes, size));
-    let read = http::read(&mut pieces, &mut buffer, Kind::Request, http::MOST_BODY);
+    let read = http::read(&mut pieces, &mut buffer, MessageKind::Request, http::MAX_BODY_BYTES);
     let message = future::block_on(read);
     (message, buffer)
 }
@@ -59,12 +59,12 @@
 #[test]
 fn a_body_in_the_smallest_pieces_takes_work_in_proportion() {
     let mut text = "POST /a HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n".to_owned();
-    text += &"1\r\nx\r\n".repeat(http::MOST_BODY);
+    text += &"1\r\nx\r\n".repeat(http::MAX_BODY_BYTES);
     text += "0\r\n";
     text += &"a: b\r\n".repeat(2000);
     text += "\r\n";
     let begun = Instant::now();
     let (message, buffer) = read(text.as_bytes(), 1);
-    assert_eq!(message.expect("sound").body(&buffer).len(), http::MOST_BODY);
+    assert_eq!(message.expect("sound").body(&buffer).len(), http::MAX_BODY_BYTES);
     assert!(begun.elapsed() < Duration::from_secs(2), "{:?}", begun.elapsed());
 }
--- a/tests/formats.rs
+++ b/tests/formats.rs
@@ -10,8 +10,8 @@
 use marlgap::coordinator::Clock;
 use marlgap::net::data_nodes::frames::{self, FrameError};
 use marlgap::net::dns_sd::zone_file;
-use marlgap::net::http::{self, Answer, HttpError, Kind};
-use marlgap::net::opensearch::outcome::{self, Spoilt, Text};
+use marlgap::net::http::{self, HttpError, MessageKind, Response};
+use marlgap::net::opensearch::outcome::{self, CorruptRecord, SearchText};
 use marlgap::net::opensearch::{merge, query};
 use proptest::prelude::*;
 
@@ -49,7 +49,7 @@
 
 #[test]
 fn messages_are_bounded_and_their_chunks_checked() {
-    let parse = |text: &str| http::parse(text.as_bytes(), Kind::Request, 8);
+    let parse = |text: &str| http::parse(text.as_bytes(), MessageKind::Request, 8);
     let head = "POST / HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n";
     let whole = format!("\r\n{head}3\r\nabc\r\n2;x=y\r\nde\r\n0\r\nTrailer: t\r\n\r\nnext");
     for n in 0..whole.len() - 4 {
@@ -121,7 +121,7 @@
         ("/fields/_search?q=timeout=1s", "/fields/_search?q=timeout=1s"),
         ("/fields/_search", "/fields/_search"),
     ] {
-        assert_eq!(Text::untimed(target), text);
+        assert_eq!(SearchText::untimed(target), text);
     }
 }
 
@@ -133,12 +133,12 @@
         target in ".{0,40}",
         body in proptest::collection::vec(any::<u8>(), 0..80),
     ) {
-        let answer = Answer { retry_after, ..Answer::new(status, body.clone()) };
+        let answer = Response { retry_after, ..Response::new(status, body.clone()) };
         let read = outcome::decode(&outcome::encode(&answer)).expect("whole");
         prop_assert_eq!((read.status, read.retry_after, &read.body), (status, retry_after, &body));
-        let text = Text { target: &target, body: &body };
+        let text = SearchText { target: &target, body: &body };
         let bytes = text.encode();
-        prop_assert_eq!(Text::decode(&bytes), Ok(text));
+        prop_assert_eq!(SearchText::decode(&bytes), Ok(text));
     }
 
     #[test]
@@ -148,7 +148,7 @@
         if let Ok(answer) = outcome::decode(&bytes) {
             prop_assert!((100..600).contains(&answer.status));
         }
-        if let Ok(text) = Text::decode(&bytes) {
+        if let Ok(text) = SearchText::decode(&bytes) {
             prop_assert_eq!(text.encode(), bytes);
         }
     }
@@ -157,17 +157,17 @@
 #[test]
 fn spoilt_bytes_are_an_error() {
     let error = |bytes: &[u8]| outcome::decode(bytes).err();
-    let whole = outcome::encode(&Answer { retry_after: Some(1.5), ..Answer::new(429, "{}") });
+    let whole = outcome::encode(&Response { retry_after: Some(1.5), ..Response::new(429, "{}") });
     assert_eq!(whole, b"\x01\xad\x031.5{}");
     // Behind the head every length is a body.
     for cut in 0..6 {
-        assert_eq!(error(&whole[..cut]), Some(Spoilt::Cut), "of {cut} bytes");
+        assert_eq!(error(&whole[..cut]), Some(CorruptRecord::Truncated), "of {cut} bytes");
     }
-    assert_eq!(error(b"\0\x63\0"), Some(Spoilt::Status(99)));
+    assert_eq!(error(b"\0\x63\0"), Some(CorruptRecord::InvalidStatus(99)));
     for wait in [b"\0\xc8\x031.x", b"\0\xc8\x03inf", b"\0\xc8\x03-01", b"\0\xc8\x03\xff\xff\xff"] {
-        assert_eq!(error(wait), Some(Spoilt::RetryAfter));
+        assert_eq!(error(wait), Some(CorruptRecord::InvalidRetryAfter));
     }
-    assert_eq!(Text::decode(b"\0\0\0"), Err(Spoilt::Cut));
-    assert_eq!(Text::decode(b"\0\0\0\x05/a"), Err(Spoilt::Cut));
-    assert_eq!(Text::decode(b"\0\0\0\x01\xff"), Err(Spoilt::Target));
+    assert_eq!(SearchText::decode(b"\0\0\0"), Err(CorruptRecord::Truncated));
+    assert_eq!(SearchText::decode(b"\0\0\0\x05/a"), Err(CorruptRecord::Truncated));
+    assert_eq!(SearchText::decode(b"\0\0\0\x01\xff"), Err(CorruptRecord::InvalidTarget));
 }
