--- a/src/net/grpc/front.rs
+++ b/src/net/grpc/front.rs
@@ -131,13 +131,13 @@
             .max_pending_accept_reset_streams(limits.streams as usize)
             .max_send_buffer_size(limits.window as usize);
         let latest = client.accepted_at() + span(limits.handshake_s);
-        let unwanted = async {
-            client.unwanted().await;
+        let evicted = async {
+            client.evicted().await;
             None
         };
         let shaken = async { Some(builder.handshake::<_, Bytes>(guarded.compat()).await) };
         // Guards against connections that never say what they are.
-        let Some(Some(Ok(mut connection))) = timeout_at(latest, shaken.or(unwanted)).await else { return };
+        let Some(Some(Ok(mut connection))) = timeout_at(latest, shaken.or(evicted)).await else { return };
         let calls = Rc::new(Calls::default());
         let mut ending = false;
         loop {
@@ -178,7 +178,7 @@
                         true => std::future::pending().await,
                     }
                 };
-                idle.or(client.unwanted()).or(stopping).await;
+                idle.or(client.evicted()).or(stopping).await;
                 Next::Idle
             };
             match flood.or(accept).or(idle).or(moved).await {
--- a/src/net/http.rs
+++ b/src/net/http.rs
@@ -337,6 +337,15 @@
     }
 }
 
+/// Whether a connection goes on behind a response.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum ConnectionReuse {
+    /// It may carry further requests.
+    KeepAlive,
+    /// The response is its last one, and says so.
+    Close,
+}
+
 /// A whole answer.
 pub struct Response {
     pub status: u16,
@@ -350,7 +359,7 @@
         Response { status, retry_after: None, allow: None, body: body.into() }
     }
 
-    pub fn to_bytes(&self, keep_alive: bool) -> Vec<u8> {
+    pub fn to_bytes(&self, reuse: ConnectionReuse) -> Vec<u8> {
         let mut out = format!("HTTP/1.1 {} {}\r\n", self.status, reason(self.status));
         if let Some(seconds) = self.retry_after {
             out += &format!("Retry-After: {seconds}\r\n");
@@ -358,7 +367,7 @@
         if let Some(methods) = self.allow {
             out += &format!("Allow: {methods}\r\n");
         }
-        if !keep_alive {
+        if reuse == ConnectionReuse::Close {
             out += "Connection: close\r\n";
         }
         out += &format!("Content-Type: application/json\r\nContent-Length: {}\r\n\r\n", self.body.len());
--- a/src/net/http_server/acceptor.rs
+++ b/src/net/http_server/acceptor.rs
@@ -1,4 +1,13 @@
-//! Accepting clients, and the book of their connections: who makes way where all room is taken.
+//! Accepts client connections up to a limit, and evicts connections where others wait for a slot.
+//!
+//! Owns the set of open connections and their number; each connection is served by a task of its own. The
+//! acceptor never reads or writes a connection, and never ends one that serves a request: it sends an
+//! eviction notice, on which the connection's own task acts.
+//!
+//! Invariants: at most [`Descriptors::most_clients`] connections are open, but for those in the backlog at
+//! the end of a graceful shutdown; while an evicted connection is about to end, no second one is evicted.
+#![warn(missing_docs)]
+
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
 use std::future::Future;
@@ -8,191 +17,109 @@
 
 use async_executor::LocalExecutor;
 use async_io::{Async, Timer};
-use event_listener::Event as Wake;
+use event_listener::Event;
 use futures_lite::FutureExt;
 use slog::{warn, Logger};
 
+use super::connection_slot::{ConnectionActivity, ConnectionSlot, EVICTION_RETRY, MIN_DRAIN};
+use super::input::Input;
 use super::{ClientConnection, GracefulShutdown};
 use crate::net::descriptors::Descriptors;
 use crate::net::socket::{self, Accepted, Stream};
 use crate::net::{timeout_at, LogRateLimiter};
 
-/// For how long a connection is left alone though others wait for room: one that rests between requests, and
-/// one whose first request is not in. Clients that have something to ask send it at once.
-const RESTED: Duration = Duration::from_secs(2);
-const MUTE: Duration = Duration::from_millis(250);
-/// And one that is drained: a way or two to its client and back, who hears of the end and closes.
-const DRAINED: Duration = Duration::from_millis(10);
-/// Time between looks for room where all connections are at work.
-const LOOK: Duration = Duration::from_millis(50);
-/// Pause where our own machine had no means to accept.
-const PAUSE: Duration = Duration::from_millis(5);
-
-/// What a connection is doing, the first to be closed for room first.
-#[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-pub(super) enum ConnectionActivity {
-    /// Its last answer is written, or it was told that it ends.
-    Leaving,
-    /// Its first request is not in.
-    Mute,
-    /// Between requests.
-    Resting,
-    /// A request is being served, or a later one comes in.
-    Working,
-}
-
-/// What a connection was told for the sake of others.
-#[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-enum EvictionNotice {
-    Nothing,
-    /// End it as soon as nothing is asked on it.
-    MakeWay,
-    /// Drain it no longer.
-    Close,
-}
-
-/// A connection in the acceptor's book.
-pub(super) struct ConnectionSlot {
-    doing: Cell<ConnectionActivity>,
-    since: Cell<Instant>,
-    told: Cell<EvictionNotice>,
-    told_at: Cell<Instant>,
-    wake: Wake,
-}
-
-impl ConnectionSlot {
-    pub(super) fn doing(&self) -> ConnectionActivity {
-        self.doing.get()
-    }
+/// Pause after an accept that failed for want of resources of this machine.
+const LOCAL_FAILURE_PAUSE: Duration = Duration::from_millis(5);
 
-    pub(super) fn set(&self, doing: ConnectionActivity) {
-        self.doing.set(doing);
-        self.since.set(Instant::now());
-    }
-
-    /// From when on it may be told to end, or, where it is drained, to close.
-    fn spare(&self) -> Option<Instant> {
-        let since = self.since.get();
-        match (self.doing.get(), self.told.get()) {
-            (ConnectionActivity::Working, _) | (_, EvictionNotice::Close) => None,
-            (ConnectionActivity::Leaving, _) => Some(since + DRAINED),
-            (_, EvictionNotice::MakeWay) => None,
-            (ConnectionActivity::Mute, _) => Some(since + MUTE),
-            (ConnectionActivity::Resting, _) => Some(since + RESTED),
-        }
-    }
-
-    /// Whether it was told just now, and has only to do it. A front that reads by itself may take longer.
-    fn ending(&self, now: Instant) -> bool {
-        let fresh = now < self.told_at.get() + LOOK;
-        fresh && self.told.get() == EvictionNotice::MakeWay && self.doing.get() != ConnectionActivity::Working
-    }
-
-    fn tell(&self, now: Instant) {
-        self.told_at.set(now);
-        let leaving = self.doing.get() == ConnectionActivity::Leaving;
-        self.told.set(if leaving { EvictionNotice::Close } else { EvictionNotice::MakeWay });
-        self.wake.notify(usize::MAX);
-    }
-
-    async fn told(&self, least: EvictionNotice) {
-        while self.told.get() < least {
-            let listener = self.wake.listen();
-            if self.told.get() < least {
-                listener.await;
-            }
-        }
-    }
-
-    pub(super) fn wanted(&self) -> bool {
-        self.told.get() == EvictionNotice::Nothing
-    }
-
-    pub(super) async fn unwanted(&self) {
-        self.told(EvictionNotice::MakeWay).await;
-    }
-
-    pub(super) async fn closed(&self) {
-        self.told(EvictionNotice::Close).await;
-    }
-}
-
-/// Accept connections up to a number, each served by a task of its own.
+/// Accepts connections up to a limit and serves each by a task of its own.
 pub struct Acceptor {
     executor: Rc<LocalExecutor<'static>>,
-    closing: Rc<GracefulShutdown>,
-    seats: RefCell<BTreeMap<u64, Rc<ConnectionSlot>>>,
-    /// Connections that were accepted so far.
-    accepted: Cell<u64>,
-    pub connection_closed: Wake,
+    shutdown: Rc<GracefulShutdown>,
+    slots: RefCell<BTreeMap<u64, Rc<ConnectionSlot>>>,
+    /// The number that the next connection gets: how many were accepted so far.
+    next_number: Cell<u64>,
+    /// Notifies one listener each time that a connection has closed.
+    pub connection_closed: Event,
     descriptors: Rc<Descriptors>,
-    /// Three quarters of the room are taken.
+    /// At least three quarters of the slots are taken. Shared with all connections.
     crowded: Rc<Cell<bool>>,
     log: Logger,
     log_limiter: LogRateLimiter,
 }
 
 impl Acceptor {
+    /// An acceptor with no connections. `descriptors` limits how many may be open; the tasks run on
+    /// `executor`.
     pub fn new(
         executor: Rc<LocalExecutor<'static>>,
-        closing: Rc<GracefulShutdown>,
+        shutdown: Rc<GracefulShutdown>,
         descriptors: Rc<Descriptors>,
         log: Logger,
     ) -> Rc<Self> {
-        let (seats, accepted, freed, crowded, said) = Default::default();
         Rc::new(Acceptor {
             executor,
-            closing,
-            seats,
-            accepted,
-            connection_closed: freed,
+            shutdown,
+            slots: RefCell::default(),
+            next_number: Cell::default(),
+            connection_closed: Event::new(),
             descriptors,
-            crowded,
+            crowded: Rc::default(),
             log,
-            log_limiter: said,
+            log_limiter: LogRateLimiter::default(),
         })
     }
 
-    /// Connections that are being served.
+    /// How many connections are open.
     pub fn open_connections(&self) -> usize {
-        self.seats.borrow().len()
+        self.slots.borrow().len()
     }
 
-    fn count(&self) {
-        self.descriptors.hold(self.open_connections());
-        self.crowded.set(4 * self.open_connections() >= 3 * self.descriptors.most_clients());
+    fn update_usage(&self) {
+        let open = self.open_connections();
+        self.descriptors.hold(open);
+        self.crowded.set(4 * open >= 3 * self.descriptors.most_clients());
     }
 
-    /// Tell one to make way, the longest first, or to be drained no longer; for how long to wait for it then. While
-    /// one is on its way out no other one is told.
-    fn make_way(&self, now: Instant) -> Duration {
-        let seats = self.seats.borrow();
-        let ending = seats.values().any(|s| s.ending(now));
-        let spare = seats.values().filter(|s| s.spare().is_some_and(|at| at <= now));
-        let first = spare.min_by_key(|s| (s.doing.get(), s.since.get()));
-        match first.filter(|s| !ending || s.doing.get() == ConnectionActivity::Leaving) {
-            Some(seat) => seat.tell(now),
-            None if !ending => return LOOK,
-            None => {}
-        }
-        DRAINED
+    fn is_full(&self) -> bool {
+        let most = self.descriptors.most_clients();
+        self.open_connections() >= most && !self.shutdown.is_keep_alive_stopped()
     }
 
-    fn full(&self) -> bool {
-        self.open_connections() >= self.descriptors.most_clients() && !self.closing.is_idle()
+    /// Evict the connection that is spared most easily, of those alike the one that has been so for longest.
+    /// While an evicted connection is about to end, only one that is being drained is closed. Returns how
+    /// long to wait for the effect.
+    fn evict_one(&self, now: Instant) -> Duration {
+        let slots = self.slots.borrow();
+        let one_is_ending = slots.values().any(|slot| slot.is_ending(now));
+        let evictable = slots.values().filter(|slot| slot.is_evictable(now));
+        let first = evictable.min_by_key(|slot| (slot.activity(), slot.active_since()));
+        match first.filter(|slot| !one_is_ending || slot.activity() == ConnectionActivity::Draining) {
+            Some(slot) => slot.evict(now),
+            None if !one_is_ending => return EVICTION_RETRY,
+            None => {}
+        }
+        MIN_DRAIN
     }
 
-    /// Wait for room, and make it. Guards against clients that keep their connections and ask no more, or
-    /// connect and say nothing: were they left to hold all there is, nobody else would be served.
-    async fn room(&self) {
-        while self.full() {
-            let (freed, now) = (self.connection_closed.listen(), Instant::now());
-            let wait = self.make_way(now);
-            timeout_at(now + wait, freed.or(self.closing.idle())).await;
+    /// Wait until a connection may be accepted, and evict others for it. Prevents clients that keep
+    /// connections open without sending requests from taking all slots: nobody else would be served.
+    async fn wait_for_slot(&self) {
+        while self.is_full() {
+            let closed = self.connection_closed.listen();
+            let now = Instant::now();
+            let wait = self.evict_one(now);
+            timeout_at(now + wait, closed.or(self.shutdown.keep_alive_stopped())).await;
         }
     }
 
-    /// Accept until idle connections are closed; what the machine took for us by then is served too.
+    /// Accept connections and serve each with `serve`, until [`GracefulShutdown::stop_keep_alive`] was called
+    /// and the listener's backlog is empty: what the machine accepted for us by then is served too.
+    ///
+    /// A failed accept never ends it; one for want of resources of this machine is logged and repeated after
+    /// a pause.
+    ///
+    /// Cancel safe: connections that were not accepted stay in the backlog, accepted ones are served on by
+    /// their tasks.
     pub async fn accept<F>(
         self: Rc<Self>,
         listener: Async<TcpListener>,
@@ -200,24 +127,23 @@
     ) where
         F: Future<Output = ()> + 'static,
     {
-        // Since when connections may have waited unseen; none: nobody waited at the last look.
-        let mut unseen = None;
-        // Connections in a row that were gone before we took them.
+        // Since when connections may have waited in the backlog; none where it was empty at the last look.
+        let mut waiting_since = None;
+        // Accepts in a row that gave no connection as its client had disconnected.
         let mut gone = 0;
         loop {
-            if self.full() {
-                unseen.get_or_insert_with(Instant::now);
-                self.room().await;
+            if self.is_full() {
+                waiting_since.get_or_insert_with(Instant::now);
+                self.wait_for_slot().await;
             }
             match socket::accept(&listener) {
-                Accepted::Stream(stream, _) => self.seat(stream, unseen, &serve),
-                // What the machine took for us by the end is served too.
-                Accepted::Nobody if self.closing.is_idle() => return,
+                Accepted::Stream(stream, _) => self.spawn_connection(stream, waiting_since, &serve),
+                Accepted::Nobody if self.shutdown.is_keep_alive_stopped() => return,
                 Accepted::Nobody => {
-                    unseen = None;
-                    socket::somebody(&listener).or(self.closing.idle()).await;
+                    waiting_since = None;
+                    socket::somebody(&listener).or(self.shutdown.keep_alive_stopped()).await;
                 }
-                // Its client is gone. It punishes nobody else, and the next one is taken at once.
+                // It says nothing of the next connection, which is accepted at once.
                 Accepted::Gone => {
                     gone += 1;
                     socket::pass_over(gone).await;
@@ -228,44 +154,50 @@
                         warn!(self.log, "could not accept a connection"; "error" => %e, "suppressed" => suppressed);
                     }
                     let now = Instant::now();
-                    unseen.get_or_insert(now);
+                    waiting_since.get_or_insert(now);
                     if socket::no_descriptor(&e) {
-                        self.make_way(now);
+                        self.evict_one(now);
                     }
-                    Timer::at(now + PAUSE).await;
+                    Timer::at(now + LOCAL_FAILURE_PAUSE).await;
                 }
             }
             gone = 0;
         }
     }
 
-    /// Serve a connection that was accepted, by a task of its own. `unseen`: since when it may have waited for that.
-    fn seat<F>(
+    /// Serve an accepted connection by a task of its own. `waiting_since`: since when it may have waited to
+    /// be accepted.
+    fn spawn_connection<F>(
         self: &Rc<Self>,
         stream: Stream,
-        unseen: Option<Instant>,
+        waiting_since: Option<Instant>,
         serve: &impl Fn(ClientConnection) -> F,
     ) where
         F: Future<Output = ()> + 'static,
     {
         stream.set_nodelay();
         let now = Instant::now();
-        let (doing, since, told_at) = (Cell::new(ConnectionActivity::Mute), Cell::new(now), Cell::new(now));
-        let (told, wake) = (Cell::new(EvictionNotice::Nothing), Wake::new());
-        let seat = Rc::new(ConnectionSlot { doing, since, told, told_at, wake });
-        let number = self.accepted.get();
-        self.accepted.set(number + 1);
-        self.seats.borrow_mut().insert(number, seat.clone());
-        self.count();
-        let (closing, crowded) = (self.closing.clone(), self.crowded.clone());
-        let served = serve(ClientConnection::new(stream, seat, closing, crowded, now, unseen.unwrap_or(now)));
+        let slot = Rc::new(ConnectionSlot::new(now));
+        let number = self.next_number.get();
+        self.next_number.set(number + 1);
+        self.slots.borrow_mut().insert(number, slot.clone());
+        self.update_usage();
+        let served = serve(ClientConnection {
+            stream,
+            input: Input::new(waiting_since.unwrap_or(now)),
+            slot,
+            shutdown: self.shutdown.clone(),
+            crowded: self.crowded.clone(),
+            accepted_at: now,
+            received_a_request: false,
+        });
         let acceptor = self.clone();
-        let life = async move {
+        let task = async move {
             served.await;
-            acceptor.seats.borrow_mut().remove(&number);
-            acceptor.count();
+            acceptor.slots.borrow_mut().remove(&number);
+            acceptor.update_usage();
             acceptor.connection_closed.notify(1);
         };
-        self.executor.spawn(life).detach();
+        self.executor.spawn(task).detach();
     }
 }
--- a/src/net/http_server/graceful_shutdown.rs
+++ b/src/net/http_server/graceful_shutdown.rs
@@ -1,103 +1,126 @@
-//! The end of service: told once, and seen by every connection.
+//! The graceful shutdown: requested once, and seen by every connection.
+//!
+//! Owns the stages of a shutdown and their times. It ends nothing by itself: connections, the acceptors and
+//! the program wait for a stage or ask for a deadline.
+//!
+//! The stages, from SIGTERM on:
+//!
+//! 1. draining: responses say that their connection closes; new connections are still accepted;
+//! 2. keep-alive stopped, [`ACCEPT_GRACE`] later: no connection is accepted, idle ones are closed;
+//! 3. the rest of a request is waited for no longer ([`READ_GRACE`]);
+//! 4. queries are answered, finished or not, and the program ends, both before SIGKILL is due.
+//!
+//! Invariant: no stage is left again.
+#![warn(missing_docs)]
+
 use std::cell::Cell;
 use std::time::{Duration, Instant};
 
 use async_io::Timer;
-use event_listener::Event as Wake;
+use event_listener::Event;
 
 use crate::send_policy::HELD_UP;
 
-/// The protocol's figures for a planned restart. What comes in later than `LATE` after SIGTERM is lost if SIGKILL
-/// finds it unanswered; SIGKILL comes no sooner than that much behind the longest deadline, which counts as
-/// `COUNTED` where it is longer; new connections keep coming for `NEW`.
-const LATE: Duration = Duration::from_millis(700);
-const COUNTED: Duration = Duration::from_secs(3);
-const NEW: Duration = Duration::from_millis(400);
-/// What each limit on time is longer by over sockets.
-const OVER_SOCKETS: Duration = Duration::from_millis(50);
-/// How long after SIGTERM connections are accepted, and rest: one that came last has its request in by then, and
-/// a query of the longest deadline taken then is still over before `LAST` begins.
-pub const ACCEPT_GRACE: Duration = NEW.saturating_add(OVER_SOCKETS);
-/// The time before SIGKILL in which nothing is waited for any more: answers leave, and the program ends. Guards what was
-/// taken against a process that is held up just then: half of the rest behind that is for its answers.
-const LAST: Duration = Duration::from_millis(240);
-const _: () = assert!(HELD_UP.as_millis() + OVER_SOCKETS.as_millis() < LAST.as_millis());
-const _: () = assert!(ACCEPT_GRACE.as_millis() + LAST.as_millis() < LATE.as_millis());
+/// How long after SIGTERM the rest of a request may come in: by the protocol (planned restart), a request
+/// that comes in later is lost if SIGKILL finds it unanswered.
+const READ_GRACE: Duration = Duration::from_millis(700);
+/// SIGKILL comes no sooner than [`READ_GRACE`] and the longest deadline of all classes after SIGTERM. By the
+/// protocol, a deadline counts for no more than this.
+const MAX_COUNTED_DEADLINE: Duration = Duration::from_secs(3);
+/// How long after SIGTERM the protocol lets new connections come.
+const NEW_CONNECTIONS: Duration = Duration::from_millis(400);
+/// What the protocol adds to each limit on time over sockets.
+const SOCKET_SLACK: Duration = Duration::from_millis(50);
+/// How long after SIGTERM connections are accepted, and may be idle: the last one of them has its request in
+/// by then, and a query of the longest deadline that is taken then is finished before [`FINAL_PERIOD`]
+/// starts.
+pub const ACCEPT_GRACE: Duration = NEW_CONNECTIONS.saturating_add(SOCKET_SLACK);
+/// The time before SIGKILL in which nothing is waited for: responses are sent, and the program ends. Keeps
+/// what was accepted from being lost where the process is stalled just then: the second half of it is left
+/// for that.
+const FINAL_PERIOD: Duration = Duration::from_millis(240);
+const _: () = assert!(HELD_UP.as_millis() + SOCKET_SLACK.as_millis() < FINAL_PERIOD.as_millis());
+const _: () = assert!(ACCEPT_GRACE.as_millis() + FINAL_PERIOD.as_millis() < READ_GRACE.as_millis());
 
+/// The state of the graceful shutdown, shared by all connections of all fronts.
 #[derive(Default)]
 pub struct GracefulShutdown {
-    /// No new work is wanted: answers say that the connection closes.
+    /// A shutdown was requested: no new work is wanted, and responses say that the connection closes.
     pub draining: Cell<bool>,
-    /// Connections between requests are closed.
-    idle: Cell<bool>,
-    /// Until when the rest of a request may come in, and until when one that was taken is worked at.
-    late: Cell<Option<Instant>>,
-    over: Cell<Option<Instant>>,
-    wake: Wake,
+    keep_alive_stopped: Cell<bool>,
+    /// Until when the rest of a request may come in.
+    read_deadline: Cell<Option<Instant>>,
+    /// Until when accepted queries are worked on. None before the shutdown, and where no SIGKILL is due.
+    answer_deadline: Cell<Option<Instant>>,
+    changed: Event,
 }
 
 impl GracefulShutdown {
-    /// SIGTERM came at `now`. Where SIGKILL goes by it, `longest` is the longest deadline of all classes.
+    /// Start the shutdown: SIGTERM was received at `now`. `longest` is the longest deadline of all classes,
+    /// by which SIGKILL is due, or `None` where nobody sends SIGKILL.
     pub fn start_draining(&self, now: Instant, longest: Option<Duration>) {
+        let until_sigkill = |longest: Duration| longest.min(MAX_COUNTED_DEADLINE) + READ_GRACE;
         self.draining.set(true);
-        self.late.set(Some(now + LATE));
-        self.over.set(longest.map(|longest| now + longest.min(COUNTED) + LATE - LAST));
-        self.wake.notify(usize::MAX);
+        self.read_deadline.set(Some(now + READ_GRACE));
+        self.answer_deadline.set(longest.map(|longest| now + until_sigkill(longest) - FINAL_PERIOD));
+        self.changed.notify(usize::MAX);
     }
 
-    /// Connections are no longer accepted, nor may they rest.
+    /// From now on, accept no connections and close idle ones.
     pub fn stop_keep_alive(&self) {
-        self.idle.set(true);
-        self.wake.notify(usize::MAX);
+        self.keep_alive_stopped.set(true);
+        self.changed.notify(usize::MAX);
     }
 
-    async fn until(&self, told: impl Fn() -> bool) {
-        while !told() {
-            let listener = self.wake.listen();
-            if !told() {
+    async fn until(&self, reached: impl Fn() -> bool) {
+        while !reached() {
+            let listener = self.changed.listen();
+            if !reached() {
                 listener.await;
             }
         }
     }
 
-    /// Resolves once no new work is wanted.
+    /// Resolves once the shutdown has started. Cancel safe.
     pub async fn drain_started(&self) {
         self.until(|| self.draining.get()).await;
     }
 
-    pub(super) async fn idle(&self) {
-        self.until(|| self.idle.get()).await;
+    /// Resolves once idle connections are to be closed. Cancel safe.
+    pub(super) async fn keep_alive_stopped(&self) {
+        self.until(|| self.keep_alive_stopped.get()).await;
     }
 
-    pub(super) fn is_idle(&self) -> bool {
-        self.idle.get()
+    pub(super) fn is_keep_alive_stopped(&self) -> bool {
+        self.keep_alive_stopped.get()
     }
 
-    async fn at(&self, time: &Cell<Option<Instant>>) {
-        self.until(|| time.get().is_some()).await;
-        if let Some(time) = time.get() {
-            Timer::at(time).await;
+    async fn passed(&self, deadline: &Cell<Option<Instant>>) {
+        self.until(|| deadline.get().is_some()).await;
+        if let Some(deadline) = deadline.get() {
+            Timer::at(deadline).await;
         }
     }
 
-    /// Resolves once the rest of a request need not be waited for any more.
-    pub(super) async fn late(&self) {
-        self.at(&self.late).await;
+    /// Resolves once the rest of a request is not to be waited for any longer. Cancel safe.
+    pub(super) async fn read_deadline_passed(&self) {
+        self.passed(&self.read_deadline).await;
     }
 
-    /// Resolves once what was taken has to be answered, finished or not. Guards against a query with more time
-    /// than SIGKILL leaves us: it would get no answer at all.
+    /// Resolves once every accepted query has to be answered, finished or not; never where no SIGKILL is due.
+    /// A query with a later deadline would get no answer at all. Cancel safe.
     pub async fn answer_deadline_passed(&self) {
-        self.at(&self.over).await;
+        self.passed(&self.answer_deadline).await;
     }
 
-    /// A deadline, cut to the time that is left.
+    /// The earlier one of `deadline` and the time by which every query has to be answered.
     pub fn limit_deadline(&self, deadline: Instant) -> Instant {
-        self.over.get().map_or(deadline, |over| deadline.min(over))
+        self.answer_deadline.get().map_or(deadline, |answer_deadline| deadline.min(answer_deadline))
     }
 
-    /// By when the program is to have ended.
+    /// By when the program has to exit: before SIGKILL, with time left for a stall of the process. `None`
+    /// where no SIGKILL is due, and before the shutdown.
     pub fn exit_deadline(&self) -> Option<Instant> {
-        self.over.get().map(|over| over + LAST / 2)
+        self.answer_deadline.get().map(|answer_deadline| answer_deadline + FINAL_PERIOD / 2)
     }
 }
--- a/src/net/http_server/input.rs
+++ b/src/net/http_server/input.rs
@@ -1,4 +1,10 @@
-//! What a client sends, and when it came in.
+//! The received bytes of a client connection, and when they came in.
+//!
+//! Owns the connection's buffer and the arrival time of the request at its front. It never parses a message.
+//!
+//! Invariant: the arrival time of a request is never later than the time at which its last byte came.
+#![warn(missing_docs)]
+
 use std::future::{poll_fn, Future};
 use std::io;
 use std::pin::pin;
@@ -7,62 +13,73 @@
 use crate::net::buffer::Buffer;
 use crate::net::socket::Stream;
 
-/// A connection's input. A request's time counts from when its last byte came, which is not when we read it: it may
-/// have waited to be accepted, or behind another request on its connection.
+/// A connection's input. A request's time counts from when its last byte came, which is not when it was read:
+/// it may have waited for the connection to be accepted, or behind another request on the same connection.
 pub(super) struct Input {
     pub(super) buffer: Buffer,
-    /// When we last looked and found nothing: what is found at the next look came after that.
-    looked: Instant,
-    /// When the request at the front of the buffer came in, as far as it did. It may be earlier than its last byte came,
-    /// and never is later.
-    pub(super) arrived: Instant,
+    /// When the last read found the socket empty, or ended: bytes that the next read finds came after that.
+    last_checked_at: Instant,
+    /// When the request at the front of the buffer came in, as far as it did: at the latest when its last
+    /// byte came.
+    pub(super) arrived_at: Instant,
 }
 
 impl Input {
-    /// Of a connection that may have waited since `unseen` for its first look.
-    pub(super) fn new(unseen: Instant) -> Input {
-        Input { buffer: Buffer::default(), looked: unseen, arrived: unseen }
+    /// The input of a connection that may have waited to be accepted since `waiting_since`.
+    pub(super) fn new(waiting_since: Instant) -> Input {
+        Input { buffer: Buffer::default(), last_checked_at: waiting_since, arrived_at: waiting_since }
     }
 
-    /// Whether something has been read that is more than a line end behind a request's body.
-    pub(super) fn begins_another(&self) -> bool {
+    /// Whether more than line ends is in the buffer: a line end behind a request's body starts no request.
+    pub(super) fn has_started_request(&self) -> bool {
         !self.buffer.unread().iter().all(|b| matches!(b, b'\r' | b'\n'))
     }
 
-    /// Read more of the request at the front.
+    /// Read more of the request at the front of the buffer, and return how many bytes; 0 is the end of the
+    /// stream. Cancel safe.
+    ///
+    /// # Errors
+    ///
+    /// Those of the socket: the connection is broken.
     pub(super) async fn fill(&mut self, stream: &Stream) -> io::Result<usize> {
-        let (n, came) = self.read(stream).await?;
-        self.arrived = came;
-        Ok(n)
+        let (bytes, arrived_at) = self.read(stream).await?;
+        self.arrived_at = arrived_at;
+        Ok(bytes)
     }
 
-    /// Read on behind the request of so many bytes at the front, which is being served.
+    /// Read behind the request of `length` bytes at the front of the buffer, which is being served, and
+    /// return how many bytes; 0 is the end of the stream. Cancel safe.
+    ///
+    /// # Errors
+    ///
+    /// Those of the socket: the connection is broken.
     pub(super) async fn fill_ahead(&mut self, stream: &Stream, length: usize) -> io::Result<usize> {
-        let first = self.buffer.unread().len() <= length;
-        let (n, came) = self.read(stream).await?;
-        if first {
-            self.arrived = came;
+        let is_first = self.buffer.unread().len() <= length;
+        let (bytes, arrived_at) = self.read(stream).await?;
+        if is_first {
+            self.arrived_at = arrived_at;
         }
-        Ok(n)
+        Ok(bytes)
     }
 
-    /// How many bytes came, and when.
+    /// Read once: how many bytes came, and when.
     async fn read(&mut self, mut stream: &Stream) -> io::Result<(usize, Instant)> {
-        let Input { buffer, looked, .. } = self;
+        let Input { buffer, last_checked_at, .. } = self;
         let mut waited = false;
         let mut filled = pin!(buffer.fill(&mut stream));
-        let n = poll_fn(|cx| {
+        let bytes = poll_fn(|cx| {
             let polled = filled.as_mut().poll(cx);
             if polled.is_pending() {
-                (*looked, waited) = (Instant::now(), true);
+                *last_checked_at = Instant::now();
+                waited = true;
             }
             polled
         })
         .await?;
         let now = Instant::now();
-        // Waited for, it came just now.
-        let came = if waited { now } else { *looked };
-        *looked = now;
-        Ok((n, came))
+        // Bytes that had to be waited for came just now.
+        let arrived_at = if waited { now } else { *last_checked_at };
+        *last_checked_at = now;
+        Ok((bytes, arrived_at))
     }
 }
