--- a/src/net/grpc/front/connection.rs
+++ b/src/net/grpc/front/connection.rs
@@ -17,7 +17,7 @@
 use super::{span, Front, LEAVE};
 use crate::net::grpc::guard::Guard;
 use crate::net::grpc::io::{Alarm, Guarded};
-use crate::net::http_server::Client;
+use crate::net::http_server::ClientConnection;
 use crate::net::timeout_at;
 
 /// The server's side of a connection whose input passes the guard against floods.
@@ -67,13 +67,13 @@
 impl Front {
     /// Serves a client's connection until it ends, is idle for long, floods us, has to make way, or the program
     /// stops. Its calls are tasks of their own.
-    pub async fn serve(self: Rc<Self>, client: Client) {
+    pub async fn serve(self: Rc<Self>, client: ClientConnection) {
         let alarm = Rc::new(Alarm::default());
         let Some(mut connection) = self.handshake(&client, &alarm).await else { return };
         let calls = Rc::new(OpenCalls::default());
         let mut draining = false;
         loop {
-            client.busy(calls.count.get() > 0);
+            client.set_busy(calls.count.get() > 0);
             match self.next_event(&client, &alarm, &calls, &mut connection, draining).await {
                 ConnectionEvent::Call(call) => self.clone().start_call(*call, &calls),
                 ConnectionEvent::Flood => return self.end_flooding(&alarm, connection).await,
@@ -92,7 +92,11 @@
     }
 
     /// The HTTP/2 handshake, within its time. Prevents connections from staying that never say what they are.
-    async fn handshake<'s>(&self, client: &'s Client, alarm: &Rc<Alarm>) -> Option<GuardedConnection<'s>> {
+    async fn handshake<'s>(
+        &self,
+        client: &'s ClientConnection,
+        alarm: &Rc<Alarm>,
+    ) -> Option<GuardedConnection<'s>> {
         let limits = &self.limits;
         let guarded = Guarded { stream: client.stream(), guard: Guard::new(limits), alarm: alarm.clone() };
         let mut builder = h2::server::Builder::new();
@@ -104,9 +108,9 @@
             .max_concurrent_reset_streams(limits.streams as usize)
             .max_pending_accept_reset_streams(limits.streams as usize)
             .max_send_buffer_size(limits.window as usize);
-        let latest = client.accepted() + span(limits.handshake_s);
+        let latest = client.accepted_at() + span(limits.handshake_s);
         let evicted = async {
-            client.unwanted().await;
+            client.evicted().await;
             None
         };
         let handshake = async { Some(builder.handshake::<_, Bytes>(guarded.compat()).await) };
@@ -115,7 +119,7 @@
 
     async fn next_event(
         &self,
-        client: &Client,
+        client: &ClientConnection,
         alarm: &Alarm,
         calls: &OpenCalls,
         connection: &mut GuardedConnection<'_>,
@@ -145,7 +149,7 @@
     }
 
     /// Resolves when no further calls are wanted on the connection.
-    async fn until_unwanted(&self, client: &Client, resting: bool, draining: bool) {
+    async fn until_unwanted(&self, client: &ClientConnection, resting: bool, draining: bool) {
         let idle_since = Instant::now();
         let idle = async {
             if resting {
@@ -158,10 +162,10 @@
             if draining {
                 std::future::pending::<()>().await;
             } else {
-                self.closing.told().await;
+                self.closing.drain_started().await;
             }
         };
-        idle.or(client.unwanted()).or(stopping).await;
+        idle.or(client.evicted()).or(stopping).await;
     }
 
     fn start_call(self: Rc<Self>, call: IncomingCall, calls: &Rc<OpenCalls>) {
