--- a/src/balancer/slow_start.rs
+++ b/src/balancer/slow_start.rs
@@ -8,7 +8,7 @@
 use super::state::Replica;
 use super::{Balancer, RECENT_SECONDS};
 
-/// Share of the overload factor that is used; the rest is left for chance: `docs/acceptance.md`.
+/// Share of the overload factor that is used; the rest is left for chance: `docs/history/acceptance.md`.
 const SLOW_START_SHARE: f64 = 0.8;
 
 impl Balancer {
--- a/src/net/discovery/mod.rs
+++ b/src/net/discovery/mod.rs
@@ -17,12 +17,12 @@
 
 use super::buffer::Buffer;
 use super::data_nodes::{DataNodes, ListedDataNode};
-use super::http::{self, HttpError, Kind};
+use super::http::{self, HttpError, MessageKind};
 use super::socket::{self, ConnectError, Stream};
 use super::{timeout_at, LogRateLimiter};
 use crate::balancer::interface::{self, CellId, Endpoint, EndpointState, EndpointUpdate, ZoneId};
 use crate::coordinator::{Clock, Coordinator};
-use crate::send_policy::{self, StartNotice};
+use crate::send_policy::{self, StartObservation};
 use crate::subsetting::{self, Subset};
 pub use list::{DiscoveryError, Host, List};
 use watch_policy::{Terms, CONNECT, CONTINUES, PACE, PAUSE, SLOW, START};
@@ -63,7 +63,7 @@
     ) -> Discovery {
         let (address, called, slow) = (Cell::new(address), Cell::new(Instant::now()), Cell::default());
         let (terms, zones, said) = (Terms::of(told.0), told.1, LogRateLimiter::default());
-        let (last_list, subset) = (Cell::new(None), RefCell::new(Subset::new(seed, subsetting::MOST)));
+        let (last_list, subset) = (Cell::new(None), RefCell::new(Subset::new(seed, subsetting::SUBSET_SIZE)));
         Discovery {
             address,
             moves,
@@ -112,7 +112,7 @@
             let by_wall_clock = clock.born(host.born_ms)?;
             let now = clock.at(Instant::now());
             let last_list_without = self.last_list.get().map(|at| clock.at(at));
-            Some(send_policy::started(StartNotice { by_wall_clock, now, last_list_without }))
+            Some(send_policy::estimate_start(StartObservation { by_wall_clock, now, last_list_without }))
         });
         let zone = self.zones.iter().position(|z| *z == host.site).map_or(u8::MAX, |n| n as u8);
         let (cell, weight) = (CellId(host.block), host.share);
@@ -231,14 +231,14 @@
             let call = version::call(self.address.get(), *seq, hold);
             let answer = async {
                 stream.write_all(call.as_bytes()).await?;
-                http::read(&mut stream, &mut buffer, Kind::Answer, MOST_LIST).await
+                http::read(&mut stream, &mut buffer, MessageKind::Response, MOST_LIST).await
             };
             let latest = self.called.get() + self.terms.hold + self.terms.late + self.slow.get();
             let answer = match timeout_at(latest, answer).await {
                 Some(Ok(answer)) => answer,
                 // Closed between two calls, just as we wrote the next one: no failure, and the watch goes on if that
                 // comes in time.
-                Some(Err(HttpError::Ended | HttpError::Io(_)))
+                Some(Err(HttpError::ConnectionClosed | HttpError::Io(_)))
                     if buffer.unread().is_empty() && continues.is_some_and(|at| Instant::now() < at) =>
                 {
                     (buffer, continues) = (Buffer::default(), None);
--- a/src/net/opensearch/servers.rs
+++ b/src/net/opensearch/servers.rs
@@ -17,11 +17,11 @@
 use crate::net::buffer::Buffer;
 use crate::net::dns_sd::watcher::{Book, Change, Follows};
 use crate::net::dns_sd::zone_file::Server;
-use crate::net::http::{self, HttpError, Kind, Message};
+use crate::net::http::{self, HttpError, Message, MessageKind};
 use crate::net::invariants;
 use crate::net::socket::{self, ConnectError, Stream};
 use crate::net::timeout_at;
-use crate::send_policy::{Permit, SendConditions};
+use crate::send_policy::{SendConditions, SendPermit};
 
 const PROBE_WAIT: Duration = Duration::from_millis(250);
 /// Idle connections are closed this much before a server would.
@@ -126,10 +126,10 @@
         let conditions = SendConditions {
             now,
             deadline: call.deadline,
-            transit: Duration::ZERO,
-            called_off: stop.is_cancelled(),
+            transit_time: Duration::ZERO,
+            cancelled: stop.is_cancelled(),
             replica_ready: self.ready(call.replica) == Some((address, life)),
-            window_over: stop.too_late(now),
+            retry_window_closed: stop.too_late(now),
         };
         let Ok(permit) = conditions.permit().inspect_err(|denied| invariants::denied(*denied)) else {
             return Outcome::NeverSent.into();
@@ -141,7 +141,7 @@
         }
         call.context.notes.borrow_mut().begun = true;
         let mut buffer = Buffer::default();
-        match http::read(stream, &mut buffer, Kind::Answer, MOST_ANSWER).await {
+        match http::read(stream, &mut buffer, MessageKind::Response, MOST_ANSWER).await {
             Ok(message) => {
                 let ended = self.classify(call, &message, &buffer);
                 if message.keep_alive && buffer.unread().len() == message.length {
@@ -149,7 +149,7 @@
                 }
                 ended
             }
-            Err(HttpError::Ended | HttpError::Io(_)) => {
+            Err(HttpError::ConnectionClosed | HttpError::Io(_)) => {
                 self.failed(call, Outcome::Reset, (503, "node_disconnected_exception", "connection broke"))
             }
             Err(e) => self.failed(call, Outcome::Error, (500, "malformed_answer", &e.to_string())),
@@ -226,9 +226,9 @@
     }
 }
 
-fn request(call: &Call<Servers>, address: SocketAddr, permit: Permit) -> Vec<u8> {
+fn request(call: &Call<Servers>, address: SocketAddr, permit: SendPermit) -> Vec<u8> {
     let RequestContext { search, opaque, ranked, .. } = &*call.context;
-    let left = permit.told_ms().max(1);
+    let left = permit.timeout_ms().max(1);
     let body = if *ranked && call.step == Step::First { &search.ranking } else { &search.body };
     format!(
         "POST /{}/_search?preference=_shards%3A{}&allow_partial_search_results=false&timeout={left}ms HTTP/1.1\r\n\
@@ -265,7 +265,7 @@
             let stream = place.stream.as_mut()?;
             let request = format!("GET / HTTP/1.1\r\nHost: {address}\r\nConnection: close\r\n\r\n");
             stream.write_all(request.as_bytes()).await.ok()?;
-            let answer = http::read(stream, &mut Buffer::default(), Kind::Answer, MOST_ANSWER).await;
+            let answer = http::read(stream, &mut Buffer::default(), MessageKind::Response, MOST_ANSWER).await;
             answer.ok().map(|m| m.status)
         };
         (timeout_at(latest, probe).await.flatten() == Some(200), None)
--- a/src/net/platform_api.rs
+++ b/src/net/platform_api.rs
@@ -12,8 +12,8 @@
 
 use super::buffer::Buffer;
 use super::data_nodes::{DataNodes, RequestContext};
-use super::http::{Answer, HttpError, Message};
-use super::http_server::{Client, GracefulShutdown};
+use super::http::{HttpError, Message, Response};
+use super::http_server::{ClientConnection, GracefulShutdown};
 use super::LogRateLimiter;
 use crate::balancer::interface::*;
 use crate::config::settings::Deployment;
@@ -66,9 +66,9 @@
 pub struct PlatformApi {
     pub coordinator: Rc<Coordinator<DataNodes>>,
     pub deployment: Rc<Deployment>,
-    pub closing: Rc<GracefulShutdown>,
+    pub shutdown: Rc<GracefulShutdown>,
     /// The ids of the queries that are open.
-    pub open: Rc<RefCell<BTreeSet<String>>>,
+    pub open_ids: Rc<RefCell<BTreeSet<String>>>,
     pub log: Logger,
     pub log_limiters: LogLimiters,
 }
@@ -93,21 +93,21 @@
 
 impl PlatformApi {
     /// The life of a client's connection and of each request on it, from its bytes to its one answer.
-    pub async fn serve(self: Rc<Self>, mut client: Client) {
+    pub async fn serve(self: Rc<Self>, mut client: ClientConnection) {
         loop {
-            let message = match client.next().await {
+            let message = match client.next_request().await {
                 Ok(message) => message,
                 Err(e) => {
                     if let Some(status) = e.status() {
                         if let Some(suppressed) = self.log_limiters.bad.permit() {
                             warn!(self.log, "unusable request"; "error" => %e, "suppressed" => suppressed);
                         }
-                        client.write_error(&Answer::new(status, fault(&e))).await;
+                        client.write_error(&Response::new(status, fault(&e))).await;
                     }
                     return;
                 }
             };
-            let begun = client.arrived();
+            let begun = client.request_arrived_at();
             let mut flooded = false;
             let answer = match (
                 message.text(client.buffer(), &message.method),
@@ -119,22 +119,22 @@
                         if let Some(suppressed) = self.log_limiters.bad.permit() {
                             warn!(self.log, "unusable query"; "error" => %bad, "suppressed" => suppressed);
                         }
-                        Answer::new(if matches!(bad, RequestError::Open) { 409 } else { 400 }, fault(&bad))
+                        Response::new(if matches!(bad, RequestError::Open) { 409 } else { 400 }, fault(&bad))
                     }
                     Ok((query, _open)) => match self.outcome(query, &mut client, &message, begun).await {
                         Ok(answer) => answer,
-                        Err(HttpError::Ended) => return,
+                        Err(HttpError::ConnectionClosed) => return,
                         Err(e) => {
                             flooded = true;
-                            Answer::new(e.status().unwrap_or(400), fault(&e))
+                            Response::new(e.status().unwrap_or(400), fault(&e))
                         }
                     },
                 },
-                (_, "/_health" | "/api") => Answer::new(405, fault(&"method not allowed")),
-                _ => Answer::new(404, fault(&"no such path")),
+                (_, "/_health" | "/api") => Response::new(405, fault(&"method not allowed")),
+                _ => Response::new(404, fault(&"no such path")),
             };
             client.consume(message.length);
-            if !client.write(&answer, message.keep_alive && !flooded).await {
+            if !client.write_response(&answer, message.keep_alive && !flooded).await {
                 return;
             }
         }
@@ -144,11 +144,11 @@
     async fn outcome(
         &self,
         query: Query<RequestContext>,
-        client: &mut Client,
+        client: &mut ClientConnection,
         message: &Message,
         begun: Instant,
-    ) -> Result<Answer, HttpError> {
-        let query = Query { deadline: self.closing.cut(query.deadline), ..query };
+    ) -> Result<Response, HttpError> {
+        let query = Query { deadline: self.shutdown.limit_deadline(query.deadline), ..query };
         let class = message.header(client.buffer(), "Req-Kind").unwrap_or_default().to_owned();
         let id = query.context.id.clone();
         let Some(taken) = self.coordinator.take(query) else {
@@ -166,10 +166,10 @@
         }
         let ended = async { Ok(taken.outcome().await) };
         let over = async {
-            self.closing.over().await;
+            self.shutdown.answer_deadline_passed().await;
             Ok(QueryOutcome::DeadlineExceeded)
         };
-        let left = async { Err(client.gone(message.length).await) };
+        let left = async { Err(client.disconnected(message.length).await) };
         // Dropping what was taken withdraws it.
         let outcome = ended.or(left).or(over).await;
         let after = begun.elapsed().as_millis() as u64;
@@ -192,9 +192,9 @@
     }
 
     /// Ready once queries can be served.
-    fn health(&self) -> Answer {
-        let ready = self.coordinator.ready() && !self.closing.begun.get();
-        Answer::new(
+    fn health(&self) -> Response {
+        let ready = self.coordinator.ready() && !self.shutdown.draining.get();
+        Response::new(
             if ready { 200 } else { 503 },
             if ready { "{\"ready\":true}" } else { "{\"ready\":false}" },
         )
@@ -209,7 +209,7 @@
         buffer: &Buffer,
         now: Instant,
     ) -> Result<(Query<RequestContext>, Taken), RequestError> {
-        let header = |name| match message.only(buffer, name) {
+        let header = |name| match message.unique_header(buffer, name) {
             Some(Ok(value)) => Ok(value),
             Some(Err(())) => Err(RequestError::Header(name)),
             None => Err(RequestError::Missing(name)),
@@ -221,7 +221,7 @@
         {
             return Err(RequestError::Header("Req-Id"));
         }
-        if self.open.borrow().contains(id) {
+        if self.open_ids.borrow().contains(id) {
             return Err(RequestError::Open);
         }
         let kind = header("Req-Kind")?;
@@ -234,11 +234,11 @@
         let tenant = match self.deployment.tenant_names.is_empty() {
             true => None,
             false => message
-                .only(buffer, "Req-Owner")
+                .unique_header(buffer, "Req-Owner")
                 .transpose()
                 .map_err(|()| RequestError::Header("Req-Owner"))?,
         };
-        let tenant = self.deployment.tenant(tenant);
+        let tenant = self.deployment.tenant_id(tenant);
         let wait = header("Req-Deadline-Ms")?;
         let digits = wait.bytes().all(|b| b.is_ascii_digit());
         let wait = wait
@@ -252,7 +252,7 @@
         let body: Body = serde_json::from_slice(&body).map_err(RequestError::Body)?;
         let mut parts: Vec<(ShardId, f64)> =
             body.tablets.iter().map(|t| (ShardId(t.tablet), t.fraction)).collect();
-        let shards = self.deployment.shards.unwrap_or(u32::MAX);
+        let shards = self.deployment.shard_count.unwrap_or(u32::MAX);
         if parts.is_empty() || parts.iter().any(|(s, f)| s.0 >= shards || !(0.0..=1.0 + ROUNDING).contains(f))
         {
             return Err(RequestError::Parts("none, one that does not exist, or a fraction out of range"));
@@ -270,8 +270,8 @@
         parts.iter_mut().for_each(|p| p.1 /= sum);
         // Copied: attempts are written long after the buffer has moved on.
         let carried = RequestContext::new(id.to_owned(), body.statement.as_bytes().to_vec());
-        self.open.borrow_mut().insert(id.to_owned());
-        let open = Taken(self.open.clone(), id.to_owned());
+        self.open_ids.borrow_mut().insert(id.to_owned());
+        let open = Taken(self.open_ids.clone(), id.to_owned());
         let class = ClassId(class as u16);
         Ok((
             Query { class, tenant, deadline, is_retry: repeat, parts, context: carried, protection: None },
@@ -279,21 +279,21 @@
         ))
     }
 
-    fn answer(&self, outcome: &QueryOutcome) -> Answer {
+    fn answer(&self, outcome: &QueryOutcome) -> Response {
         match outcome {
             QueryOutcome::Answered { complete, values } => {
                 let piece = |(shard, value): &(ShardId, Rc<[u8]>)| serde_json::json!({"tablet": shard.0, "cell": String::from_utf8_lossy(value)});
                 let pieces: Vec<_> = values.iter().map(piece).collect();
-                Answer::new(200, serde_json::json!({"full": complete, "pieces": pieces}).to_string())
+                Response::new(200, serde_json::json!({"full": complete, "pieces": pieces}).to_string())
             }
             QueryOutcome::Rejected { retry_after } => self.refused(503, *retry_after),
-            QueryOutcome::Failed => Answer::new(500, fault(&"failed")),
-            QueryOutcome::DeadlineExceeded => Answer::new(504, fault(&"out of time")),
+            QueryOutcome::Failed => Response::new(500, fault(&"failed")),
+            QueryOutcome::DeadlineExceeded => Response::new(504, fault(&"out of time")),
         }
     }
 
-    fn refused(&self, status: u16, retry_after: Option<f64>) -> Answer {
-        Answer { retry_after, ..Answer::new(status, fault(&"refused")) }
+    fn refused(&self, status: u16, retry_after: Option<f64>) -> Response {
+        Response { retry_after, ..Response::new(status, fault(&"refused")) }
     }
 }
 
