--- a/src/net/opensearch/protected.rs
+++ b/src/net/opensearch/protected.rs
@@ -44,10 +44,10 @@
     ) -> Option<(Rc<ClusterNode>, Ask)> {
         let fleet = &self.joined.get()?.fleet;
         let class = ready.query.class.0;
-        let Some(Ok(id)) = message.unique_header(buffer, "X-Opaque-Id").filter(|_| fleet.protects(class))
-        else {
+        if !fleet.protects(class) {
             return None;
-        };
+        }
+        let id = message.unique_header(buffer, "X-Opaque-Id").ok()??;
         if !(1..=MOST_ID).contains(&id.len()) || !id.bytes().all(|b| b.is_ascii_graphic()) {
             return None;
         }
--- a/src/net/platform_api.rs
+++ b/src/net/platform_api.rs
@@ -210,9 +210,9 @@
         now: Instant,
     ) -> Result<(Query<RequestContext>, Taken), RequestError> {
         let header = |name| match message.unique_header(buffer, name) {
-            Some(Ok(value)) => Ok(value),
-            Some(Err(())) => Err(RequestError::Header(name)),
-            None => Err(RequestError::Missing(name)),
+            Ok(Some(value)) => Ok(value),
+            Err(_) => Err(RequestError::Header(name)),
+            Ok(None) => Err(RequestError::Missing(name)),
         };
         let id = header("Req-Id")?;
         // It goes into the lines of frames, where a dot, a space or a line end would stand for something else.
@@ -233,10 +233,9 @@
             .ok_or(RequestError::Class)?;
         let tenant = match self.deployment.tenant_names.is_empty() {
             true => None,
-            false => message
-                .unique_header(buffer, "Req-Owner")
-                .transpose()
-                .map_err(|()| RequestError::Header("Req-Owner"))?,
+            false => {
+                message.unique_header(buffer, "Req-Owner").map_err(|_| RequestError::Header("Req-Owner"))?
+            }
         };
         let tenant = self.deployment.tenant(tenant);
         let wait = header("Req-Deadline-Ms")?;
