--- a/src/net/http_server/connection.rs
+++ b/src/net/http_server/connection.rs
@@ -22,7 +22,7 @@
 use crate::net::invariants;
 use crate::net::socket::Stream;
 use crate::net::timeout_at;
-use crate::send_policy::{self, Answered};
+use crate::send_policy::{self, CloseConditions};
 
 /// How long a connection may be idle between two requests.
 const MAX_IDLE: Duration = Duration::from_secs(60);
@@ -197,7 +197,9 @@
     pub async fn write_response(&mut self, response: &Response, keep_alive: bool) -> bool {
         let wanted = !self.shutdown.draining.get() && !self.crowded.get() && !self.slot.is_evicted();
         let another_begun = self.input.has_started_request();
-        if !(Answered { keep_alive, wanted, another_begun }).may_end() {
+        if !(CloseConditions { keep_alive, server_keeps_alive: wanted, next_request_started: another_begun })
+            .may_close()
+        {
             return self.send(response, ConnectionReuse::KeepAlive, MAX_SEND_TIME).await;
         }
         if self.send(response, ConnectionReuse::Close, MAX_SEND_TIME).await {
@@ -229,7 +231,7 @@
     /// answered.
     fn check_nothing_unanswered(&self) {
         if self.input.has_started_request() {
-            invariants::check(send_policy::end_of_connection(self.input.buffer.unread().len()));
+            invariants::check(send_policy::check_close(self.input.buffer.unread().len()));
         }
     }
 
--- a/src/net/http_server/graceful_shutdown.rs
+++ b/src/net/http_server/graceful_shutdown.rs
@@ -19,7 +19,7 @@
 use async_io::Timer;
 use event_listener::Event;
 
-use crate::send_policy::HELD_UP;
+use crate::send_policy::MAX_PROCESS_STALL;
 
 /// How long after SIGTERM the rest of a request may come in: by the protocol (planned restart), a request
 /// that comes in later is lost if SIGKILL finds it unanswered.
@@ -39,7 +39,7 @@
 /// what was accepted from being lost where the process is stalled just then: the second half of it is left
 /// for that.
 const FINAL_PERIOD: Duration = Duration::from_millis(240);
-const _: () = assert!(HELD_UP.as_millis() + SOCKET_SLACK.as_millis() < FINAL_PERIOD.as_millis());
+const _: () = assert!(MAX_PROCESS_STALL.as_millis() + SOCKET_SLACK.as_millis() < FINAL_PERIOD.as_millis());
 const _: () = assert!(ACCEPT_GRACE.as_millis() + FINAL_PERIOD.as_millis() < READ_GRACE.as_millis());
 
 /// The state of the graceful shutdown, shared by all connections of all fronts.
