--- a/src/net/http_server/connection.rs
+++ b/src/net/http_server/connection.rs
@@ -9,6 +9,7 @@
 #![warn(missing_docs)]
 
 use std::cell::Cell;
+use std::future::Future;
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
@@ -176,7 +177,7 @@
     /// Resolves when the client disconnects, or sends more than one request ahead, while the request of
     /// `length` bytes at the front of the buffer is being served. What it sends meanwhile stays in the
     /// buffer. Cancel safe.
-    pub async fn disconnected(&mut self, length: usize) -> HttpError {
+    async fn disconnected(&mut self, length: usize) -> HttpError {
         while self.input.buffer.unread().len() <= length + MAX_READ_AHEAD_BYTES {
             match self.input.fill_ahead(&self.stream, length).await {
                 Ok(bytes) if bytes > 0 => {}
@@ -186,6 +187,25 @@
         HttpError::TooLarge
     }
 
+    /// What `work` gives, unless the client disconnects or floods this side first: the work is dropped then.
+    /// `length`: of the request that is being served.
+    ///
+    /// Cancel safe for the connection; dropping it drops `work`.
+    ///
+    /// # Errors
+    ///
+    /// [`HttpError::ConnectionClosed`] where the client disconnected, [`HttpError::TooLarge`] where it sent
+    /// more than one request ahead.
+    pub async fn unless_disconnected<T>(
+        &mut self,
+        length: usize,
+        work: impl Future<Output = T>,
+    ) -> Result<T, HttpError> {
+        let finished = async { Ok(work.await) };
+        let disconnected = async { Err(self.disconnected(length).await) };
+        finished.or(disconnected).await
+    }
+
     /// Send a response; returns whether the connection can go on. `keep_alive`: the client wants it to.
     ///
     /// Where the slots are nearly all taken, each response says that its connection closes, which the client
@@ -195,11 +215,14 @@
     ///
     /// Not cancel safe: a part of the response may have been sent.
     pub async fn write_response(&mut self, response: &Response, keep_alive: bool) -> bool {
-        let wanted = !self.shutdown.draining.get() && !self.crowded.get() && !self.slot.is_evicted();
-        let another_begun = self.input.has_started_request();
-        if !(CloseConditions { keep_alive, server_keeps_alive: wanted, next_request_started: another_begun })
-            .may_close()
-        {
+        let conditions = CloseConditions {
+            keep_alive,
+            server_keeps_alive: !self.shutdown.draining.get()
+                && !self.crowded.get()
+                && !self.slot.is_evicted(),
+            next_request_started: self.input.has_started_request(),
+        };
+        if !conditions.may_close() {
             return self.send(response, ConnectionReuse::KeepAlive, MAX_SEND_TIME).await;
         }
         if self.send(response, ConnectionReuse::Close, MAX_SEND_TIME).await {
--- a/src/net/opensearch/query_api.rs
+++ b/src/net/opensearch/query_api.rs
@@ -1,78 +1,66 @@
-//! The second front: clients' searches over an OpenSearch-style query API.
+//! The query API's connections: clients' searches over an OpenSearch-style API, HTTP/1.1.
+//!
+//! It owns no state: it picks what a request asks for, and runs a search here or has the cluster run it.
+//!
+//! Invariant: each search that was admitted gets one response, unless its client disconnects.
+#![warn(missing_docs)]
+
 use std::rc::Rc;
 use std::time::Instant;
 
-use futures_lite::FutureExt;
-use serde_json::json;
-
 pub use super::search::QueryApiServer;
 use super::search::{error, path, segments, Ready};
 use crate::net::buffer::Buffer;
 use crate::net::http::{HttpError, Message, Response};
-use crate::net::http_server::ClientConnection;
+use crate::net::http_server::{readiness_response, serve_requests, ClientConnection, RequestHandler};
 
-impl QueryApiServer {
-    /// The life of a client's connection and of each search on it, from its bytes to its one answer.
-    pub async fn serve(self: Rc<Self>, mut client: ClientConnection) {
-        loop {
-            let message = match client.next_request().await {
-                Ok(message) => message,
-                Err(e) => {
-                    if let Some(status) = e.status() {
-                        let kind = match status {
-                            413 => "content_too_long_exception",
-                            408 => "timeout_exception",
-                            503 => "rejected_execution_exception",
-                            _ => "parse_exception",
-                        };
-                        client.write_error(&error(status, kind, &e.to_string())).await;
-                    }
-                    return;
-                }
-            };
-            let mut flooded = false;
-            let answer = match self.ready(&message, client.buffer(), client.request_arrived_at()) {
-                Err(answer) => answer,
-                Ok(ready) => match self.search(&mut client, &message, ready).await {
-                    Ok(answer) => answer,
-                    // Nothing is written, now or later.
-                    Err(HttpError::ConnectionClosed) => return,
-                    Err(e) => {
-                        flooded = true;
-                        error(e.status().unwrap_or(400), "content_too_long_exception", &e.to_string())
-                    }
-                },
-            };
-            client.consume(message.length);
-            if !client.write_response(&answer, message.keep_alive && !flooded).await {
-                return;
-            }
+impl RequestHandler for QueryApiServer {
+    async fn handle(&self, client: &mut ClientConnection, request: &Message) -> Result<Response, HttpError> {
+        match self.ready(request, client.buffer(), client.request_arrived_at()) {
+            Ok(ready) => self.search(client, request, ready).await,
+            Err(response) => Ok(response),
         }
     }
 
-    /// The answer to a search; `Err` where its client left before, or floods us.
+    fn error_response(&self, status: u16, http_error: &HttpError) -> Response {
+        let kind = match status {
+            413 => "content_too_long_exception",
+            408 => "timeout_exception",
+            503 => "rejected_execution_exception",
+            _ => "parse_exception",
+        };
+        error(status, kind, &http_error.to_string())
+    }
+}
+
+impl QueryApiServer {
+    /// Serve a client's connection to its end. Dropping this ends the connection and cancels its search, but
+    /// for one that the cluster runs.
+    pub async fn serve(self: Rc<Self>, client: ClientConnection) {
+        serve_requests(&*self, client).await;
+    }
+
+    /// The response to a search. An error where its client disconnected, or floods us.
     async fn search(
         &self,
         client: &mut ClientConnection,
-        message: &Message,
+        request: &Message,
         ready: Ready,
     ) -> Result<Response, HttpError> {
-        if let Some((fleet, ask)) = self.protected(message, client.buffer(), &ready) {
-            let asked = async { Ok(self.asked(&fleet, ask, ready.deadline).await) };
-            let left = async { Err(client.disconnected(message.length).await) };
-            // What its client leaves goes on in the fleet.
-            if let Some(answer) = asked.or(left).await? {
-                return Ok(answer);
+        if let Some((cluster, ask)) = self.protected(request, client.buffer(), &ready) {
+            // Where the client disconnects, the cluster goes on with it: its outcome is kept for the next one
+            // that asks.
+            let asked = self.asked(&cluster, ask, ready.deadline);
+            if let Some(response) = client.unless_disconnected(request.length, asked).await? {
+                return Ok(response);
             }
         }
         let Ready { search, notes, parts, begun, deadline, query } = ready;
-        let Some(taken) = self.coordinator.take(query) else {
+        let Some(handle) = self.coordinator.take(query) else {
             return Ok(self.refused("too many searches are open"));
         };
-        let ended = async { Ok(taken.outcome().await) };
-        let left = async { Err(client.disconnected(message.length).await) };
-        // Dropping what was taken withdraws it.
-        let outcome = ended.or(left).await?;
+        // Dropping the handle, on return, cancels a search that is not finished.
+        let outcome = client.unless_disconnected(request.length, handle.outcome()).await?;
         let notes = notes.borrow();
         Ok(self.ended(&search, &outcome, &notes, &parts, begun, deadline))
     }
@@ -82,7 +70,7 @@
         let (method, target) = (message.text(buffer, &message.method), message.text(buffer, &message.path));
         let path = path(target);
         match (method, &segments(&path)[..]) {
-            ("GET", ["_health"]) => Err(self.health()),
+            ("GET", ["_health"]) => Err(readiness_response(self.coordinator.ready(), &self.shutdown)),
             ("GET" | "POST", [_, "_search"]) => {
                 let opaque = message.header(buffer, "X-Opaque-Id").unwrap_or("-");
                 self.understand(target, &message.body(buffer), opaque, now)
@@ -101,9 +89,4 @@
             }
         }
     }
-
-    fn health(&self) -> Response {
-        let ready = self.coordinator.ready() && !self.shutdown.draining.get();
-        Response::new(if ready { 200 } else { 503 }, json!({"ready": ready}).to_string())
-    }
 }
--- /dev/null
+++ b/src/net/platform_api/mod.rs
@@ -0,0 +1,200 @@
+//! The platform's API: clients' queries over HTTP/1.1 (`POST /api`) and the readiness probe (`GET /_health`).
+//!
+//! Owns the ids of open queries; the queries themselves are the coordinator's. It decides nothing about a
+//! query: it turns a request into one, and the query's outcome into a response.
+//!
+//! Invariants: each query that was admitted gets one response, unless its client disconnects, which cancels
+//! it; an id is in use for one query at a time.
+#![warn(missing_docs)]
+
+mod open_ids;
+mod request;
+
+use std::fmt::Display;
+use std::rc::Rc;
+use std::time::Instant;
+
+use futures_lite::FutureExt;
+use slog::{info, warn, Logger};
+
+use self::open_ids::OpenIds;
+use super::data_nodes::{DataNodes, RequestContext};
+use super::http::{HttpError, Message, Response};
+use super::http_server::{
+    readiness_response, serve_requests, ClientConnection, GracefulShutdown, RequestHandler,
+};
+use super::LogRateLimiter;
+use crate::balancer::interface::ShardId;
+use crate::config::settings::Deployment;
+use crate::coordinator::{Coordinator, Query, QueryOutcome};
+
+/// The front for the platform's clients.
+pub struct PlatformApi {
+    /// Runs the queries.
+    pub coordinator: Rc<Coordinator<DataNodes>>,
+    /// The deployment's classes, tenants and shards.
+    pub deployment: Rc<Deployment>,
+    /// Bounds the deadlines of queries once the program shuts down.
+    pub shutdown: Rc<GracefulShutdown>,
+    /// The ids of the queries that are open.
+    pub open_ids: OpenIds,
+    /// Where rejected and failed queries are logged.
+    pub log: Logger,
+    /// How often.
+    pub log_limiters: LogLimiters,
+}
+
+/// One limiter for each kind of log line, so that a flood of one hides no other.
+#[derive(Default)]
+pub struct LogLimiters {
+    invalid: LogRateLimiter,
+    rejected: LogRateLimiter,
+    unanswered: LogRateLimiter,
+    disconnected: LogRateLimiter,
+}
+
+/// What log lines say of a query once the coordinator has it.
+struct QueryLabels {
+    id: String,
+    class: String,
+    arrived_at: Instant,
+}
+
+impl PlatformApi {
+    /// Serve a client's connection to its end. Dropping this ends the connection and cancels its query.
+    pub async fn serve(self: Rc<Self>, client: ClientConnection) {
+        serve_requests(&*self, client).await;
+    }
+
+    async fn query(&self, client: &mut ClientConnection, request: &Message) -> Result<Response, HttpError> {
+        let arrived_at = client.request_arrived_at();
+        let query =
+            request::read_query(&self.deployment, &self.open_ids, request, client.buffer(), arrived_at);
+        // The id is in use until the outcome is known.
+        let (query, _open_id) = match query {
+            Ok(query) => query,
+            Err(e) => {
+                if let Some(suppressed) = self.log_limiters.invalid.permit() {
+                    warn!(self.log, "invalid query"; "error" => %e, "suppressed" => suppressed);
+                }
+                return Ok(Response::new(e.status(), error_body(&e)));
+            }
+        };
+        self.execute(query, client, request).await
+    }
+
+    /// The response to a query. An error where its client disconnected, or floods us: the query is cancelled.
+    async fn execute(
+        &self,
+        query: Query<RequestContext>,
+        client: &mut ClientConnection,
+        request: &Message,
+    ) -> Result<Response, HttpError> {
+        let labels = QueryLabels {
+            id: query.context.id.clone(),
+            class: request.header(client.buffer(), "Req-Kind").unwrap_or_default().to_owned(),
+            arrived_at: client.request_arrived_at(),
+        };
+        let deadline = self.shutdown.limit_deadline(query.deadline);
+        let Some(handle) = self.coordinator.take(Query { deadline, ..query }) else {
+            self.log_rejected(&labels);
+            return Ok(rejected(429, self.deployment.settings.retry_after));
+        };
+        self.log_if_full();
+        let finished = client.unless_disconnected(request.length, handle.outcome());
+        let shut_down = async {
+            self.shutdown.answer_deadline_passed().await;
+            Ok(QueryOutcome::DeadlineExceeded)
+        };
+        // Dropping the handle, on return, cancels a query that is not finished.
+        let outcome = finished.or(shut_down).await;
+        self.log_outcome(&outcome, &labels);
+        Ok(response(&outcome?))
+    }
+
+    fn log_rejected(&self, labels: &QueryLabels) {
+        if let Some(suppressed) = self.log_limiters.rejected.permit() {
+            info!(self.log, "query rejected"; "reason" => "the limit on open queries is reached", "id" => &labels.id,
+                "class" => &labels.class, "suppressed" => suppressed, "open" => self.coordinator.open(),
+                "open_parts" => self.coordinator.open_parts());
+        }
+    }
+
+    /// Log that the query just admitted was the last one for now.
+    fn log_if_full(&self) {
+        if !self.coordinator.is_full() {
+            return;
+        }
+        if let Some(suppressed) = self.log_limiters.rejected.permit() {
+            info!(self.log, "no capacity for another query"; "open" => self.coordinator.open(),
+                "open_parts" => self.coordinator.open_parts(), "suppressed" => suppressed);
+        }
+    }
+
+    /// Log a query that was not answered.
+    fn log_outcome(&self, outcome: &Result<QueryOutcome, HttpError>, labels: &QueryLabels) {
+        let after_ms = labels.arrived_at.elapsed().as_millis() as u64;
+        match outcome {
+            Ok(QueryOutcome::Answered { .. }) => {}
+            Ok(outcome) => {
+                if let Some(suppressed) = self.log_limiters.unanswered.permit() {
+                    info!(self.log, "query not answered"; "outcome" => ?outcome, "id" => &labels.id,
+                        "class" => &labels.class, "after_ms" => after_ms, "suppressed" => suppressed);
+                }
+            }
+            Err(e) => {
+                if let Some(suppressed) = self.log_limiters.disconnected.permit() {
+                    info!(self.log, "client disconnected"; "error" => %e, "id" => &labels.id,
+                        "class" => &labels.class, "after_ms" => after_ms, "suppressed" => suppressed);
+                }
+            }
+        }
+    }
+}
+
+impl RequestHandler for PlatformApi {
+    async fn handle(&self, client: &mut ClientConnection, request: &Message) -> Result<Response, HttpError> {
+        let method = request.text(client.buffer(), &request.method);
+        let path = request.text(client.buffer(), &request.path);
+        match (method, path) {
+            ("GET", "/_health") => Ok(readiness_response(self.coordinator.ready(), &self.shutdown)),
+            ("POST", "/api") => self.query(client, request).await,
+            (_, "/_health" | "/api") => Ok(Response::new(405, error_body(&"method not allowed"))),
+            _ => Ok(Response::new(404, error_body(&"no such path"))),
+        }
+    }
+
+    fn error_response(&self, status: u16, error: &HttpError) -> Response {
+        Response::new(status, error_body(error))
+    }
+
+    fn log_invalid_request(&self, error: &HttpError) {
+        if let Some(suppressed) = self.log_limiters.invalid.permit() {
+            warn!(self.log, "invalid request"; "error" => %error, "suppressed" => suppressed);
+        }
+    }
+}
+
+fn response(outcome: &QueryOutcome) -> Response {
+    match outcome {
+        QueryOutcome::Answered { complete, values } => {
+            let piece = |(shard, value): &(ShardId, Rc<[u8]>)| {
+                let text = String::from_utf8_lossy(value);
+                serde_json::json!({"tablet": shard.0, "cell": text})
+            };
+            let pieces: Vec<_> = values.iter().map(piece).collect();
+            Response::new(200, serde_json::json!({"full": complete, "pieces": pieces}).to_string())
+        }
+        QueryOutcome::Rejected { retry_after } => rejected(503, *retry_after),
+        QueryOutcome::Failed => Response::new(500, error_body(&"failed")),
+        QueryOutcome::DeadlineExceeded => Response::new(504, error_body(&"out of time")),
+    }
+}
+
+fn rejected(status: u16, retry_after: Option<f64>) -> Response {
+    Response { retry_after, ..Response::new(status, error_body(&"refused")) }
+}
+
+fn error_body(error: &dyn Display) -> String {
+    serde_json::json!({"error": error.to_string()}).to_string()
+}
