--- a/src/net/http/reader.rs
+++ b/src/net/http/reader.rs
@@ -108,12 +108,15 @@
     }
 }
 
-/// What stands before the headers of a message.
-struct StartLine {
+/// A complete head.
+struct Head<'h, 'b> {
+    /// Bytes of it, without the empty lines before it.
+    length: usize,
     method: Range<usize>,
     path: Range<usize>,
     status: u16,
     minor_version: Option<u8>,
+    headers: &'h [httparse::Header<'b>],
 }
 
 /// What the headers say of the body and of the connection.
@@ -134,11 +137,11 @@
         return Err(HttpError::Malformed("empty lines"));
     }
     let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
-    let Some((length, start_line, headers)) = parse_head(bytes, blank, kind, &mut headers)? else {
+    let Some(head) = parse_head(bytes, blank, kind, &mut headers)? else {
         return Ok(None);
     };
-    let framing = read_framing(start_line.minor_version, headers)?;
-    let body_start = blank + length;
+    let framing = read_framing(head.minor_version, head.headers)?;
+    let body_start = blank + head.length;
     let content_length = framing.content_length.unwrap_or(0);
     if content_length > max_body_bytes {
         return Err(HttpError::TooLarge);
@@ -148,10 +151,10 @@
         if framing.chunked { BodyEnd::Chunked(ChunkedBody::new(body_start)) } else { BodyEnd::At(body.end) };
     let header = |h: &httparse::Header| (range_in(bytes, h.name.as_bytes()), range_in(bytes, h.value));
     let message = Message {
-        method: start_line.method,
-        path: start_line.path,
-        status: start_line.status,
-        headers: headers.iter().map(header).collect(),
+        method: head.method,
+        path: head.path,
+        status: head.status,
+        headers: head.headers.iter().map(header).collect(),
         body: if body.is_empty() { Vec::new() } else { vec![body] },
         length: 0,
         keep_alive: framing.keep_alive,
@@ -166,31 +169,35 @@
     blank: usize,
     kind: MessageKind,
     headers: &'h mut [httparse::Header<'b>],
-) -> Result<Option<(usize, StartLine, &'h [httparse::Header<'b>])>, HttpError> {
+) -> Result<Option<Head<'h, 'b>>, HttpError> {
     match kind {
         MessageKind::Request => {
             let mut request = httparse::Request::new(headers);
             let parsed = request.parse(&bytes[blank..]);
             let Some(length) = head_length(parsed, bytes)? else { return Ok(None) };
-            let start_line = StartLine {
+            let head = Head {
+                length,
                 method: range_in(bytes, request.method.unwrap_or("").as_bytes()),
                 path: range_in(bytes, request.path.unwrap_or("").as_bytes()),
                 status: 0,
                 minor_version: request.version,
+                headers: request.headers,
             };
-            Ok(Some((length, start_line, request.headers)))
+            Ok(Some(head))
         }
         MessageKind::Response => {
             let mut response = httparse::Response::new(headers);
             let parsed = response.parse(&bytes[blank..]);
             let Some(length) = head_length(parsed, bytes)? else { return Ok(None) };
-            let start_line = StartLine {
+            let head = Head {
+                length,
                 method: 0..0,
                 path: 0..0,
                 status: response.code.unwrap_or(0),
                 minor_version: response.version,
+                headers: response.headers,
             };
-            Ok(Some((length, start_line, response.headers)))
+            Ok(Some(head))
         }
     }
 }
