--- a/src/net/opensearch/query.rs
+++ b/src/net/opensearch/query.rs
@@ -1,17 +1,23 @@
-//! The subset of the search API that is understood. What is not is named and refused, never ignored.
+//! Reads a search: the subset of the search API that is supported. What is not is named and rejected, never
+//! ignored.
+//!
+//! It owns nothing and does no I/O. Texts and kinds of errors are those of the public specification.
+#![warn(missing_docs)]
+
 use std::borrow::Cow;
 use std::collections::BTreeMap;
-use std::fmt;
 use std::time::Duration;
 
 use serde_json::value::RawValue;
 use serde_json::{json, Value};
+use thiserror::Error;
 
 /// `index.max_result_window` of the public specification.
-const WINDOW: u64 = 10_000;
-const SIZE: u64 = 10;
-/// Query clauses that are passed on, and the ones whose inner clauses are looked at.
-const LEAVES: [&str; 16] = [
+const MAX_RESULT_WINDOW: u64 = 10_000;
+/// Hits of a page where the search names no number.
+const DEFAULT_SIZE: u64 = 10;
+/// Query clauses that are forwarded as they are.
+const LEAF_CLAUSES: [&str; 16] = [
     "match_all",
     "match_none",
     "match",
@@ -29,50 +35,54 @@
     "geo_distance",
     "geo_shape",
 ];
-const BOOL: [&str; 4] = ["must", "filter", "should", "must_not"];
-const BOOL_PLAIN: [&str; 2] = ["minimum_should_match", "boost"];
+/// Occurrence types of a `bool` query, whose inner clauses are looked at.
+const BOOL_OCCURRENCES: [&str; 4] = ["must", "filter", "should", "must_not"];
+/// Options of a `bool` query.
+const BOOL_OPTIONS: [&str; 2] = ["minimum_should_match", "boost"];
 
 /// What is wrong with a request, in the public specification's terms.
-#[derive(Debug, PartialEq)]
+#[derive(Debug, PartialEq, Error)]
+#[error("{kind}: {reason}")]
 pub struct InvalidSearch {
+    /// The error's `type`.
     pub kind: &'static str,
+    /// What is wrong, for people.
     pub reason: String,
 }
 
-impl fmt::Display for InvalidSearch {
-    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "{}: {}", self.kind, self.reason)
-    }
-}
-
-impl std::error::Error for InvalidSearch {}
-
-fn bad<T>(kind: &'static str, reason: impl Into<String>) -> Result<T, InvalidSearch> {
+fn invalid<T>(kind: &'static str, reason: impl Into<String>) -> Result<T, InvalidSearch> {
     Err(InvalidSearch { kind, reason: reason.into() })
 }
 
-fn illegal<T>(reason: impl Into<String>) -> Result<T, InvalidSearch> {
-    bad("illegal_argument_exception", reason)
+fn illegal_argument<T>(reason: impl Into<String>) -> Result<T, InvalidSearch> {
+    invalid("illegal_argument_exception", reason)
 }
 
 /// One key of a sort order.
 #[derive(Clone, Debug, PartialEq)]
 pub struct SortKey {
+    /// Largest values first.
     pub descending: bool,
 }
 
-/// A search, ready to be sent on. It outlives the buffer that it was read from.
+/// A search, ready to be forwarded. It outlives the buffer that it was read from.
 #[derive(Debug)]
 pub struct Search {
+    /// Its one index.
     pub index: String,
     /// The shards that it is restricted to, if any.
     pub shards: Option<Vec<u32>>,
+    /// How many hits to pass over.
     pub from: u64,
+    /// How many hits to give.
     pub size: u64,
+    /// The time that its client gives it, if any.
     pub timeout: Option<Duration>,
+    /// Whether some shards' hits alone are an answer.
     pub partial: bool,
-    /// Empty: by score.
+    /// The sort order; empty: by score.
     pub sort: Vec<SortKey>,
+    /// Whether the answer has the number of all hits.
     pub track_total: bool,
     /// The body for the servers, which give whole pages from the first hit on.
     pub body: String,
@@ -80,18 +90,20 @@
     pub ranking: String,
 }
 
-/// Read a search from the pieces of its request.
-pub fn parse(index: &str, query: &str, body: &[u8]) -> Result<Search, InvalidSearch> {
-    let text = std::str::from_utf8(body).or_else(|_| bad("parse_exception", "the body is not UTF-8"))?;
-    let fields: BTreeMap<Cow<str>, &RawValue> = match text.trim() {
-        "" => BTreeMap::new(),
-        text => serde_json::from_str(text).or_else(|e| bad("parsing_exception", format!("body: {e}")))?,
-    };
+/// The fields of a search's body that are forwarded to the servers.
+type Forwarded = BTreeMap<&'static str, Value>;
+
+/// Read a search on `index` from the parameters behind its path, and its body.
+///
+/// # Errors
+///
+/// The first part of it that is malformed or not supported, body before parameters.
+pub fn parse(index: &str, parameters: &str, body: &[u8]) -> Result<Search, InvalidSearch> {
     let mut search = Search {
         index: index.to_owned(),
         shards: None,
         from: 0,
-        size: SIZE,
+        size: DEFAULT_SIZE,
         timeout: None,
         partial: true,
         sort: Vec::new(),
@@ -99,115 +111,157 @@
         body: String::new(),
         ranking: String::new(),
     };
-    let mut passed = BTreeMap::<&str, Value>::new();
-    for (name, raw) in &fields {
-        let value: Value = serde_json::from_str(raw.get())
-            .or_else(|e| bad("parsing_exception", format!("[{name}]: {e}")))?;
-        let count = || value.as_u64().ok_or(());
-        match name.as_ref() {
-            "query" => {
-                clause(&value)?;
-                passed.insert("query", value);
-            }
-            "from" => search.from = count().or_else(|()| illegal("[from] must be a whole number"))?,
-            "size" => search.size = count().or_else(|()| illegal("[size] must be a whole number"))?,
-            "timeout" => search.timeout = time(value.as_str().unwrap_or(raw.get()))?,
-            "sort" => {
-                search.sort = sort(&value)?;
-                passed.insert("sort", value);
-            }
-            "_source" => drop(passed.insert("_source", value)),
-            "min_score" if value.is_number() => drop(passed.insert("min_score", value)),
-            "track_total_hits" if value.is_boolean() || value.is_u64() => {
-                search.track_total = value != json!(false);
-                passed.insert("track_total_hits", value);
-            }
-            "min_score" | "track_total_hits" => {
-                return illegal(format!("[{name}] has a value that cannot be used"))
-            }
-            other => {
-                return bad("parsing_exception", format!("unsupported key [{other}] in the search body"))
-            }
-        }
-    }
-    for (name, value) in form_urlencoded::parse(query.as_bytes()) {
-        let count = || value.parse::<u64>().or_else(|_| illegal(format!("[{name}] must be a whole number")));
-        match name.as_ref() {
-            "from" => search.from = count()?,
-            "size" => search.size = count()?,
-            "timeout" => search.timeout = time(&value)?,
-            "allow_partial_search_results" => search.partial = flag(&name, &value)?,
-            "preference" => search.shards = Some(shards(&value)?),
-            "q" if passed.contains_key("query") => {
-                return illegal("[q] and a query in the body exclude each other")
-            }
-            "q" => drop(passed.insert("query", json!({"query_string": {"query": value}}))),
-            other => return illegal(format!("request contains unsupported parameter: [{other}]")),
-        }
+    let mut forwarded = Forwarded::new();
+    parse_body(body, &mut search, &mut forwarded)?;
+    for (name, value) in form_urlencoded::parse(parameters.as_bytes()) {
+        parse_parameter(&name, &value, &mut search, &mut forwarded)?;
     }
     let window = search.from.saturating_add(search.size);
-    if window > WINDOW {
-        return illegal(format!(
-            "result window is too large, from + size must be at most [{WINDOW}] but was [{window}]"
+    if window > MAX_RESULT_WINDOW {
+        return illegal_argument(format!(
+            "result window is too large, from + size must be at most [{MAX_RESULT_WINDOW}] but was [{window}]"
         ));
     }
-    passed.insert("size", json!(window));
-    search.body = json!(passed).to_string();
-    passed.insert("size", json!(1));
-    passed.insert("_source", json!(false));
+    forwarded.insert("size", json!(window));
+    search.body = json!(forwarded).to_string();
+    forwarded.insert("size", json!(1));
+    forwarded.insert("_source", json!(false));
     // Ranked by score alone: a sort would leave the scores out.
-    passed.remove("sort");
-    search.ranking = json!(passed).to_string();
+    forwarded.remove("sort");
+    search.ranking = json!(forwarded).to_string();
     Ok(search)
 }
 
-/// Whether a query clause is one that is understood, down to its leaves.
-fn clause(value: &Value) -> Result<(), InvalidSearch> {
+fn parse_body(body: &[u8], search: &mut Search, forwarded: &mut Forwarded) -> Result<(), InvalidSearch> {
+    let text = std::str::from_utf8(body).or_else(|_| invalid("parse_exception", "the body is not UTF-8"))?;
+    let fields: BTreeMap<Cow<str>, &RawValue> = match text.trim() {
+        "" => BTreeMap::new(),
+        text => serde_json::from_str(text).or_else(|e| invalid("parsing_exception", format!("body: {e}")))?,
+    };
+    for (name, raw) in &fields {
+        parse_field(name, raw, search, forwarded)?;
+    }
+    Ok(())
+}
+
+/// Read one field of the body.
+fn parse_field(
+    name: &str,
+    raw: &RawValue,
+    search: &mut Search,
+    forwarded: &mut Forwarded,
+) -> Result<(), InvalidSearch> {
+    let value: Value = serde_json::from_str(raw.get())
+        .or_else(|e| invalid("parsing_exception", format!("[{name}]: {e}")))?;
+    let count = || value.as_u64().map_or_else(|| not_a_whole_number(name), Ok);
+    match name {
+        "query" => {
+            check_clause(&value)?;
+            forwarded.insert("query", value);
+        }
+        "from" => search.from = count()?,
+        "size" => search.size = count()?,
+        "timeout" => search.timeout = parse_timeout(value.as_str().unwrap_or(raw.get()))?,
+        "sort" => {
+            search.sort = parse_sort(&value)?;
+            forwarded.insert("sort", value);
+        }
+        "_source" => {
+            forwarded.insert("_source", value);
+        }
+        "min_score" if value.is_number() => {
+            forwarded.insert("min_score", value);
+        }
+        "track_total_hits" if value.is_boolean() || value.is_u64() => {
+            search.track_total = value != json!(false);
+            forwarded.insert("track_total_hits", value);
+        }
+        "min_score" | "track_total_hits" => {
+            return illegal_argument(format!("[{name}] has a value that cannot be used"))
+        }
+        other => {
+            return invalid("parsing_exception", format!("unsupported key [{other}] in the search body"))
+        }
+    }
+    Ok(())
+}
+
+/// Read one parameter behind the path.
+fn parse_parameter(
+    name: &str,
+    value: &str,
+    search: &mut Search,
+    forwarded: &mut Forwarded,
+) -> Result<(), InvalidSearch> {
+    let count = || value.parse::<u64>().or_else(|_| not_a_whole_number(name));
+    match name {
+        "from" => search.from = count()?,
+        "size" => search.size = count()?,
+        "timeout" => search.timeout = parse_timeout(value)?,
+        "allow_partial_search_results" => search.partial = parse_flag(name, value)?,
+        "preference" => search.shards = Some(parse_shards(value)?),
+        "q" if forwarded.contains_key("query") => {
+            return illegal_argument("[q] and a query in the body exclude each other")
+        }
+        "q" => {
+            forwarded.insert("query", json!({"query_string": {"query": value}}));
+        }
+        other => return illegal_argument(format!("request contains unsupported parameter: [{other}]")),
+    }
+    Ok(())
+}
+
+fn not_a_whole_number<T>(name: &str) -> Result<T, InvalidSearch> {
+    illegal_argument(format!("[{name}] must be a whole number"))
+}
+
+/// Check that a query clause is supported, down to its leaves.
+fn check_clause(value: &Value) -> Result<(), InvalidSearch> {
     let Some(object) = value.as_object() else {
-        return bad("parsing_exception", "a query clause must be an object");
+        return invalid("parsing_exception", "a query clause must be an object");
     };
     let mut names = object.iter();
     let (Some((name, inner)), None) = (names.next(), names.next()) else {
-        return bad("parsing_exception", "a query clause must hold exactly one query");
+        return invalid("parsing_exception", "a query clause must hold exactly one query");
     };
-    if LEAVES.contains(&name.as_str()) {
+    if LEAF_CLAUSES.contains(&name.as_str()) {
         return if inner.is_object() {
             Ok(())
         } else {
-            bad("parsing_exception", format!("[{name}] query malformed"))
+            invalid("parsing_exception", format!("[{name}] query malformed"))
         };
     }
     if name != "bool" {
-        return bad("parsing_exception", format!("unknown query [{name}]"));
+        return invalid("parsing_exception", format!("unknown query [{name}]"));
     }
     let Some(inner) = inner.as_object() else {
-        return bad("parsing_exception", "[bool] query malformed");
+        return invalid("parsing_exception", "[bool] query malformed");
     };
     for (occur, clauses) in inner {
         match clauses {
-            _ if BOOL_PLAIN.contains(&occur.as_str()) => {}
-            _ if !BOOL.contains(&occur.as_str()) => {
-                return bad("parsing_exception", format!("[bool] query does not support [{occur}]"))
+            _ if BOOL_OPTIONS.contains(&occur.as_str()) => {}
+            _ if !BOOL_OCCURRENCES.contains(&occur.as_str()) => {
+                return invalid("parsing_exception", format!("[bool] query does not support [{occur}]"))
             }
-            Value::Array(all) => all.iter().try_for_each(clause)?,
-            one => clause(one)?,
+            Value::Array(all) => all.iter().try_for_each(check_clause)?,
+            one => check_clause(one)?,
         }
     }
     Ok(())
 }
 
-fn sort(value: &Value) -> Result<Vec<SortKey>, InvalidSearch> {
+fn parse_sort(value: &Value) -> Result<Vec<SortKey>, InvalidSearch> {
     let one = std::slice::from_ref(value);
     let keys = value.as_array().map_or(one, Vec::as_slice);
-    keys.iter().map(sort_key).collect()
+    keys.iter().map(parse_sort_key).collect()
 }
 
-fn sort_key(value: &Value) -> Result<SortKey, InvalidSearch> {
+fn parse_sort_key(value: &Value) -> Result<SortKey, InvalidSearch> {
     let by_default = |field: &str| SortKey { descending: field == "_score" };
     let order = |text: &str| match text {
         "asc" => Ok(SortKey { descending: false }),
         "desc" => Ok(SortKey { descending: true }),
-        other => illegal(format!("unknown sort order [{other}]")),
+        other => illegal_argument(format!("unknown sort order [{other}]")),
     };
     match value {
         Value::String(field) => Ok(by_default(field)),
@@ -215,32 +269,32 @@
             Some((_, Value::String(text))) => order(text),
             Some((field, Value::Object(options))) => {
                 if let Some(other) = options.keys().find(|k| *k != "order") {
-                    return illegal(format!("unsupported option [{other}] of sort on [{field}]"));
+                    return illegal_argument(format!("unsupported option [{other}] of sort on [{field}]"));
                 }
                 options.get("order").and_then(Value::as_str).map_or(Ok(by_default(field)), order)
             }
-            _ => illegal("[sort] has a value that cannot be used"),
+            _ => illegal_argument("[sort] has a value that cannot be used"),
         },
-        _ => illegal("[sort] has a value that cannot be used"),
+        _ => illegal_argument("[sort] has a value that cannot be used"),
     }
 }
 
-fn flag(name: &str, value: &str) -> Result<bool, InvalidSearch> {
+fn parse_flag(name: &str, value: &str) -> Result<bool, InvalidSearch> {
     match value {
         "true" | "" => Ok(true),
         "false" => Ok(false),
-        other => illegal(format!("[{name}]: only [true] or [false] are allowed, not [{other}]")),
+        other => illegal_argument(format!("[{name}]: only [true] or [false] are allowed, not [{other}]")),
     }
 }
 
 /// `_shards:3,5` of the `preference` parameter.
-fn shards(value: &str) -> Result<Vec<u32>, InvalidSearch> {
+fn parse_shards(value: &str) -> Result<Vec<u32>, InvalidSearch> {
     let Some(list) = value.strip_prefix("_shards:") else {
-        return illegal(format!("unsupported preference [{value}]"));
+        return illegal_argument(format!("unsupported preference [{value}]"));
     };
     let mut shards = Vec::new();
     for n in list.split(',') {
-        shards.push(n.parse().or_else(|_| illegal(format!("[{n}] is not a shard")))?);
+        shards.push(n.parse().or_else(|_| illegal_argument(format!("[{n}] is not a shard")))?);
     }
     shards.sort_unstable();
     shards.dedup();
@@ -248,7 +302,7 @@
 }
 
 /// A span of time with its unit; `-1` is none.
-fn time(text: &str) -> Result<Option<Duration>, InvalidSearch> {
+fn parse_timeout(text: &str) -> Result<Option<Duration>, InvalidSearch> {
     if text == "-1" {
         return Ok(None);
     }
@@ -265,6 +319,8 @@
     let span = text[..digits].parse::<u64>().ok().and_then(|n| n.checked_mul(micros)).filter(|n| *n > 0);
     match span {
         Some(micros) => Ok(Some(Duration::from_micros(micros))),
-        None => illegal(format!("failed to parse setting [timeout] with value [{text}] as a time value")),
+        None => {
+            illegal_argument(format!("failed to parse setting [timeout] with value [{text}] as a time value"))
+        }
     }
 }
