--- a/src/net/opensearch/search.rs
+++ b/src/net/opensearch/search.rs
@@ -8,7 +8,7 @@
 use serde_json::{json, Value};
 use slog::{warn, Logger};
 
-use super::merge::{self, Failure, MissingShards};
+use super::merge::{self, MissingShards, ShardError, ShardFailure};
 use super::query::{self, InvalidSearch, Search};
 use super::servers::{Notes, RequestContext, Servers};
 use crate::balancer::interface::*;
@@ -158,8 +158,8 @@
         };
         let answer = match failures.first() {
             // The servers find fault with the search itself: so it is.
-            Some((_, f)) if f.status == 400 && failures.iter().all(|(_, f)| f.status == 400) => {
-                return error(400, &f.kind, &f.reason)
+            Some((_, f)) if f.error.status == 400 && failures.iter().all(|(_, f)| f.error.status == 400) => {
+                return error(400, &f.error.kind, &f.error.reason)
             }
             _ if late => error(504, "timeout_exception", "the search ran out of time"),
             Some(_) => shards_failed(search, "all shards failed", &failures, 503),
@@ -195,15 +195,13 @@
         None => values.iter().any(|(shard, _)| shard == s),
     };
     let out = parts.iter().filter(|s| !answered(s));
-    let late = || Failure {
+    let late = || ShardFailure {
         node: String::new(),
-        status: 504,
-        kind: "timeout_exception".to_owned(),
-        reason: "no answer in time".to_owned(),
+        error: ShardError::new(504, "timeout_exception", "no answer in time"),
     };
     let failure = |s: &ShardId| (*s, notes.failures.get(s).cloned().unwrap_or_else(late));
     let failures: Vec<_> = out.map(failure).collect();
-    let timed_out = failures.iter().any(|(_, f)| f.status == 504) || (!whole && failures.is_empty());
+    let timed_out = failures.iter().any(|(_, f)| f.error.status == 504) || (!whole && failures.is_empty());
     MissingShards { total: parts.len(), failures, timed_out }
 }
 
@@ -213,7 +211,12 @@
     Response::new(status, body.to_string())
 }
 
-fn shards_failed(search: &Search, reason: &str, failures: &[(ShardId, Failure)], status: u16) -> Response {
+fn shards_failed(
+    search: &Search,
+    reason: &str,
+    failures: &[(ShardId, ShardFailure)],
+    status: u16,
+) -> Response {
     let failed: Vec<Value> = failures.iter().map(|(s, f)| f.json(&search.index, *s)).collect();
     let causes: Vec<&Value> = failed.iter().map(|f| &f["reason"]).collect();
     let body = json!({"error": {"root_cause": causes, "type": "search_phase_execution_exception",
--- a/src/net/opensearch/servers.rs
+++ b/src/net/opensearch/servers.rs
@@ -9,7 +9,7 @@
 use futures_lite::{AsyncWriteExt, FutureExt};
 use slog::{debug, Logger};
 
-use super::merge::{self, Failure};
+use super::merge::{self, ShardError, ShardFailure};
 use super::query::Search;
 use crate::balancer::interface::*;
 use crate::config::settings::ConnectionSettings;
@@ -33,7 +33,7 @@
 #[derive(Default)]
 pub struct Notes {
     pub begun: bool,
-    pub failures: BTreeMap<ShardId, Failure>,
+    pub failures: BTreeMap<ShardId, ShardFailure>,
     /// Shards that were in when the first of two steps was answered.
     pub first: Option<Rc<[ShardId]>>,
 }
@@ -118,7 +118,10 @@
         let Some((address, life)) = self.ready(call.replica) else { return Outcome::NeverSent.into() };
         let mut place = match self.connection(call.replica, address).await {
             Ok(place) => place,
-            Err(outcome) => return self.failed(call, outcome, (503, "connect_exception", "no connection")),
+            Err(outcome) => {
+                let error = ShardError::new(503, "connect_exception", "no connection");
+                return self.failed(call, outcome, error);
+            }
         };
         // The last look before the write: guards against a send that waited on a connect while the records
         // changed, or another coordinator went on with its query.
@@ -137,7 +140,11 @@
         let request = request(call, address, permit);
         let Some(stream) = place.stream.as_mut() else { return Outcome::ConnectFailed.into() };
         if stream.write_all(&request).await.is_err() {
-            return self.failed(call, Outcome::ConnectFailed, (503, "connect_exception", "connection broke"));
+            return self.failed(
+                call,
+                Outcome::ConnectFailed,
+                ShardError::new(503, "connect_exception", "connection broke"),
+            );
         }
         call.context.notes.borrow_mut().begun = true;
         let mut buffer = Buffer::default();
@@ -149,10 +156,14 @@
                 }
                 ended
             }
-            Err(HttpError::ConnectionClosed | HttpError::Io(_)) => {
-                self.failed(call, Outcome::Reset, (503, "node_disconnected_exception", "connection broke"))
+            Err(HttpError::ConnectionClosed | HttpError::Io(_)) => self.failed(
+                call,
+                Outcome::Reset,
+                ShardError::new(503, "node_disconnected_exception", "connection broke"),
+            ),
+            Err(e) => {
+                self.failed(call, Outcome::Error, ShardError::new(500, "malformed_answer", e.to_string()))
             }
-            Err(e) => self.failed(call, Outcome::Error, (500, "malformed_answer", &e.to_string())),
         }
     }
 
@@ -160,30 +171,30 @@
         let body = message.body(buffer);
         if message.status != 200 {
             let error: serde_json::Value = serde_json::from_slice(&body).unwrap_or_default();
-            let text = |key: &str| error["error"][key].as_str().unwrap_or("unknown").to_owned();
+            let text = |key: &str| error["error"][key].as_str().unwrap_or("unknown");
             // Turned away before it began; anything else may have run.
             let outcome = if message.status == 429 { Outcome::Rejected } else { Outcome::Error };
-            return self.failed(call, outcome, (message.status, &text("type"), &text("reason")));
+            return self.failed(call, outcome, ShardError::new(message.status, text("type"), text("reason")));
         }
         let search = &call.context.search;
         let ranking = call.context.ranked && call.step == Step::First;
-        match merge::check(&body, !search.sort.is_empty() && !ranking, search.sort.len()) {
+        let is_sorted = !search.sort.is_empty() && !ranking;
+        match merge::check(&body, is_sorted.then_some(search.sort.len())) {
             Ok(score) => {
                 call.context.notes.borrow_mut().failures.remove(&call.shard);
                 // Copied: the value outlives the buffer, until its query is answered.
                 let served = Some((Rc::from(&*body), score));
                 AttemptResult { outcome: Outcome::Succeeded, served, report: None }
             }
-            Err((status, kind, reason)) => self.failed(call, Outcome::Error, (status, &kind, &reason)),
+            Err(error) => self.failed(call, Outcome::Error, error),
         }
     }
 
-    fn failed(&self, call: &Call<Servers>, outcome: Outcome, why: (u16, &str, &str)) -> AttemptResult {
-        let (status, kind, reason) = why;
+    fn failed(&self, call: &Call<Servers>, outcome: Outcome, error: ShardError) -> AttemptResult {
         let node = self.book.borrow().get(call.replica).map(|k| k.server.name.clone()).unwrap_or_default();
-        debug!(self.log, "shard failed"; "shard" => call.shard.0, "server" => &node, "type" => kind, "reason" => reason);
-        let failure = Failure { node, status, kind: kind.to_owned(), reason: reason.to_owned() };
-        call.context.notes.borrow_mut().failures.insert(call.shard, failure);
+        debug!(self.log, "shard failed"; "shard" => call.shard.0, "server" => &node, "type" => &error.kind,
+            "reason" => &error.reason);
+        call.context.notes.borrow_mut().failures.insert(call.shard, ShardFailure { node, error });
         outcome.into()
     }
 
--- a/tests/formats.rs
+++ b/tests/formats.rs
@@ -101,8 +101,8 @@
     };
     let one = reply(r#"{"_id":"a","sort":[9,1.0]},{"_id":"b","sort":[5,2.0]},{"_id":"c","sort":[null,9]}"#);
     let two = reply(r#"{"_id":"d","sort":[10,1.0]},{"_id":"e","sort":[5,3.0]}"#);
-    assert!(merge::check(one.as_bytes(), true, 2).is_ok());
-    assert!(merge::check(one.as_bytes(), true, 1).is_err(), "not in this order");
+    assert!(merge::check(one.as_bytes(), Some(2)).is_ok());
+    assert!(merge::check(one.as_bytes(), Some(1)).is_err(), "not in this order");
     let values = [(ShardId(0), Rc::from(one.as_bytes())), (ShardId(1), Rc::from(two.as_bytes()))];
     let missing = merge::MissingShards { total: 2, failures: Vec::new(), timed_out: false };
     let merged = merge::merge(&search, &values, &missing, 7).expect("merged");
