--- a/tests/arrivals.rs
+++ b/tests/arrivals.rs
@@ -67,7 +67,7 @@
 }
 
 #[test]
-fn a_request_that_was_read_behind_another_is_answered_before_its_connection_ends() {
+fn a_pipelined_request_is_answered_before_its_connection_closes() {
     let (mut program, held, _discovery, _) = start("behind", 1024);
     let mut client = connect(program.address);
     let both = request("a1", "field-lookup", 3000) + &request("a2", "field-lookup", 3000);
@@ -87,7 +87,7 @@
 }
 
 #[test]
-fn a_request_that_waits_behind_another_tells_its_data_node_the_time_that_is_left() {
+fn a_pipelined_request_forwards_the_time_that_is_left() {
     let (program, held, _discovery, _) = start("behind_time", 1024);
     let mut client = connect(program.address);
     let both = request("a1", "field-lookup", 3000) + &request("a2", "field-lookup", 2000);
@@ -104,7 +104,7 @@
 
 /// So few descriptors that a dozen clients fill the room for them.
 #[test]
-fn a_request_that_waits_to_be_accepted_tells_its_data_node_the_time_that_is_left() {
+fn a_request_on_a_waiting_connection_forwards_the_time_that_is_left() {
     let (program, held, _discovery, _) = start("backlog_time", 48);
     let mut clients: Vec<_> = (0..12).map(|_| connect(program.address)).collect();
     for (n, client) in clients.iter_mut().enumerate() {
--- a/tests/clients.rs
+++ b/tests/clients.rs
@@ -1,5 +1,5 @@
-//! Clients' connections, where their bytes or their end cross an end of ours: each gets a whole answer or an end that
-//! is no reset, and nothing is sent for one that has gone.
+//! Clients' connections whose bytes or end cross a close of ours: each gets a complete response or an end of stream
+//! without a reset, and nothing is forwarded for a client that has disconnected.
 mod common;
 
 use std::io::Write;
@@ -21,8 +21,8 @@
     stream.write_all(text.as_bytes()).expect("written");
 }
 
-/// A client whose connection rests.
-fn resting(program: &Program) -> TcpStream {
+/// A client whose connection is idle between requests.
+fn idle_client(program: &Program) -> TcpStream {
     let mut client = connect(program.address);
     send(&mut client, HEALTH);
     assert_eq!(status(&mut client), 200);
@@ -44,9 +44,9 @@
 
 /// Nobody resets a connection that rests: its client hears of the end, and what it sent by then is read and dropped.
 #[test]
-fn a_resting_connection_ends_without_a_reset_and_serves_nothing_behind_its_end() {
+fn an_idle_connection_is_closed_without_a_reset_and_later_requests_are_dropped() {
     let (node, mut program) = start("clients_rest", true);
-    let mut client = resting(&program);
+    let mut client = idle_client(&program);
     program.signal("-TERM");
     ends(&mut client);
     send(&mut client, &request("late", "field-lookup", 4000));
@@ -60,9 +60,9 @@
 /// Bytes that come in while the program can't run, over the moment in which it ends resting connections: whichever
 /// it finds first, they are answered whole or not read at all. Those of connections not accepted yet are answered.
 #[test]
-fn what_came_in_by_the_end_of_service_is_answered_or_unread() {
+fn requests_received_before_keep_alive_stops_are_answered_or_unread() {
     let (_node, mut program) = start("clients_cross", true);
-    let mut rested: Vec<_> = (0..8).map(|_| resting(&program)).collect();
+    let mut rested: Vec<_> = (0..8).map(|_| idle_client(&program)).collect();
     program.signal("-TERM");
     program.log("stopping");
     program.stop();
@@ -92,13 +92,14 @@
 
 /// Half a request when service ends: its rest may still come, and is answered; where it doesn't, that is.
 #[test]
-fn half_a_request_at_the_end_of_service_gets_a_whole_answer() {
+fn a_partial_request_at_shutdown_gets_a_complete_response() {
     let (_node, mut program) = start("clients_half", true);
-    let (mut rests, mut goes_on, mut stops) = (resting(&program), resting(&program), resting(&program));
+    let (mut rests, mut goes_on, mut stops) =
+        (idle_client(&program), idle_client(&program), idle_client(&program));
     let text = request("whole", "field-lookup", 4000);
     send(&mut goes_on, &text[..text.len() - 9]);
     send(&mut stops, &request("half", "field-lookup", 4000)[..40]);
-    resting(&program);
+    idle_client(&program);
     let told = Instant::now();
     program.signal("-TERM");
     ends(&mut rests);
@@ -116,12 +117,12 @@
 /// A query with more time than SIGKILL leaves gets its answer before that, and the program ends before it: here the
 /// longest deadline is 8 s, which counts as 3 s, and SIGKILL may come 0.7 s behind that.
 #[test]
-fn all_that_was_taken_is_answered_before_the_kill() {
+fn every_admitted_query_is_answered_before_sigkill() {
     let (node, mut program) = start("clients_kill", false);
     let mut before = connect(program.address);
     send(&mut before, &request("before", "overlap-check", 8000));
     node.frame("q before.", &[]);
-    let mut rests = resting(&program);
+    let mut rests = idle_client(&program);
     // One that never reads its answers must not keep the program either.
     let mut deaf = connect(program.address);
     program.signal("-TERM");
@@ -137,7 +138,7 @@
 
 /// A client that sends much behind its request is answered at once, and one that leaves behind that is seen to.
 #[test]
-fn a_flood_behind_a_request_hides_no_leaving() {
+fn a_disconnect_is_seen_behind_data_sent_ahead() {
     let (node, program) = start("clients_flood", false);
     for (id, goes) in [("stays", false), ("goes", true)] {
         let mut client = connect(program.address);
@@ -161,9 +162,9 @@
 /// Requests whose clients have gone by the time they are read, on a new connection and on one that rested, alone and
 /// with another request behind: nothing is sent on. What comes later shows that the time for it was over.
 #[test]
-fn a_request_whose_client_has_gone_is_not_sent_on() {
+fn a_request_of_a_disconnected_client_is_not_forwarded() {
     let (node, program) = start("clients_gone", true);
-    let (mut rested, mut pipelined) = (resting(&program), resting(&program));
+    let (mut rested, mut pipelined) = (idle_client(&program), idle_client(&program));
     program.stop();
     let mut new = connect(program.address);
     send(&mut rested, &request("rested", "field-lookup", 4000));
@@ -186,7 +187,7 @@
 
 /// In a crowd a connection whose first request is half in makes way with an answer, and others get its room.
 #[test]
-fn a_connection_that_makes_way_with_half_a_request_is_answered() {
+fn an_evicted_connection_with_a_partial_request_gets_a_response() {
     let node = Node::start(true);
     let folder = configure("clients_crowd", &[node.address], node.address, 1, 75);
     let path = folder.join("config.json");
@@ -212,14 +213,14 @@
 
 /// A body that is held back until it is asked for, behind a head in two pieces.
 #[test]
-fn a_client_that_holds_its_body_back_is_told_to_go_on() {
+fn a_client_that_expects_100_continue_gets_it() {
     let (_node, program) = start("clients_continue", true);
     let mut client = connect(program.address);
     let text = request("holds", "field-lookup", 4000).replace("Host: t", "Expect: 100-continue");
     let (head, body) = text.split_once("\r\n\r\n").expect("a head");
     send(&mut client, &head[..30]);
     // These are served behind the first piece.
-    drop((resting(&program), resting(&program)));
+    drop((idle_client(&program), idle_client(&program)));
     send(&mut client, &format!("{}\r\n\r\n", &head[30..]));
     assert_eq!(status(&mut client), 100);
     send(&mut client, body);
@@ -228,7 +229,7 @@
 
 /// Bad input gets an error or an end within three seconds, and costs nobody else an answer.
 #[test]
-fn endless_and_unusable_input_ends_in_time() {
+fn endless_and_malformed_input_is_ended_in_time() {
     let (_node, program) = start("clients_bad", true);
     let endless = |text: String| {
         let address = program.address;
@@ -258,7 +259,7 @@
     let bad: Vec<_> = bad.into_iter().map(endless).collect();
     let mut mute = connect(program.address);
     let begun = Instant::now();
-    let mut client = resting(&program);
+    let mut client = idle_client(&program);
     for n in 0..50 {
         send(&mut client, &request(&format!("q{n}"), "field-lookup", 4000));
         assert_eq!(status(&mut client), 200);
--- a/tests/clients_order.rs
+++ b/tests/clients_order.rs
@@ -1,4 +1,5 @@
-//! A request and the end of its connection's rest, in both orders: in-process, so that nothing but the test decides.
+//! A request and the end of keep-alive at a graceful shutdown, in both orders. In-process, so that only the test decides
+//! the order.
 use std::cell::RefCell;
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpStream};
@@ -12,57 +13,62 @@
 
 const REQUEST: &[u8] = b"GET /x HTTP/1.1\r\n\r\n";
 
-/// A client of an acceptor whose connections note each request that is read and are then at its end.
-fn with(crosses: impl AsyncFn(&GracefulShutdown, &mut TcpStream, &RefCell<Vec<bool>>)) -> Vec<bool> {
+/// Runs `crossing` with a client of an acceptor whose connections read one request each and close. Returns, for each
+/// connection, whether a request was read.
+fn requests_read(
+    crossing: impl AsyncFn(&GracefulShutdown, &mut TcpStream, &RefCell<Vec<bool>>),
+) -> Vec<bool> {
     let executor = Rc::new(LocalExecutor::new());
-    let (closing, read) = (Rc::new(GracefulShutdown::default()), Rc::new(RefCell::new(Vec::new())));
+    let shutdown = Rc::new(GracefulShutdown::default());
+    let read = Rc::new(RefCell::new(Vec::new()));
     let listener = socket::bind(SocketAddr::from(([127, 0, 0, 1], 0))).expect("bound");
     let address = listener.get_ref().local_addr().expect("bound");
     let log = slog::Logger::root(slog::Discard, slog::o!());
     let descriptors = Rc::new(Descriptors::new(16));
-    let acceptor = Acceptor::new(executor.clone(), closing.clone(), descriptors, log);
-    let (noted, held) = (read.clone(), acceptor.clone());
+    let acceptor = Acceptor::new(executor.clone(), shutdown.clone(), descriptors, log);
+    let recorded = read.clone();
+    let connections = acceptor.clone();
     let serve = move |mut client: http_server::ClientConnection| {
-        let noted = noted.clone();
+        let recorded = recorded.clone();
         async move {
             let next = client.next_request().await;
-            noted.borrow_mut().push(next.is_ok());
+            recorded.borrow_mut().push(next.is_ok());
         }
     };
     executor.spawn(acceptor.accept(listener, serve)).detach();
     let mut client = TcpStream::connect(address).expect("connects");
-    let crossing = async {
-        while held.open_connections() == 0 {
+    let run = async {
+        while connections.open_connections() == 0 {
             yield_now().await;
         }
         // Let it wait for its first bytes.
         for _ in 0..10 {
             yield_now().await;
         }
-        crosses(&closing, &mut client, &read).await;
-        while held.open_connections() > 0 {
+        crossing(&shutdown, &mut client, &read).await;
+        while connections.open_connections() > 0 {
             yield_now().await;
         }
     };
-    async_io::block_on(executor.run(crossing));
+    async_io::block_on(executor.run(run));
     let read = read.borrow().clone();
     read
 }
 
 #[test]
-fn a_request_that_is_there_when_the_end_is_told_is_read() {
-    let read = with(async |closing, client, _| {
+fn a_request_received_before_keep_alive_stops_is_read() {
+    let read = requests_read(async |shutdown, client, _| {
         // Neither is seen before the other one is there.
         client.write_all(REQUEST).expect("written");
-        closing.stop_keep_alive();
+        shutdown.stop_keep_alive();
     });
     assert_eq!(read, [true]);
 }
 
 #[test]
-fn a_request_behind_the_end_is_drained_and_its_connection_not_reset() {
-    let read = with(async |closing, client, read| {
-        closing.stop_keep_alive();
+fn a_request_after_keep_alive_stops_is_drained_without_a_reset() {
+    let read = requests_read(async |shutdown, client, read| {
+        shutdown.stop_keep_alive();
         client.set_nonblocking(true).expect("set");
         let ended = loop {
             match client.read(&mut [0]) {
@@ -71,7 +77,7 @@
             }
         };
         assert_eq!(ended.expect("no reset"), 0);
-        assert!(read.borrow().is_empty(), "still there");
+        assert!(read.borrow().is_empty(), "a request was read");
         client.write_all(REQUEST).expect("written");
         client.shutdown(std::net::Shutdown::Write).expect("shut");
     });
--- a/tests/clients_pieces.rs
+++ b/tests/clients_pieces.rs
@@ -28,7 +28,7 @@
 }
 
 #[test]
-fn pieces_make_the_message_that_the_whole_makes() {
+fn a_message_in_pieces_reads_as_the_complete_one() {
     let chunked = "POST /a HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n";
     for (text, body) in [
         ("POST /a HTTP/1.1\r\nContent-Length: 5\r\n\r\nab\r\nc".to_owned(), "ab\r\nc"),
@@ -57,7 +57,7 @@
 /// The largest body in chunks of a byte, a byte at a time: read anew for each piece it took minutes, of which a client
 /// gets two seconds and others the loss.
 #[test]
-fn a_body_in_the_smallest_pieces_takes_work_in_proportion() {
+fn reading_a_body_in_tiny_pieces_takes_linear_work() {
     let mut text = "POST /a HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n".to_owned();
     text += &"1\r\nx\r\n".repeat(http::MAX_BODY_BYTES);
     text += "0\r\n";
