--- a/src/net/opensearch/mod.rs
+++ b/src/net/opensearch/mod.rs
@@ -1,4 +1,10 @@
-//! The query API: a second front and its client side, on the same core. It listens where the operator's file says.
+//! The query API: searches over an OpenSearch-style API, on a coordinator of its own. It listens where the
+//! operator's file says.
+//!
+//! - `query_api`: clients' connections;
+//! - `query`, `search`, `merge`: a search's text, its life, and its answer;
+//! - `protected`, `outcome`: searches that the cluster protects, and what it stores of them;
+//! - `servers`: the connections to the search servers.
 pub mod merge;
 pub mod outcome;
 mod protected;
@@ -13,7 +19,7 @@
 use slog::Logger;
 
 use self::query_api::QueryApiServer;
-use self::servers::Servers;
+use self::servers::SearchServers;
 use super::dns_sd::watcher::Watch;
 use super::http_server::GracefulShutdown;
 use super::StartError;
@@ -30,7 +36,7 @@
     log: &Logger,
 ) -> Result<Rc<QueryApiServer>, StartError> {
     let QueryApi { source, indices, shards, deployment, .. } = setup;
-    let servers = Servers::new(deployment.connections, descriptors, log.clone());
+    let servers = SearchServers::new(deployment.connections, descriptors, log.clone());
     let settings = deployment.settings.clone();
     let core = Coordinator::new(settings, seed, deployment.max_open, executor.clone(), servers.clone())
         .map_err(StartError::Settings)?;
--- a/src/net/opensearch/protected.rs
+++ b/src/net/opensearch/protected.rs
@@ -1,5 +1,5 @@
-//! Searches that outlive their coordinator: asked of the fleet under their clients' ids, and executed here where the
-//! fleet says so.
+//! Searches that outlive their coordinator: asked of the fleet under their clients' ids, and executed here
+//! where the fleet says so.
 use std::cell::RefCell;
 use std::collections::BTreeMap;
 use std::rc::Rc;
@@ -11,7 +11,7 @@
 
 use super::outcome::{self, SearchText};
 use super::search::{error, Joined, QueryApiServer, Ready};
-use super::servers::Notes;
+use super::servers::SearchProgress;
 use crate::balancer::interface::ShardId;
 use crate::cluster::takeover::{Ask, Key, Part, Record, Reply};
 use crate::coordinator::{AttemptGate, PendingGrant, PriorProgress, TakeoverProtection, Value};
@@ -26,8 +26,8 @@
 const FORGOTTEN: Duration = Duration::from_secs(1);
 
 impl QueryApiServer {
-    /// Ask the fleet for the searches of its protected classes from here on, and execute those that fall to this
-    /// member. The first fleet stays.
+    /// Ask the fleet for the searches of its protected classes from here on, and execute those that fall to
+    /// this member. The first fleet stays.
     pub fn join(self: &Rc<Self>, fleet: Rc<ClusterNode>, executor: &Rc<LocalExecutor<'static>>) {
         let executor = executor.clone();
         if self.joined.set(Joined { fleet: fleet.clone(), executor }).is_ok() {
@@ -89,7 +89,8 @@
             hold.stopped().await;
             None
         };
-        // Dropping what was taken calls off all of it in the same breath: nothing more is sent, nothing answered.
+        // Dropping what was taken calls off all of it in the same breath: nothing more is sent, nothing
+        // answered.
         let answered = async { Some(self.executed(&record, takeover, ends, &hold).await) };
         if let Some(answer) = lost.or(answered).await {
             hold.finish(outcome::encode(&answer).into());
@@ -113,15 +114,15 @@
         (ready.deadline, ready.query.deadline) = (ends, ends);
         let earlier = if takeover { earlier(&record.parts) } else { BTreeMap::new() };
         // What an earlier owner may have sent has begun.
-        ready.notes.borrow_mut().begun = earlier.values().any(|e| e.granted > e.cleared);
-        let gate = Rc::new(Held { hold: hold.clone(), notes: ready.notes.clone() });
+        ready.progress.borrow_mut().started = earlier.values().any(|e| e.granted > e.cleared);
+        let gate = Rc::new(Held { hold: hold.clone(), progress: ready.progress.clone() });
         ready.query.protection = Some(TakeoverProtection { gate, earlier });
-        let Ready { search, notes, parts, begun, deadline, query } = ready;
+        let Ready { search, progress, parts, begun, deadline, query } = ready;
         match self.coordinator.take(query) {
             None => self.refused("too many searches are open"),
             Some(taken) => {
                 let outcome = taken.outcome().await;
-                self.ended(&search, &outcome, &notes.borrow(), &parts, begun, deadline)
+                self.ended(&search, &outcome, &progress.borrow(), &parts, begun, deadline)
             }
         }
     }
@@ -158,7 +159,7 @@
 /// The fleet's hold on a search, as the core asks for it.
 struct Held {
     hold: Hold,
-    notes: Rc<RefCell<Notes>>,
+    progress: Rc<RefCell<SearchProgress>>,
 }
 
 impl AttemptGate for Held {
@@ -181,6 +182,6 @@
 
     /// Told here too: a second step may be in without any call of it.
     fn stepped(&self, from: &Rc<[ShardId]>) {
-        self.notes.borrow_mut().first = Some(from.clone());
+        self.progress.borrow_mut().first_step_shards = Some(from.clone());
     }
 }
--- a/src/net/opensearch/query_api.rs
+++ b/src/net/opensearch/query_api.rs
@@ -55,14 +55,14 @@
                 return Ok(response);
             }
         }
-        let Ready { search, notes, parts, begun, deadline, query } = ready;
+        let Ready { search, progress, parts, begun, deadline, query } = ready;
         let Some(handle) = self.coordinator.take(query) else {
             return Ok(self.refused("too many searches are open"));
         };
         // Dropping the handle, on return, cancels a search that is not finished.
         let outcome = client.unless_disconnected(request.length, handle.outcome()).await?;
-        let notes = notes.borrow();
-        Ok(self.ended(&search, &outcome, &notes, &parts, begun, deadline))
+        let progress = progress.borrow();
+        Ok(self.ended(&search, &outcome, &progress, &parts, begun, deadline))
     }
 
     /// What to do with a request: a search to be taken, or the answer that it gets at once.
--- a/src/net/opensearch/search.rs
+++ b/src/net/opensearch/search.rs
@@ -10,7 +10,7 @@
 
 use super::merge::{self, MissingShards, ShardError, ShardFailure};
 use super::query::{self, InvalidSearch, Search};
-use super::servers::{Notes, RequestContext, Servers};
+use super::servers::{RequestContext, SearchProgress, SearchServers};
 use crate::balancer::interface::*;
 use crate::config::settings::Deployment;
 use crate::coordinator::{Coordinator, Query, QueryOutcome};
@@ -23,7 +23,7 @@
 const END: Duration = Duration::from_millis(60);
 
 pub struct QueryApiServer {
-    pub coordinator: Rc<Coordinator<Servers>>,
+    pub coordinator: Rc<Coordinator<SearchServers>>,
     pub deployment: Rc<Deployment>,
     /// The index of each class, in the order of the classes, where it has one.
     pub indices: Vec<Option<String>>,
@@ -44,7 +44,7 @@
 /// A search that was understood, on its way into the core.
 pub(super) struct Ready {
     pub search: Rc<Search>,
-    pub notes: Rc<RefCell<Notes>>,
+    pub progress: Rc<RefCell<SearchProgress>>,
     pub parts: Vec<ShardId>,
     pub begun: Instant,
     pub deadline: Instant,
@@ -89,10 +89,10 @@
         let wait = Duration::try_from_secs_f64(class_settings.deadline).unwrap_or(Duration::MAX);
         let wait = search.timeout.map_or(wait, |t| t.min(wait));
         let deadline = now.checked_add(wait).unwrap_or(now + Duration::from_secs(3600));
-        let notes = Rc::new(RefCell::default());
+        let progress = Rc::new(RefCell::default());
         let opaque = opaque.to_owned();
         let (ranked, carried) = (class_settings.second_step_parts > 0, search.clone());
-        let carried = RequestContext { search: carried, opaque, ranked, notes: Rc::clone(&notes) };
+        let carried = RequestContext { search: carried, opaque, ranked, progress: Rc::clone(&progress) };
         let share = 1.0 / parts.len() as f64;
         let query = Query {
             class: ClassId(class as u16),
@@ -103,7 +103,7 @@
             context: carried,
             protection: None,
         };
-        Ok(Ready { search, notes, parts, begun: now, deadline, query })
+        Ok(Ready { search, progress, parts, begun: now, deadline, query })
     }
 
     /// The answer to a search, from its one final outcome.
@@ -111,16 +111,16 @@
         &self,
         search: &Search,
         outcome: &QueryOutcome,
-        notes: &Notes,
+        progress: &SearchProgress,
         parts: &[ShardId],
         begun: Instant,
         deadline: Instant,
     ) -> Response {
         match outcome {
             QueryOutcome::Answered { complete, values } => {
-                self.answered(search, values, &missing_shards(parts, values, notes, *complete), begun)
+                self.answered(search, values, &missing_shards(parts, values, progress, *complete), begun)
             }
-            _ => self.unanswered(search, outcome, notes, parts, deadline),
+            _ => self.unanswered(search, outcome, progress, parts, deadline),
         }
     }
 
@@ -145,12 +145,12 @@
         &self,
         search: &Search,
         outcome: &QueryOutcome,
-        notes: &Notes,
+        progress: &SearchProgress,
         parts: &[ShardId],
         deadline: Instant,
     ) -> Response {
         let failures: Vec<_> =
-            parts.iter().filter_map(|s| Some((*s, notes.failures.get(s)?.clone()))).collect();
+            parts.iter().filter_map(|s| Some((*s, progress.failures.get(s)?.clone()))).collect();
         let late = matches!(outcome, QueryOutcome::DeadlineExceeded) || Instant::now() + END >= deadline;
         let retry_after = match outcome {
             QueryOutcome::Rejected { retry_after } => *retry_after,
@@ -163,7 +163,7 @@
             }
             _ if late => error(504, "timeout_exception", "the search ran out of time"),
             Some(_) => shards_failed(search, "all shards failed", &failures, 503),
-            None if notes.begun => error(503, "search_phase_execution_exception", "the search failed"),
+            None if progress.started => error(503, "search_phase_execution_exception", "the search failed"),
             None => return self.refused("the coordinator cannot take the search now"),
         };
         Response { retry_after, ..answer }
@@ -187,9 +187,14 @@
 type Values = [(ShardId, Rc<[u8]>)];
 
 /// The shards that are not in an answer, and why. One that nothing is known of ran out of time.
-fn missing_shards(parts: &[ShardId], values: &Values, notes: &Notes, whole: bool) -> MissingShards {
+fn missing_shards(
+    parts: &[ShardId],
+    values: &Values,
+    progress: &SearchProgress,
+    whole: bool,
+) -> MissingShards {
     // After two steps the values are those of the second; a shard was in if it was in the first.
-    let first = notes.first.as_deref();
+    let first = progress.first_step_shards.as_deref();
     let answered = |s: &ShardId| match first {
         Some(first) => first.contains(s),
         None => values.iter().any(|(shard, _)| shard == s),
@@ -199,7 +204,7 @@
         node: String::new(),
         error: ShardError::new(504, "timeout_exception", "no answer in time"),
     };
-    let failure = |s: &ShardId| (*s, notes.failures.get(s).cloned().unwrap_or_else(late));
+    let failure = |s: &ShardId| (*s, progress.failures.get(s).cloned().unwrap_or_else(late));
     let failures: Vec<_> = out.map(failure).collect();
     let timed_out = failures.iter().any(|(_, f)| f.error.status == 504) || (!whole && failures.is_empty());
     MissingShards { total: parts.len(), failures, timed_out }
--- a/src/net/opensearch/servers.rs
+++ b/src/net/opensearch/servers.rs
@@ -1,5 +1,12 @@
-//! The client side of the search servers: one request a connection at a time; a call given up closes its
-//! connection, which is how the public specification cancels a search.
+//! The client side of the search servers, HTTP/1.1: the transport of the query API's coordinator.
+//!
+//! Owns the connections to the servers, in use and idle, and what is known of each server. It never retries:
+//! what an attempt's outcome means is the coordinator's matter.
+//!
+//! Invariants: a connection carries one request at a time; an attempt that is given up closes its connection,
+//! which is how the public specification cancels a search; nothing is sent without a [`SendPermit`].
+#![warn(missing_docs)]
+
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -11,7 +18,7 @@
 
 use super::merge::{self, ShardError, ShardFailure};
 use super::query::Search;
-use crate::balancer::interface::*;
+use crate::balancer::interface::{Endpoint, LoadReport, Outcome, ReplicaId, ShardId};
 use crate::config::settings::ConnectionSettings;
 use crate::coordinator::{AttemptResult, Call, CancellationToken, Clock, Step, Transport};
 use crate::net::buffer::Buffer;
@@ -23,41 +30,50 @@
 use crate::net::timeout_at;
 use crate::send_policy::{SendConditions, SendPermit};
 
-const PROBE_WAIT: Duration = Duration::from_millis(250);
-/// Idle connections are closed this much before a server would.
-const IDLE_SHARE: f64 = 0.8;
-/// The largest answer of one shard.
-const MOST_ANSWER: usize = 1 << 20;
+/// How long a health check may take.
+const MAX_PROBE_TIME: Duration = Duration::from_millis(250);
+/// Idle connections are used for this fraction of the time after which a server closes them.
+const IDLE_TIME_FRACTION: f64 = 0.8;
+/// The largest response of one shard.
+const MAX_RESPONSE_BYTES: usize = 1 << 20;
 
-/// What became of a search's shards, for the answer to be honest about.
+/// What is known of a search's shards, which its answer has to say.
 #[derive(Default)]
-pub struct Notes {
-    pub begun: bool,
+pub struct SearchProgress {
+    /// Whether a request of it has been sent.
+    pub started: bool,
+    /// The last failure of each shard that has not answered since.
     pub failures: BTreeMap<ShardId, ShardFailure>,
-    /// Shards that were in when the first of two steps was answered.
-    pub first: Option<Rc<[ShardId]>>,
+    /// Shards that had answered when the first of two steps was finished.
+    pub first_step_shards: Option<Rc<[ShardId]>>,
 }
 
+/// What the servers need of a search.
 pub struct RequestContext {
+    /// The search itself.
     pub search: Rc<Search>,
+    /// `X-Opaque-Id` of the client's request.
     pub opaque: String,
     /// Whether the class has two steps: the first only ranks.
     pub ranked: bool,
-    pub notes: Rc<RefCell<Notes>>,
+    /// What its attempts have found so far.
+    pub progress: Rc<RefCell<SearchProgress>>,
 }
 
 /// Connections that carry nothing, and since when.
 type Idle = Vec<(Stream, Instant)>;
 
-pub struct Servers {
+/// The transport of the query API's coordinator.
+pub struct SearchServers {
     book: RefCell<Book>,
     idle: RefCell<BTreeMap<ReplicaId, Idle>>,
-    sockets: ConnectionSettings,
-    room: Cell<usize>,
+    settings: ConnectionSettings,
+    /// How many connections may be opened still.
+    free_descriptors: Cell<usize>,
     log: Logger,
 }
 
-impl Follows for Servers {
+impl Follows for SearchServers {
     fn list(&self, servers: &[Server], zones: &[String], clock: &Clock) -> Vec<Endpoint> {
         let (listed, changes) = self.book.borrow_mut().list(servers, zones, clock);
         for (replica, change) in changes {
@@ -69,40 +85,50 @@
     }
 }
 
-impl Servers {
-    pub fn new(sockets: ConnectionSettings, room: usize, log: Logger) -> Rc<Self> {
-        let (book, idle) = Default::default();
-        Rc::new(Servers { book, idle, sockets, room: Cell::new(room), log })
+impl SearchServers {
+    /// Servers, none of which is known yet. `descriptors`: how many connections may be open at a time.
+    pub fn new(settings: ConnectionSettings, descriptors: usize, log: Logger) -> Rc<Self> {
+        Rc::new(SearchServers {
+            book: RefCell::default(),
+            idle: RefCell::default(),
+            settings,
+            free_descriptors: Cell::new(descriptors),
+            log,
+        })
     }
 
     fn close(&self, replica: ReplicaId) {
         let idle = self.idle.borrow_mut().remove(&replica).unwrap_or_default();
-        self.room.set(self.room.get() + idle.len());
+        self.free_descriptors.set(self.free_descriptors.get() + idle.len());
     }
 
-    /// An idle connection that is still open, else a new one.
-    /// A connection to a server, or why an attempt there has ended: what we lack ourselves is not held against it.
-    async fn connection(self: &Rc<Self>, replica: ReplicaId, address: SocketAddr) -> Result<Place, Outcome> {
-        let oldest = Instant::now().checked_sub(self.sockets.idle_timeout.mul_f64(IDLE_SHARE));
+    /// An idle connection to a server that is still open, else a new one; or the outcome of an attempt there.
+    /// What this machine lacks is not counted against the server.
+    async fn connection(
+        self: &Rc<Self>,
+        replica: ReplicaId,
+        address: SocketAddr,
+    ) -> Result<ConnectionLease, Outcome> {
+        let oldest = Instant::now().checked_sub(self.settings.idle_timeout.mul_f64(IDLE_TIME_FRACTION));
         while let Some((stream, used)) = self.take_idle(replica) {
-            self.room.set(self.room.get() + 1);
+            self.free_descriptors.set(self.free_descriptors.get() + 1);
             if oldest.is_none_or(|oldest| used > oldest) && stream.is_idle() {
-                return Ok(Place::new(self, stream));
+                return Ok(ConnectionLease::new(self, stream));
             }
         }
-        if self.room.get() == 0 {
+        if self.free_descriptors.get() == 0 {
             return Err(Outcome::NeverSent);
         }
-        let latest = Instant::now() + self.sockets.connect_timeout;
+        let latest = Instant::now() + self.settings.connect_timeout;
         // Counted before it is up: many may be coming up at once.
-        let mut place = Place::reserve(self);
+        let mut lease = ConnectionLease::reserve(self);
         let stream = socket::connect(address, latest).await.map_err(|e| match e {
             ConnectError::Local(_) => Outcome::NeverSent,
             ConnectError::Refused(_) | ConnectError::Late => Outcome::ConnectFailed,
         })?;
         stream.set_nodelay();
-        place.stream = Some(stream);
-        Ok(place)
+        lease.stream = Some(stream);
+        Ok(lease)
     }
 
     fn take_idle(&self, replica: ReplicaId) -> Option<(Stream, Instant)> {
@@ -113,11 +139,15 @@
         self.book.borrow().ready(replica)
     }
 
-    /// One request on one connection, from its place to the last byte of its answer.
-    async fn ask(self: &Rc<Self>, call: &Call<Servers>, stop: &CancellationToken) -> AttemptResult {
+    /// One request on one connection, from its lease to the last byte of its answer.
+    async fn send_request(
+        self: &Rc<Self>,
+        call: &Call<SearchServers>,
+        stop: &CancellationToken,
+    ) -> AttemptResult {
         let Some((address, life)) = self.ready(call.replica) else { return Outcome::NeverSent.into() };
-        let mut place = match self.connection(call.replica, address).await {
-            Ok(place) => place,
+        let mut lease = match self.connection(call.replica, address).await {
+            Ok(lease) => lease,
             Err(outcome) => {
                 let error = ShardError::new(503, "connect_exception", "no connection");
                 return self.failed(call, outcome, error);
@@ -138,7 +168,7 @@
             return Outcome::NeverSent.into();
         };
         let request = request(call, address, permit);
-        let Some(stream) = place.stream.as_mut() else { return Outcome::ConnectFailed.into() };
+        let Some(stream) = lease.stream.as_mut() else { return Outcome::ConnectFailed.into() };
         if stream.write_all(&request).await.is_err() {
             return self.failed(
                 call,
@@ -146,13 +176,13 @@
                 ShardError::new(503, "connect_exception", "connection broke"),
             );
         }
-        call.context.notes.borrow_mut().begun = true;
+        call.context.progress.borrow_mut().started = true;
         let mut buffer = Buffer::default();
-        match http::read(stream, &mut buffer, MessageKind::Response, MOST_ANSWER).await {
+        match http::read(stream, &mut buffer, MessageKind::Response, MAX_RESPONSE_BYTES).await {
             Ok(message) => {
                 let ended = self.classify(call, &message, &buffer);
                 if message.keep_alive && buffer.unread().len() == message.length {
-                    self.keep(call.replica, life, place);
+                    self.keep_idle(call.replica, life, lease);
                 }
                 ended
             }
@@ -167,12 +197,12 @@
         }
     }
 
-    fn classify(&self, call: &Call<Servers>, message: &Message, buffer: &Buffer) -> AttemptResult {
+    fn classify(&self, call: &Call<SearchServers>, message: &Message, buffer: &Buffer) -> AttemptResult {
         let body = message.body(buffer);
         if message.status != 200 {
             let error: serde_json::Value = serde_json::from_slice(&body).unwrap_or_default();
             let text = |key: &str| error["error"][key].as_str().unwrap_or("unknown");
-            // Turned away before it began; anything else may have run.
+            // Rejected before it started; anything else may have run.
             let outcome = if message.status == 429 { Outcome::Rejected } else { Outcome::Error };
             return self.failed(call, outcome, ShardError::new(message.status, text("type"), text("reason")));
         }
@@ -181,7 +211,7 @@
         let is_sorted = !search.sort.is_empty() && !ranking;
         match merge::check(&body, is_sorted.then_some(search.sort.len())) {
             Ok(score) => {
-                call.context.notes.borrow_mut().failures.remove(&call.shard);
+                call.context.progress.borrow_mut().failures.remove(&call.shard);
                 // Copied: the value outlives the buffer, until its query is answered.
                 let served = Some((Rc::from(&*body), score));
                 AttemptResult { outcome: Outcome::Succeeded, served, report: None }
@@ -190,54 +220,55 @@
         }
     }
 
-    fn failed(&self, call: &Call<Servers>, outcome: Outcome, error: ShardError) -> AttemptResult {
+    fn failed(&self, call: &Call<SearchServers>, outcome: Outcome, error: ShardError) -> AttemptResult {
         let node = self.book.borrow().get(call.replica).map(|k| k.server.name.clone()).unwrap_or_default();
         debug!(self.log, "shard failed"; "shard" => call.shard.0, "server" => &node, "type" => &error.kind,
             "reason" => &error.reason);
-        call.context.notes.borrow_mut().failures.insert(call.shard, ShardFailure { node, error });
+        call.context.progress.borrow_mut().failures.insert(call.shard, ShardFailure { node, error });
         outcome.into()
     }
 
-    fn keep(&self, replica: ReplicaId, life: u64, mut place: Place) {
+    fn keep_idle(&self, replica: ReplicaId, life: u64, mut lease: ConnectionLease) {
         if self.book.borrow().get(replica).is_some_and(|k| k.life == life) {
-            if let Some(stream) = place.stream.take() {
-                // It goes on holding its room.
-                place.holds.set(false);
+            if let Some(stream) = lease.stream.take() {
+                // An idle connection holds its descriptor on.
+                lease.holds_descriptor = false;
                 self.idle.borrow_mut().entry(replica).or_default().push((stream, Instant::now()));
             }
         }
     }
 }
 
-/// A connection in use, and the descriptor that it takes.
-struct Place {
+/// A connection in use, and the descriptor that it takes until this is dropped.
+struct ConnectionLease {
     stream: Option<Stream>,
-    servers: Rc<Servers>,
-    holds: Cell<bool>,
+    servers: Rc<SearchServers>,
+    /// Whether the descriptor is given back when this is dropped.
+    holds_descriptor: bool,
 }
 
-impl Place {
-    fn reserve(servers: &Rc<Servers>) -> Place {
-        servers.room.set(servers.room.get().saturating_sub(1));
-        Place { stream: None, servers: servers.clone(), holds: Cell::new(true) }
+impl ConnectionLease {
+    fn reserve(servers: &Rc<SearchServers>) -> ConnectionLease {
+        servers.free_descriptors.set(servers.free_descriptors.get().saturating_sub(1));
+        ConnectionLease { stream: None, servers: servers.clone(), holds_descriptor: true }
     }
 
-    fn new(servers: &Rc<Servers>, stream: Stream) -> Place {
-        let mut place = Place::reserve(servers);
-        place.stream = Some(stream);
-        place
+    fn new(servers: &Rc<SearchServers>, stream: Stream) -> ConnectionLease {
+        let mut lease = ConnectionLease::reserve(servers);
+        lease.stream = Some(stream);
+        lease
     }
 }
 
-impl Drop for Place {
+impl Drop for ConnectionLease {
     fn drop(&mut self) {
-        if self.holds.get() {
-            self.servers.room.set(self.servers.room.get() + 1);
+        if self.holds_descriptor {
+            self.servers.free_descriptors.set(self.servers.free_descriptors.get() + 1);
         }
     }
 }
 
-fn request(call: &Call<Servers>, address: SocketAddr, permit: SendPermit) -> Vec<u8> {
+fn request(call: &Call<SearchServers>, address: SocketAddr, permit: SendPermit) -> Vec<u8> {
     let RequestContext { search, opaque, ranked, .. } = &*call.context;
     let left = permit.timeout_ms().max(1);
     let body = if *ranked && call.step == Step::First { &search.ranking } else { &search.body };
@@ -253,30 +284,31 @@
     .into_bytes()
 }
 
-impl Transport for Servers {
+impl Transport for SearchServers {
     type RequestContext = RequestContext;
 
     async fn call(self: Rc<Self>, call: Call<Self>, stop: CancellationToken) -> AttemptResult {
         if let Step::Second { from, .. } = &call.step {
-            call.context.notes.borrow_mut().first = Some(from.clone());
+            call.context.progress.borrow_mut().first_step_shards = Some(from.clone());
         }
         let stopped = async {
             stop.wait().await;
             Outcome::Cancelled.into()
         };
-        let ended = timeout_at(call.deadline, self.ask(&call, &stop).or(stopped)).await;
+        let ended = timeout_at(call.deadline, self.send_request(&call, &stop).or(stopped)).await;
         ended.unwrap_or(Outcome::TimedOut.into())
     }
 
     async fn probe(self: Rc<Self>, replica: ReplicaId) -> (bool, Option<LoadReport>) {
-        let latest = Instant::now() + PROBE_WAIT;
+        let latest = Instant::now() + MAX_PROBE_TIME;
         let probe = async {
             let (address, _) = self.ready(replica)?;
-            let mut place = self.connection(replica, address).await.ok()?;
-            let stream = place.stream.as_mut()?;
+            let mut lease = self.connection(replica, address).await.ok()?;
+            let stream = lease.stream.as_mut()?;
             let request = format!("GET / HTTP/1.1\r\nHost: {address}\r\nConnection: close\r\n\r\n");
             stream.write_all(request.as_bytes()).await.ok()?;
-            let answer = http::read(stream, &mut Buffer::default(), MessageKind::Response, MOST_ANSWER).await;
+            let answer =
+                http::read(stream, &mut Buffer::default(), MessageKind::Response, MAX_RESPONSE_BYTES).await;
             answer.ok().map(|m| m.status)
         };
         (timeout_at(latest, probe).await.flatten() == Some(200), None)
