--- a/src/net/http_server/graceful_shutdown.rs
+++ b/src/net/http_server/graceful_shutdown.rs
@@ -7,7 +7,7 @@
 //!
 //! 1. draining: responses say that their connection closes; new connections are still accepted;
 //! 2. keep-alive stopped, [`ACCEPT_GRACE`] later: no connection is accepted, idle ones are closed;
-//! 3. the rest of a request is waited for no longer ([`READ_GRACE`]);
+//! 3. the rest of a request is waited for no longer (`READ_GRACE`);
 //! 4. queries are answered, finished or not, and the program ends, both before SIGKILL is due.
 //!
 //! Invariant: no stage is left again.
@@ -24,7 +24,7 @@
 /// How long after SIGTERM the rest of a request may come in: by the protocol (planned restart), a request
 /// that comes in later is lost if SIGKILL finds it unanswered.
 const READ_GRACE: Duration = Duration::from_millis(700);
-/// SIGKILL comes no sooner than [`READ_GRACE`] and the longest deadline of all classes after SIGTERM. By the
+/// SIGKILL comes no sooner than `READ_GRACE` and the longest deadline of all classes after SIGTERM. By the
 /// protocol, a deadline counts for no more than this.
 const MAX_COUNTED_DEADLINE: Duration = Duration::from_secs(3);
 /// How long after SIGTERM the protocol lets new connections come.
@@ -32,7 +32,7 @@
 /// What the protocol adds to each limit on time over sockets.
 const SOCKET_SLACK: Duration = Duration::from_millis(50);
 /// How long after SIGTERM connections are accepted, and may be idle: the last one of them has its request in
-/// by then, and a query of the longest deadline that is taken then is finished before [`FINAL_PERIOD`]
+/// by then, and a query of the longest deadline that is taken then is finished before `FINAL_PERIOD`
 /// starts.
 pub const ACCEPT_GRACE: Duration = NEW_CONNECTIONS.saturating_add(SOCKET_SLACK);
 /// The time before SIGKILL in which nothing is waited for: responses are sent, and the program ends. Keeps
--- a/src/net/opensearch/protected.rs
+++ b/src/net/opensearch/protected.rs
@@ -10,7 +10,7 @@
 use slog::warn;
 
 use super::outcome::{self, SearchText};
-use super::search::{error, Joined, QueryApiServer, Ready};
+use super::search::{error, ClusterAccess, PreparedSearch, QueryApiServer};
 use super::servers::SearchProgress;
 use crate::balancer::interface::ShardId;
 use crate::cluster::takeover::{Ask, Key, Part, Record, Reply};
@@ -30,7 +30,7 @@
     /// this member. The first fleet stays.
     pub fn join(self: &Rc<Self>, fleet: Rc<ClusterNode>, executor: &Rc<LocalExecutor<'static>>) {
         let executor = executor.clone();
-        if self.joined.set(Joined { fleet: fleet.clone(), executor }).is_ok() {
+        if self.joined.set(ClusterAccess { fleet: fleet.clone(), executor }).is_ok() {
             fleet.executes(self.clone());
         }
     }
@@ -40,10 +40,10 @@
         &self,
         message: &Message,
         buffer: &Buffer,
-        ready: &Ready,
+        prepared: &PreparedSearch,
     ) -> Option<(Rc<ClusterNode>, Ask)> {
         let fleet = &self.joined.get()?.fleet;
-        let class = ready.query.class.0;
+        let class = prepared.query.class.0;
         if !fleet.protects(class) {
             return None;
         }
@@ -52,22 +52,22 @@
             return None;
         }
         let (target, body) = (message.text(buffer, &message.path), message.body(buffer));
-        let left = ready.deadline.saturating_duration_since(Instant::now()).as_millis();
+        let left = prepared.deadline.saturating_duration_since(Instant::now()).as_millis();
         let ends = fleet.unix_ms().saturating_add(u64::try_from(left).unwrap_or(u64::MAX));
         let text = SearchText { target: &SearchText::untimed(target), body: &body }.encode().into();
-        let parts = ready.parts.iter().map(|s| s.0).collect();
+        let parts = prepared.parts.iter().map(|s| s.0).collect();
         Some((fleet.clone(), Ask { id: id.into(), class, text, ends, parts }))
     }
 
     /// The fleet's answer to a search. `None`: it is to be run here, without protection.
-    pub(super) async fn asked(&self, fleet: &ClusterNode, ask: Ask, deadline: Instant) -> Option<Response> {
+    pub(super) async fn submit(&self, fleet: &ClusterNode, ask: Ask, deadline: Instant) -> Option<Response> {
         let latest = deadline.checked_add(FORGOTTEN).unwrap_or(deadline);
         let reply = timeout_at(latest, fleet.ask(ask)).await.unwrap_or(Reply::Late);
         Some(match reply {
             Reply::Outcome(bytes) => match outcome::decode(&bytes) {
                 Ok(answer) => answer,
                 Err(e) => {
-                    self.spoilt("spoilt outcome of a protected search", &e);
+                    self.log_corrupt("corrupt outcome of a protected search", &e);
                     error(500, "outcome_exception", "the outcome cannot be read")
                 }
             },
@@ -101,33 +101,34 @@
         let text = match SearchText::decode(&record.text) {
             Ok(text) => text,
             Err(e) => {
-                self.spoilt("spoilt text of a protected search", &e);
+                self.log_corrupt("corrupt text of a protected search", &e);
                 return error(500, "text_exception", "the text of the search cannot be read");
             }
         };
-        let mut ready = match self.understand(text.target, text.body, &record.id, Instant::now()) {
-            Ok(ready) => ready,
+        let mut prepared = match self.prepare(text.target, text.body, &record.id, Instant::now()) {
+            Ok(prepared) => prepared,
             Err(answer) => return answer,
         };
         // The client's end is the record's; by that, when it asked first.
-        ready.begun = ends.checked_sub(ready.deadline - ready.begun).unwrap_or(ready.begun);
-        (ready.deadline, ready.query.deadline) = (ends, ends);
+        prepared.begun = ends.checked_sub(prepared.deadline - prepared.begun).unwrap_or(prepared.begun);
+        prepared.deadline = ends;
+        prepared.query.deadline = ends;
         let earlier = if takeover { earlier(&record.parts) } else { BTreeMap::new() };
         // What an earlier owner may have sent has begun.
-        ready.progress.borrow_mut().started = earlier.values().any(|e| e.granted > e.cleared);
-        let gate = Rc::new(Held { hold: hold.clone(), progress: ready.progress.clone() });
-        ready.query.protection = Some(TakeoverProtection { gate, earlier });
-        let Ready { search, progress, parts, begun, deadline, query } = ready;
+        prepared.progress.borrow_mut().started = earlier.values().any(|e| e.granted > e.cleared);
+        let gate = Rc::new(ClusterGate { hold: hold.clone(), progress: prepared.progress.clone() });
+        prepared.query.protection = Some(TakeoverProtection { gate, earlier });
+        let PreparedSearch { search, progress, parts, begun, deadline, query } = prepared;
         match self.coordinator.take(query) {
-            None => self.refused("too many searches are open"),
+            None => self.rejected("too many searches are open"),
             Some(taken) => {
                 let outcome = taken.outcome().await;
-                self.ended(&search, &outcome, &progress.borrow(), &parts, begun, deadline)
+                self.response(&search, &outcome, &progress.borrow(), &parts, begun, deadline)
             }
         }
     }
 
-    fn spoilt(&self, what: &'static str, error: &outcome::CorruptRecord) {
+    fn log_corrupt(&self, what: &'static str, error: &outcome::CorruptRecord) {
         if let Some(suppressed) = self.log_limiter.permit() {
             warn!(self.log, "{}", what; "error" => %error, "suppressed" => suppressed);
         }
@@ -136,7 +137,7 @@
 
 impl Execute for QueryApiServer {
     fn start(self: Rc<Self>, _: Key, record: Rc<Record>, takeover: bool, hold: Hold) {
-        let Some(Joined { fleet, executor }) = self.joined.get() else { return };
+        let Some(ClusterAccess { fleet, executor }) = self.joined.get() else { return };
         let left = Duration::from_millis(record.ends.saturating_sub(fleet.unix_ms()));
         let now = Instant::now();
         let ends = now.checked_add(left).unwrap_or(now);
@@ -157,12 +158,12 @@
 }
 
 /// The fleet's hold on a search, as the core asks for it.
-struct Held {
+struct ClusterGate {
     hold: Hold,
     progress: Rc<RefCell<SearchProgress>>,
 }
 
-impl AttemptGate for Held {
+impl AttemptGate for ClusterGate {
     fn may_send(&self, step: u8, shard: ShardId, attempt: u8) -> PendingGrant {
         let hold = self.hold.clone();
         Box::pin(async move { hold.may_send(step, shard.0, attempt).await })
--- a/src/net/opensearch/query_api.rs
+++ b/src/net/opensearch/query_api.rs
@@ -9,15 +9,15 @@
 use std::time::Instant;
 
 pub use super::search::QueryApiServer;
-use super::search::{error, path, segments, Ready};
+use super::search::{error, path, segments, PreparedSearch};
 use crate::net::buffer::Buffer;
 use crate::net::http::{HttpError, Message, Response};
 use crate::net::http_server::{readiness_response, serve_requests, ClientConnection, RequestHandler};
 
 impl RequestHandler for QueryApiServer {
     async fn handle(&self, client: &mut ClientConnection, request: &Message) -> Result<Response, HttpError> {
-        match self.ready(request, client.buffer(), client.request_arrived_at()) {
-            Ok(ready) => self.search(client, request, ready).await,
+        match self.prepare_request(request, client.buffer(), client.request_arrived_at()) {
+            Ok(prepared) => self.search(client, request, prepared).await,
             Err(response) => Ok(response),
         }
     }
@@ -45,35 +45,40 @@
         &self,
         client: &mut ClientConnection,
         request: &Message,
-        ready: Ready,
+        prepared: PreparedSearch,
     ) -> Result<Response, HttpError> {
-        if let Some((cluster, ask)) = self.protected(request, client.buffer(), &ready) {
+        if let Some((cluster, ask)) = self.protected(request, client.buffer(), &prepared) {
             // Where the client disconnects, the cluster goes on with it: its outcome is kept for the next one
             // that asks.
-            let asked = self.asked(&cluster, ask, ready.deadline);
+            let asked = self.submit(&cluster, ask, prepared.deadline);
             if let Some(response) = client.unless_disconnected(request.length, asked).await? {
                 return Ok(response);
             }
         }
-        let Ready { search, progress, parts, begun, deadline, query } = ready;
+        let PreparedSearch { search, progress, parts, begun, deadline, query } = prepared;
         let Some(handle) = self.coordinator.take(query) else {
-            return Ok(self.refused("too many searches are open"));
+            return Ok(self.rejected("too many searches are open"));
         };
         // Dropping the handle, on return, cancels a search that is not finished.
         let outcome = client.unless_disconnected(request.length, handle.outcome()).await?;
         let progress = progress.borrow();
-        Ok(self.ended(&search, &outcome, &progress, &parts, begun, deadline))
+        Ok(self.response(&search, &outcome, &progress, &parts, begun, deadline))
     }
 
     /// What to do with a request: a search to be taken, or the answer that it gets at once.
-    fn ready(&self, message: &Message, buffer: &Buffer, now: Instant) -> Result<Ready, Response> {
+    fn prepare_request(
+        &self,
+        message: &Message,
+        buffer: &Buffer,
+        now: Instant,
+    ) -> Result<PreparedSearch, Response> {
         let (method, target) = (message.text(buffer, &message.method), message.text(buffer, &message.path));
         let path = path(target);
         match (method, &segments(&path)[..]) {
             ("GET", ["_health"]) => Err(readiness_response(self.coordinator.ready(), &self.shutdown)),
             ("GET" | "POST", [_, "_search"]) => {
                 let opaque = message.header(buffer, "X-Opaque-Id").unwrap_or("-");
-                self.understand(target, &message.body(buffer), opaque, now)
+                self.prepare(target, &message.body(buffer), opaque, now)
             }
             (_, [_, "_search"]) => {
                 let answer = error(
--- a/src/net/opensearch/search.rs
+++ b/src/net/opensearch/search.rs
@@ -11,7 +11,7 @@
 use super::merge::{self, MissingShards, ShardError, ShardFailure};
 use super::query::{self, InvalidSearch, Search};
 use super::servers::{RequestContext, SearchProgress, SearchServers};
-use crate::balancer::interface::*;
+use crate::balancer::interface::{ClassId, ShardId, TenantId};
 use crate::config::settings::Deployment;
 use crate::coordinator::{Coordinator, Query, QueryOutcome};
 use crate::net::cluster::ClusterNode;
@@ -19,8 +19,8 @@
 use crate::net::http_server::GracefulShutdown;
 use crate::net::LogRateLimiter;
 
-/// An answer that comes this close before the end of its time was cut off by it.
-const END: Duration = Duration::from_millis(60);
+/// An answer that comes this close before the deadline was cut off by it.
+const DEADLINE_MARGIN: Duration = Duration::from_millis(60);
 
 pub struct QueryApiServer {
     pub coordinator: Rc<Coordinator<SearchServers>>,
@@ -32,17 +32,17 @@
     pub log: Logger,
     pub log_limiter: LogRateLimiter,
     /// The fleet that it belongs to, if any.
-    pub(super) joined: OnceCell<Joined>,
+    pub(super) joined: OnceCell<ClusterAccess>,
 }
 
 /// What a front needs of the fleet.
-pub(super) struct Joined {
+pub(super) struct ClusterAccess {
     pub fleet: Rc<ClusterNode>,
     pub executor: Rc<LocalExecutor<'static>>,
 }
 
 /// A search that was understood, on its way into the core.
-pub(super) struct Ready {
+pub(super) struct PreparedSearch {
     pub search: Rc<Search>,
     pub progress: Rc<RefCell<SearchProgress>>,
     pub parts: Vec<ShardId>,
@@ -53,37 +53,37 @@
 
 impl QueryApiServer {
     /// A search by its text: the same, whether its client sent it here or to another member of the fleet.
-    pub(super) fn understand(
+    pub(super) fn prepare(
         &self,
         target: &str,
         body: &[u8],
         opaque: &str,
         now: Instant,
-    ) -> Result<Ready, Response> {
+    ) -> Result<PreparedSearch, Response> {
         let path = path(target);
         let index = segments(&path).first().copied().unwrap_or_default();
         let parameters = target.split_once('?').map_or("", |(_, parameters)| parameters);
-        let refuse = |bad: InvalidSearch| {
+        let reject = |bad: InvalidSearch| {
             if let Some(suppressed) = self.log_limiter.permit() {
-                warn!(self.log, "unusable search"; "error" => %bad, "suppressed" => suppressed);
+                warn!(self.log, "invalid search"; "error" => %bad, "suppressed" => suppressed);
             }
             error(400, bad.kind, &bad.reason)
         };
         if index.contains([',', '*']) {
             let reason = format!("several indices in one search are not supported: [{index}]");
-            return Err(refuse(InvalidSearch { kind: "illegal_argument_exception", reason }));
+            return Err(reject(InvalidSearch { kind: "illegal_argument_exception", reason }));
         }
         let Some(class) = self.indices.iter().position(|i| i.as_deref() == Some(index)) else {
             return Err(error(404, "index_not_found_exception", &format!("no such index [{index}]")));
         };
-        let search = Rc::new(query::parse(index, parameters, body).map_err(refuse)?);
+        let search = Rc::new(query::parse(index, parameters, body).map_err(reject)?);
         let parts: Vec<ShardId> = match &search.shards {
             None => (0..self.shards).map(ShardId).collect(),
             Some(named) => named.iter().copied().map(ShardId).collect(),
         };
         if let Some(none) = parts.iter().find(|s| s.0 >= self.shards) {
             let reason = format!("[{index}] has no shard [{}]", none.0);
-            return Err(refuse(InvalidSearch { kind: "illegal_argument_exception", reason }));
+            return Err(reject(InvalidSearch { kind: "illegal_argument_exception", reason }));
         }
         let class_settings = &self.deployment.settings.classes[class];
         let wait = Duration::try_from_secs_f64(class_settings.deadline).unwrap_or(Duration::MAX);
@@ -103,11 +103,11 @@
             context: carried,
             protection: None,
         };
-        Ok(Ready { search, progress, parts, begun: now, deadline, query })
+        Ok(PreparedSearch { search, progress, parts, begun: now, deadline, query })
     }
 
     /// The answer to a search, from its one final outcome.
-    pub(super) fn ended(
+    pub(super) fn response(
         &self,
         search: &Search,
         outcome: &QueryOutcome,
@@ -151,7 +151,8 @@
     ) -> Response {
         let failures: Vec<_> =
             parts.iter().filter_map(|s| Some((*s, progress.failures.get(s)?.clone()))).collect();
-        let late = matches!(outcome, QueryOutcome::DeadlineExceeded) || Instant::now() + END >= deadline;
+        let late =
+            matches!(outcome, QueryOutcome::DeadlineExceeded) || Instant::now() + DEADLINE_MARGIN >= deadline;
         let retry_after = match outcome {
             QueryOutcome::Rejected { retry_after } => *retry_after,
             _ => None,
@@ -164,12 +165,12 @@
             _ if late => error(504, "timeout_exception", "the search ran out of time"),
             Some(_) => shards_failed(search, "all shards failed", &failures, 503),
             None if progress.started => error(503, "search_phase_execution_exception", "the search failed"),
-            None => return self.refused("the coordinator cannot take the search now"),
+            None => return self.rejected("the coordinator cannot take the search now"),
         };
         Response { retry_after, ..answer }
     }
 
-    pub(super) fn refused(&self, reason: &str) -> Response {
+    pub(super) fn rejected(&self, reason: &str) -> Response {
         let retry_after = self.deployment.settings.retry_after;
         Response { retry_after, ..error(429, "rejected_execution_exception", reason) }
     }
