--- a/src/net/opensearch/search.rs
+++ b/src/net/opensearch/search.rs
@@ -8,10 +8,10 @@
 use serde_json::{json, Value};
 use slog::{warn, Logger};
 
-use super::merge::{self, Failure, MissingShards};
+use super::merge::{self, MissingShards, ShardError, ShardFailure};
 use super::query::{self, InvalidSearch, Search};
-use super::servers::{Notes, RequestContext, Servers};
-use crate::balancer::interface::*;
+use super::servers::{RequestContext, SearchProgress, SearchServers};
+use crate::balancer::interface::{ClassId, ShardId, TenantId};
 use crate::config::settings::Deployment;
 use crate::coordinator::{Coordinator, Query, QueryOutcome};
 use crate::net::cluster::ClusterNode;
@@ -19,11 +19,11 @@
 use crate::net::http_server::GracefulShutdown;
 use crate::net::LogRateLimiter;
 
-/// An answer that comes this close before the end of its time was cut off by it.
-const END: Duration = Duration::from_millis(60);
+/// An answer that comes this close before the deadline was cut off by it.
+const DEADLINE_MARGIN: Duration = Duration::from_millis(60);
 
 pub struct QueryApiServer {
-    pub coordinator: Rc<Coordinator<Servers>>,
+    pub coordinator: Rc<Coordinator<SearchServers>>,
     pub deployment: Rc<Deployment>,
     /// The index of each class, in the order of the classes, where it has one.
     pub indices: Vec<Option<String>>,
@@ -32,19 +32,19 @@
     pub log: Logger,
     pub log_limiter: LogRateLimiter,
     /// The fleet that it belongs to, if any.
-    pub(super) joined: OnceCell<Joined>,
+    pub(super) joined: OnceCell<ClusterAccess>,
 }
 
 /// What a front needs of the fleet.
-pub(super) struct Joined {
+pub(super) struct ClusterAccess {
     pub fleet: Rc<ClusterNode>,
     pub executor: Rc<LocalExecutor<'static>>,
 }
 
 /// A search that was understood, on its way into the core.
-pub(super) struct Ready {
+pub(super) struct PreparedSearch {
     pub search: Rc<Search>,
-    pub notes: Rc<RefCell<Notes>>,
+    pub progress: Rc<RefCell<SearchProgress>>,
     pub parts: Vec<ShardId>,
     pub begun: Instant,
     pub deadline: Instant,
@@ -53,46 +53,46 @@
 
 impl QueryApiServer {
     /// A search by its text: the same, whether its client sent it here or to another member of the fleet.
-    pub(super) fn understand(
+    pub(super) fn prepare(
         &self,
         target: &str,
         body: &[u8],
         opaque: &str,
         now: Instant,
-    ) -> Result<Ready, Response> {
+    ) -> Result<PreparedSearch, Response> {
         let path = path(target);
         let index = segments(&path).first().copied().unwrap_or_default();
         let parameters = target.split_once('?').map_or("", |(_, parameters)| parameters);
-        let refuse = |bad: InvalidSearch| {
+        let reject = |bad: InvalidSearch| {
             if let Some(suppressed) = self.log_limiter.permit() {
-                warn!(self.log, "unusable search"; "error" => %bad, "suppressed" => suppressed);
+                warn!(self.log, "invalid search"; "error" => %bad, "suppressed" => suppressed);
             }
             error(400, bad.kind, &bad.reason)
         };
         if index.contains([',', '*']) {
             let reason = format!("several indices in one search are not supported: [{index}]");
-            return Err(refuse(InvalidSearch { kind: "illegal_argument_exception", reason }));
+            return Err(reject(InvalidSearch { kind: "illegal_argument_exception", reason }));
         }
         let Some(class) = self.indices.iter().position(|i| i.as_deref() == Some(index)) else {
             return Err(error(404, "index_not_found_exception", &format!("no such index [{index}]")));
         };
-        let search = Rc::new(query::parse(index, parameters, body).map_err(refuse)?);
+        let search = Rc::new(query::parse(index, parameters, body).map_err(reject)?);
         let parts: Vec<ShardId> = match &search.shards {
             None => (0..self.shards).map(ShardId).collect(),
             Some(named) => named.iter().copied().map(ShardId).collect(),
         };
         if let Some(none) = parts.iter().find(|s| s.0 >= self.shards) {
             let reason = format!("[{index}] has no shard [{}]", none.0);
-            return Err(refuse(InvalidSearch { kind: "illegal_argument_exception", reason }));
+            return Err(reject(InvalidSearch { kind: "illegal_argument_exception", reason }));
         }
         let class_settings = &self.deployment.settings.classes[class];
         let wait = Duration::try_from_secs_f64(class_settings.deadline).unwrap_or(Duration::MAX);
         let wait = search.timeout.map_or(wait, |t| t.min(wait));
         let deadline = now.checked_add(wait).unwrap_or(now + Duration::from_secs(3600));
-        let notes = Rc::new(RefCell::default());
+        let progress = Rc::new(RefCell::default());
         let opaque = opaque.to_owned();
         let (ranked, carried) = (class_settings.second_step_parts > 0, search.clone());
-        let carried = RequestContext { search: carried, opaque, ranked, notes: Rc::clone(&notes) };
+        let carried = RequestContext { search: carried, opaque, ranked, progress: Rc::clone(&progress) };
         let share = 1.0 / parts.len() as f64;
         let query = Query {
             class: ClassId(class as u16),
@@ -103,24 +103,24 @@
             context: carried,
             protection: None,
         };
-        Ok(Ready { search, notes, parts, begun: now, deadline, query })
+        Ok(PreparedSearch { search, progress, parts, begun: now, deadline, query })
     }
 
     /// The answer to a search, from its one final outcome.
-    pub(super) fn ended(
+    pub(super) fn response(
         &self,
         search: &Search,
         outcome: &QueryOutcome,
-        notes: &Notes,
+        progress: &SearchProgress,
         parts: &[ShardId],
         begun: Instant,
         deadline: Instant,
     ) -> Response {
         match outcome {
             QueryOutcome::Answered { complete, values } => {
-                self.answered(search, values, &missing_shards(parts, values, notes, *complete), begun)
+                self.answered(search, values, &missing_shards(parts, values, progress, *complete), begun)
             }
-            _ => self.unanswered(search, outcome, notes, parts, deadline),
+            _ => self.unanswered(search, outcome, progress, parts, deadline),
         }
     }
 
@@ -145,31 +145,32 @@
         &self,
         search: &Search,
         outcome: &QueryOutcome,
-        notes: &Notes,
+        progress: &SearchProgress,
         parts: &[ShardId],
         deadline: Instant,
     ) -> Response {
         let failures: Vec<_> =
-            parts.iter().filter_map(|s| Some((*s, notes.failures.get(s)?.clone()))).collect();
-        let late = matches!(outcome, QueryOutcome::DeadlineExceeded) || Instant::now() + END >= deadline;
+            parts.iter().filter_map(|s| Some((*s, progress.failures.get(s)?.clone()))).collect();
+        let late =
+            matches!(outcome, QueryOutcome::DeadlineExceeded) || Instant::now() + DEADLINE_MARGIN >= deadline;
         let retry_after = match outcome {
             QueryOutcome::Rejected { retry_after } => *retry_after,
             _ => None,
         };
         let answer = match failures.first() {
             // The servers find fault with the search itself: so it is.
-            Some((_, f)) if f.status == 400 && failures.iter().all(|(_, f)| f.status == 400) => {
-                return error(400, &f.kind, &f.reason)
+            Some((_, f)) if f.error.status == 400 && failures.iter().all(|(_, f)| f.error.status == 400) => {
+                return error(400, &f.error.kind, &f.error.reason)
             }
             _ if late => error(504, "timeout_exception", "the search ran out of time"),
             Some(_) => shards_failed(search, "all shards failed", &failures, 503),
-            None if notes.begun => error(503, "search_phase_execution_exception", "the search failed"),
-            None => return self.refused("the coordinator cannot take the search now"),
+            None if progress.started => error(503, "search_phase_execution_exception", "the search failed"),
+            None => return self.rejected("the coordinator cannot take the search now"),
         };
         Response { retry_after, ..answer }
     }
 
-    pub(super) fn refused(&self, reason: &str) -> Response {
+    pub(super) fn rejected(&self, reason: &str) -> Response {
         let retry_after = self.deployment.settings.retry_after;
         Response { retry_after, ..error(429, "rejected_execution_exception", reason) }
     }
@@ -187,23 +188,26 @@
 type Values = [(ShardId, Rc<[u8]>)];
 
 /// The shards that are not in an answer, and why. One that nothing is known of ran out of time.
-fn missing_shards(parts: &[ShardId], values: &Values, notes: &Notes, whole: bool) -> MissingShards {
+fn missing_shards(
+    parts: &[ShardId],
+    values: &Values,
+    progress: &SearchProgress,
+    whole: bool,
+) -> MissingShards {
     // After two steps the values are those of the second; a shard was in if it was in the first.
-    let first = notes.first.as_deref();
+    let first = progress.first_step_shards.as_deref();
     let answered = |s: &ShardId| match first {
         Some(first) => first.contains(s),
         None => values.iter().any(|(shard, _)| shard == s),
     };
     let out = parts.iter().filter(|s| !answered(s));
-    let late = || Failure {
+    let late = || ShardFailure {
         node: String::new(),
-        status: 504,
-        kind: "timeout_exception".to_owned(),
-        reason: "no answer in time".to_owned(),
+        error: ShardError::new(504, "timeout_exception", "no answer in time"),
     };
-    let failure = |s: &ShardId| (*s, notes.failures.get(s).cloned().unwrap_or_else(late));
+    let failure = |s: &ShardId| (*s, progress.failures.get(s).cloned().unwrap_or_else(late));
     let failures: Vec<_> = out.map(failure).collect();
-    let timed_out = failures.iter().any(|(_, f)| f.status == 504) || (!whole && failures.is_empty());
+    let timed_out = failures.iter().any(|(_, f)| f.error.status == 504) || (!whole && failures.is_empty());
     MissingShards { total: parts.len(), failures, timed_out }
 }
 
@@ -213,7 +217,12 @@
     Response::new(status, body.to_string())
 }
 
-fn shards_failed(search: &Search, reason: &str, failures: &[(ShardId, Failure)], status: u16) -> Response {
+fn shards_failed(
+    search: &Search,
+    reason: &str,
+    failures: &[(ShardId, ShardFailure)],
+    status: u16,
+) -> Response {
     let failed: Vec<Value> = failures.iter().map(|(s, f)| f.json(&search.index, *s)).collect();
     let causes: Vec<&Value> = failed.iter().map(|f| &f["reason"]).collect();
     let body = json!({"error": {"root_cause": causes, "type": "search_phase_execution_exception",
