--- a/src/cli/show.rs
+++ b/src/cli/show.rs
@@ -5,7 +5,7 @@
 use crate::balancer::interface::{EndpointState, Idempotency, ShardId};
 use crate::config::operator::{Grpc, OperatorConfig, OperatorConfigError, Source};
 use crate::config::settings::Deployment;
-use crate::grpc_routing::{As, Route, ShardFrom};
+use crate::grpc_routing::{KeyMapping, Route, ShardSource};
 use crate::net::dns_sd::watcher;
 use crate::net::dns_sd::zone_file::Server;
 
@@ -27,7 +27,7 @@
     }
     if let Some(grpc) = &operator.grpc {
         let servers = servers(path, "grpc.records", &grpc.source)?;
-        let routes = grpc.routes.all().count();
+        let routes = grpc.routes.iter().count();
         let _ = writeln!(out, "gRPC on {}: {routes} routes, {} servers", grpc.listen, servers.len());
         for shard in (0..grpc.deployment.shard_count.unwrap_or(0)).map(ShardId) {
             if holders(&grpc.deployment, &servers, shard).is_empty() {
@@ -56,13 +56,13 @@
         Idempotency::Keyed { window } => format!("repeats are dropped for {window} s"),
         Idempotency::NonIdempotent => "not to be repeated".to_owned(),
     };
-    let way = |how: &As| if *how == As::Hash { "hash of " } else { "" };
+    let way = |how: &KeyMapping| if *how == KeyMapping::Hash { "hash of " } else { "" };
     let shard = match &route.shard {
-        ShardFrom::Any => "any".to_owned(),
-        ShardFrom::Metadata { key, how } => format!("{}metadata '{key}'", way(how)),
-        ShardFrom::Field { path, how } => {
+        ShardSource::Any => "any".to_owned(),
+        ShardSource::Metadata { key, mapping } => format!("{}metadata '{key}'", way(mapping)),
+        ShardSource::Field { path, mapping } => {
             let path: Vec<String> = path.iter().map(u32::to_string).collect();
-            format!("{}field {} of the first message", way(how), path.join("."))
+            format!("{}field {} of the first message", way(mapping), path.join("."))
         }
     };
     format!(
@@ -93,7 +93,7 @@
     let Grpc { routes, deployment, source, .. } =
         operator.grpc.ok_or_else(|| error("grpc", "the file describes no gRPC front".into()))?;
     let Some(call) = call else {
-        return Ok(routes.all().map(|r| line(&deployment, r) + "\n").collect());
+        return Ok(routes.iter().map(|r| line(&deployment, r) + "\n").collect());
     };
     let route = routes
         .find(call)
@@ -101,7 +101,7 @@
     let mut out = line(&deployment, route) + "\n";
     let first =
         message.map(|m| std::fs::read(m).map_err(|e| error("--message", e.to_string()))).transpose()?;
-    if route.shard == ShardFrom::Any {
+    if route.shard == ShardSource::Any {
         let _ = writeln!(out, "any shard, by chance for each call");
         return Ok(out);
     }
--- a/src/config/operator/mod.rs
+++ b/src/config/operator/mod.rs
@@ -15,7 +15,7 @@
 pub use self::locate::{locate, shown, Seg};
 use crate::config::settings::{self, Deployment};
 use crate::connection_pool;
-use crate::grpc_routing::{self, Routes};
+use crate::grpc_routing::{self, RouteTable};
 
 /// What is wrong with the file, and where: lines and columns count from 1.
 #[derive(Debug, Clone, PartialEq, Eq)]
@@ -69,7 +69,7 @@
     listen: SocketAddr,
     records: PathBuf,
     service: String,
-    routes: Vec<grpc_routing::Row>,
+    routes: Vec<grpc_routing::RouteRow>,
     #[serde(default)]
     front: FrontLimits,
     #[serde(default)]
@@ -152,9 +152,9 @@
 pub struct Grpc {
     pub listen: SocketAddr,
     pub source: Source,
-    pub routes: Routes,
+    pub routes: RouteTable,
     /// The rows that those were compiled from.
-    pub rows: Vec<grpc_routing::Row>,
+    pub rows: Vec<grpc_routing::RouteRow>,
     pub front: FrontLimits,
     pub pool: connection_pool::PoolLimits,
     /// The settings with a class more for each effect that a route gives one of them.
@@ -229,14 +229,14 @@
         let grpc = file.grpc.map(|g| {
             let key = |keys: &[&str]| keys.iter().map(|k| Seg::Key((*k).into())).collect::<Vec<_>>();
             let mut told = told.clone();
-            let routes = Routes::compile(&g.routes, &mut told, shards, g.front.message).map_err(|e| {
+            let routes = RouteTable::compile(&g.routes, &mut told, shards, g.front.message).map_err(|e| {
                 let mut here = key(&["grpc", "routes"]);
                 here.push(Seg::Index(e.row));
                 here.extend(e.key.map(|k| Seg::Key(k.into())));
                 at(&here, e.what)
             })?;
             g.front.check().map_err(|(k, what)| at(&key(&["grpc", "front", k]), what))?;
-            g.pool.check().map_err(|(k, what)| at(&key(&["grpc", "pool", k]), what))?;
+            g.pool.validate().map_err(|(k, what)| at(&key(&["grpc", "pool", k]), what))?;
             let (listen, source) = (g.listen, source(&g.records, &g.service));
             let (rows, front, pool) = (g.routes, g.front, g.pool);
             Ok(Grpc { listen, source, routes, rows, front, pool, deployment: Rc::new(told) })
--- a/src/connection_pool/mod.rs
+++ b/src/connection_pool/mod.rs
@@ -3,7 +3,7 @@
 //!
 //! A connection is `Coming`, then `Up`, then gone. An `Up` one that drains takes no new call and ends with its last.
 //!
-//! Kept at all times, and asserted by [`Pool::check`]: no connection holds more calls than its server allows or than
+//! Kept at all times, and asserted by [`ConnectionPool::check_invariants`]: no connection holds more calls than its server allows or than
 //! the file does; a server has no more connections than the file allows, draining ones aside; no call is given to a
 //! connection that drains or is gone, nor to a server that is not ready.
 use std::collections::BTreeMap;
@@ -18,69 +18,80 @@
 #[serde(deny_unknown_fields, default)]
 pub struct PoolLimits {
     /// Connections that take calls, those coming up included.
-    pub connections: usize,
+    #[serde(rename = "connections")]
+    pub max_connections: usize,
     /// Calls on one connection at most, whatever its server allows.
-    pub streams: usize,
+    #[serde(rename = "streams")]
+    pub max_streams: usize,
     /// Calls that may wait for a place.
-    pub waiting: usize,
+    #[serde(rename = "waiting")]
+    pub max_waiting: usize,
     /// A connection without a call is closed after this.
-    pub idle_s: f64,
+    #[serde(rename = "idle_s")]
+    pub idle_timeout_s: f64,
     /// A connection that owes something and has been silent for this long is asked by a PING (RFC 9113 6.7), and
     /// given up if it stays silent for `ping_timeout_s` more.
-    pub ping_s: f64,
+    #[serde(rename = "ping_s")]
+    pub ping_interval_s: f64,
     pub ping_timeout_s: f64,
     /// A connection drains at this age.
-    pub age_s: f64,
+    #[serde(rename = "age_s")]
+    pub max_age_s: f64,
     /// Calls under way on a connection that drains have this long to end.
-    pub drain_s: f64,
+    #[serde(rename = "drain_s")]
+    pub drain_timeout_s: f64,
     /// Rest after a failed connect; it doubles with each further one up to the most, and is spread over its second
     /// half by chance.
-    pub backoff_s: f64,
-    pub backoff_most_s: f64,
+    #[serde(rename = "backoff_s")]
+    pub initial_backoff_s: f64,
+    #[serde(rename = "backoff_most_s")]
+    pub max_backoff_s: f64,
 }
 
 impl Default for PoolLimits {
     fn default() -> Self {
         PoolLimits {
-            connections: 4,
-            streams: 100,
-            waiting: 256,
-            idle_s: 60.0,
-            ping_s: 0.5,
+            max_connections: 4,
+            max_streams: 100,
+            max_waiting: 256,
+            idle_timeout_s: 60.0,
+            ping_interval_s: 0.5,
             ping_timeout_s: 0.5,
-            age_s: 1800.0,
-            drain_s: 30.0,
-            backoff_s: 0.1,
-            backoff_most_s: 5.0,
+            max_age_s: 1800.0,
+            drain_timeout_s: 30.0,
+            initial_backoff_s: 0.1,
+            max_backoff_s: 5.0,
         }
     }
 }
 
 impl PoolLimits {
     /// The key at fault and what is wrong with it.
-    pub fn check(&self) -> Result<(), (&'static str, String)> {
+    pub fn validate(&self) -> Result<(), (&'static str, String)> {
         let spans = [
-            ("idle_s", self.idle_s),
-            ("ping_s", self.ping_s),
+            ("idle_s", self.idle_timeout_s),
+            ("ping_s", self.ping_interval_s),
             ("ping_timeout_s", self.ping_timeout_s),
-            ("age_s", self.age_s),
-            ("drain_s", self.drain_s),
-            ("backoff_s", self.backoff_s),
-            ("backoff_most_s", self.backoff_most_s),
+            ("age_s", self.max_age_s),
+            ("drain_s", self.drain_timeout_s),
+            ("backoff_s", self.initial_backoff_s),
+            ("backoff_most_s", self.max_backoff_s),
         ];
         for (key, span) in spans {
             if !(span > 0.0 && span <= 86_400.0) {
                 return Err((key, "must be over 0 and at most 86400".into()));
             }
         }
-        for (key, n) in
-            [("connections", self.connections), ("streams", self.streams), ("waiting", self.waiting)]
-        {
+        for (key, n) in [
+            ("connections", self.max_connections),
+            ("streams", self.max_streams),
+            ("waiting", self.max_waiting),
+        ] {
             if n == 0 {
                 return Err((key, "must be at least 1".into()));
             }
         }
-        match self.backoff_most_s < self.backoff_s {
+        match self.max_backoff_s < self.initial_backoff_s {
             true => Err(("backoff_most_s", "must be at least backoff_s".into())),
             false => Ok(()),
         }
@@ -223,13 +234,13 @@
         }
         let taking = held.connections.values().filter(|c| c.draining.is_none()).count();
         let coming = held.connections.values().filter(|c| !c.up).count();
-        if waiting >= limits.waiting {
+        if waiting >= limits.max_waiting {
             return Assignment::QueueFull;
         }
-        if taking < limits.connections && waiting >= coming * limits.streams {
+        if taking < limits.max_connections && waiting >= coming * limits.max_streams {
             self.last += 1;
             let id = ConnectionId(self.last);
-            let (open, limit, draining, asked) = (0, limits.streams, None, None);
+            let (open, limit, draining, asked) = (0, limits.max_streams, None, None);
             let c = Connection { up: false, limit, open, since: now, draining, heard: now, asked, idle: now };
             held.connections.insert(id, c);
             self.homes.insert(id, server);
@@ -259,7 +270,7 @@
 
     /// Its server changed how many calls it allows. Those under way stay (RFC 9113 5.1.2).
     pub fn set_stream_limit(&mut self, id: ConnectionId, allowed: usize) {
-        let most = self.limits.streams;
+        let most = self.limits.max_streams;
         if let Some(c) = self.connection(id) {
             c.limit = allowed.min(most);
         }
@@ -267,7 +278,7 @@
 
     /// It did not come up. `chance`, from 0 to 1, spreads the rest that follows.
     pub fn connect_failed(&mut self, now: Instant, id: ConnectionId, chance: f64) {
-        let (first, most) = (self.limits.backoff_s, self.limits.backoff_most_s);
+        let (first, most) = (self.limits.initial_backoff_s, self.limits.max_backoff_s);
         if let Some(server) = self.homes.get(&id).and_then(|s| self.servers.get_mut(s)) {
             let full = (first * 2f64.powi(server.failures.min(30) as i32)).min(most);
             server.rests = Some(now + span(full * (0.5 + 0.5 * chance.clamp(0.0, 1.0))));
@@ -300,23 +311,27 @@
         let (limits, mut out) = (self.limits.clone(), Vec::new());
         for server in self.servers.values_mut() {
             for (id, c) in server.connections.iter_mut().filter(|(_, c)| c.up) {
-                if c.draining.is_none() && now >= c.since + span(limits.age_s) {
+                if c.draining.is_none() && now >= c.since + span(limits.max_age_s) {
                     c.drain(now);
                 }
                 let why = match (c.draining, c.asked) {
                     (Some(_), _) if c.open == 0 => Some(CloseReason::Drained),
-                    (Some(since), _) if now >= since + span(limits.drain_s) => Some(CloseReason::Drained),
+                    (Some(since), _) if now >= since + span(limits.drain_timeout_s) => {
+                        Some(CloseReason::Drained)
+                    }
                     (_, Some(asked)) if now >= asked + span(limits.ping_timeout_s) => {
                         Some(CloseReason::KeepaliveTimeout)
                     }
-                    (None, _) if c.open == 0 && now >= c.idle + span(limits.idle_s) => {
+                    (None, _) if c.open == 0 && now >= c.idle + span(limits.idle_timeout_s) => {
                         Some(CloseReason::Idle)
                     }
                     _ => None,
                 };
                 if let Some(why) = why {
                     out.push(PoolAction::Close(*id, why));
-                } else if c.open > 0 && c.asked.is_none() && now >= c.heard.max(c.idle) + span(limits.ping_s)
+                } else if c.open > 0
+                    && c.asked.is_none()
+                    && now >= c.heard.max(c.idle) + span(limits.ping_interval_s)
                 {
                     c.asked = Some(now);
                     out.push(PoolAction::Ping(*id));
@@ -335,14 +350,15 @@
     pub fn next_timer(&self) -> Option<Instant> {
         let limits = &self.limits;
         let due = |c: &Connection| {
-            let age = c.draining.is_none().then(|| c.since + span(limits.age_s));
+            let age = c.draining.is_none().then(|| c.since + span(limits.max_age_s));
             let drain =
-                c.draining.map(|since| if c.open == 0 { since } else { since + span(limits.drain_s) });
+                c.draining
+                    .map(|since| if c.open == 0 { since } else { since + span(limits.drain_timeout_s) });
             let ping = match c.asked {
                 Some(asked) => Some(asked + span(limits.ping_timeout_s)),
-                None => (c.open > 0).then(|| c.heard.max(c.idle) + span(limits.ping_s)),
+                None => (c.open > 0).then(|| c.heard.max(c.idle) + span(limits.ping_interval_s)),
             };
-            let idle = (c.open == 0).then(|| c.idle + span(limits.idle_s));
+            let idle = (c.open == 0).then(|| c.idle + span(limits.idle_timeout_s));
             [age, drain, ping, idle].into_iter().flatten().min()
         };
         let up = self.servers.values().flat_map(|s| s.connections.values()).filter(|c| c.up);
@@ -361,10 +377,10 @@
     }
 
     /// What must hold at any time; for tests and debug builds.
-    pub fn check(&self) -> Result<(), String> {
+    pub fn check_invariants(&self) -> Result<(), String> {
         for (server, held) in &self.servers {
             let taking = held.connections.values().filter(|c| c.draining.is_none()).count();
-            if taking > self.limits.connections {
+            if taking > self.limits.max_connections {
                 return Err(format!("{server:?} has {taking} connections that take calls"));
             }
             if let Some(id) = held.connections.keys().find(|id| self.homes.get(id) != Some(server)) {
--- a/src/grpc_routing/table.rs
+++ b/src/grpc_routing/table.rs
@@ -2,7 +2,7 @@
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
-use super::{EffectName, Kind, Merge, Route, Row, ShardFrom};
+use super::{Merge, MethodKind, RepeatEffect, Route, RouteRow, ShardSource};
 use crate::balancer::interface::{Class, ClassId, Idempotency};
 use crate::config::settings::Deployment;
 
@@ -17,7 +17,7 @@
 
 /// The compiled table. Cheap to clone: a snapshot that a call keeps while the table is replaced.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Routes {
+pub struct RouteTable {
     methods: BTreeMap<String, Arc<Route>>,
     /// By service, with its slashes: `/package.Service/`.
     services: BTreeMap<String, Arc<Route>>,
@@ -30,17 +30,17 @@
 /// The service that the front itself is (gRPC health checking protocol).
 const HEALTH: &str = "/grpc.health.v1.Health/";
 
-impl Routes {
+impl RouteTable {
     /// Compile the rows. A class gets a variant of its own in `told` for each effect, or ban on copies, that a row
     /// gives it: the decision module goes by classes alone. Variants that are there already are used again, so that a table
     /// that is reread adds classes behind those that a core knows.
     pub fn compile(
-        rows: &[Row],
+        rows: &[RouteRow],
         told: &mut Deployment,
         shards: u32,
         most: usize,
-    ) -> Result<Routes, RowError> {
-        let mut table = Routes::default();
+    ) -> Result<RouteTable, RowError> {
+        let mut table = RouteTable::default();
         for (n, row) in rows.iter().enumerate() {
             let bad = |key, what: String| Err(RowError { row: n, key: Some(key), what });
             let class = told.class_names.iter().position(|c| *c == row.class);
@@ -55,9 +55,9 @@
             match row.effect {
                 None if row.window_s.is_some() => return bad("window_s", "goes with effect 'keyed'".into()),
                 None => {}
-                Some(EffectName::Safe) => wanted.idempotency = Idempotency::Idempotent,
-                Some(EffectName::Unsafe) => wanted.idempotency = Idempotency::NonIdempotent,
-                Some(EffectName::Keyed) => match row.window_s.or(own) {
+                Some(RepeatEffect::Safe) => wanted.idempotency = Idempotency::Idempotent,
+                Some(RepeatEffect::Unsafe) => wanted.idempotency = Idempotency::NonIdempotent,
+                Some(RepeatEffect::Keyed) => match row.window_s.or(own) {
                     Some(window) if window.is_finite() && window > 0.0 => {
                         wanted.idempotency = Idempotency::Keyed { window }
                     }
@@ -67,31 +67,32 @@
             }
             // A second step belongs to the platform's classes; a call has one.
             wanted.second_step_parts = 0;
-            wanted.hedging &= row.copy;
-            let several = matches!(row.shard, ShardFrom::Metadata { how: super::As::Number, .. });
-            if row.merge.is_some() && (row.kind != Kind::Unary || !several) {
+            wanted.hedging &= row.hedging;
+            let several =
+                matches!(row.shard, ShardSource::Metadata { mapping: super::KeyMapping::Number, .. });
+            if row.merge.is_some() && (row.kind != MethodKind::Unary || !several) {
                 return bad("merge", "is for unary methods whose shard is a number in the metadata".into());
             }
             match &row.shard {
-                ShardFrom::Metadata { key, .. } => {
+                ShardSource::Metadata { key, .. } => {
                     let lower =
                         key.bytes().all(|b| matches!(b, b'a'..=b'z' | b'0'..=b'9' | b'-' | b'_' | b'.'));
                     if key.is_empty() || !lower || key.ends_with("-bin") || NOT_KEYS.contains(&key.as_str()) {
                         return bad("shard", format!("'{key}' is not a metadata key that can name a shard"));
                     }
                 }
-                ShardFrom::Field { path, .. } => {
+                ShardSource::Field { path, .. } => {
                     if path.is_empty() || path.len() > 16 || path.iter().any(|f| *f == 0 || *f >= 1 << 29) {
                         return bad("shard", "path must hold 1 to 16 field numbers".into());
                     }
                 }
-                ShardFrom::Any => {}
+                ShardSource::Any => {}
             }
-            let message = row.message.unwrap_or(most);
+            let message = row.max_message_bytes.unwrap_or(most);
             if message == 0 || message > most {
                 return bad("message", format!("must be 1 to grpc.front.message, which is {most}"));
             }
-            if row.open == Some(0) {
+            if row.max_open_calls == Some(0) {
                 return bad("open", "must be at least 1: a route that takes no call is left out".into());
             }
             let same = |(name, class): (&String, &Class)| *name == row.class && *class == wanted;
@@ -102,8 +103,18 @@
                 told.class_names.push(row.class.clone());
             }
             let merge = row.merge.filter(|m| *m == Merge::Concat);
-            let (pattern, kind, shard, open) = (row.pattern.clone(), row.kind, row.shard.clone(), row.open);
-            let route = Arc::new(Route { pattern, kind, class: id, shard, merge, message, open, shards });
+            let (pattern, kind, shard, open) =
+                (row.pattern.clone(), row.kind, row.shard.clone(), row.max_open_calls);
+            let route = Arc::new(Route {
+                pattern,
+                kind,
+                class: id,
+                shard,
+                merge,
+                max_message_bytes: message,
+                max_open_calls: open,
+                shard_count: shards,
+            });
             table.insert(n, &row.pattern, route)?;
         }
         Ok(table)
@@ -136,7 +147,7 @@
     }
 
     /// All routes, the most specific first.
-    pub fn all(&self) -> impl Iterator<Item = &Arc<Route>> {
+    pub fn iter(&self) -> impl Iterator<Item = &Arc<Route>> {
         self.methods.values().chain(self.services.values()).chain(&self.rest)
     }
 }
--- a/src/net/grpc/attempt.rs
+++ b/src/net/grpc/attempt.rs
@@ -176,8 +176,8 @@
         if body.is_end_stream() {
             return self.end(call, exchange, Some(head.headers), None, false).await;
         }
-        let several = route.kind.streams_down();
-        let mut framer = Framer::new(route.message, several);
+        let several = route.kind.server_streams();
+        let mut framer = Framer::new(route.max_message_bytes, several);
         let mut first = Some(BytesMut::new());
         while let Some(data) = body.data().await {
             let data = data.map_err(|e| self.broken(place, &e, true))?;
@@ -237,7 +237,7 @@
                 _ => Err(Broken { status: told, outcome }),
             };
         }
-        if told.code == Code::Ok && !streamed && !exchange.route.kind.streams_down() {
+        if told.code == Code::Ok && !streamed && !exchange.route.kind.server_streams() {
             return Err(Broken::malformed(wire::Malformed::Empty));
         }
         if call.committed() && exchange.reply.borrow().head.is_some() {
--- a/src/net/grpc/caller.rs
+++ b/src/net/grpc/caller.rs
@@ -99,7 +99,7 @@
             }
         };
         let up = async {
-            if exchange.route.kind.streams_up() {
+            if exchange.route.kind.client_streams() {
                 feed(body, exchange, framer).await?;
             }
             std::future::pending().await
--- a/src/net/grpc/front.rs
+++ b/src/net/grpc/front.rs
@@ -37,7 +37,7 @@
 use crate::config::operator::FrontLimits;
 use crate::config::settings::Deployment;
 use crate::coordinator::{Coordinator, Query, QueryOutcome};
-use crate::grpc_routing::{self, Route, Routes};
+use crate::grpc_routing::{self, Route, RouteTable};
 use crate::net::http_server::{Client, GracefulShutdown};
 use crate::net::{timeout_at, LogRateLimiter};
 
@@ -48,7 +48,7 @@
 
 /// What SIGHUP replaces whole; a call keeps what it began with.
 pub struct Table {
-    pub routes: Routes,
+    pub routes: RouteTable,
     /// The settings with the classes of these routes.
     pub deployment: Deployment,
 }
@@ -281,11 +281,11 @@
         let longest = span(class.deadline);
         let deadline = begun + timeout.unwrap_or(longest).min(longest);
         let mut replay = Replay::new(self.limits.replay, self.budget.clone());
-        let mut framer = Framer::new(route.message, route.kind.streams_up());
+        let mut framer = Framer::new(route.max_message_bytes, route.kind.client_streams());
         // A request of one message is taken whole: any attempt can have all of it. Of a stream, no more than what
         // the route must look into.
-        let whole = !route.kind.streams_up();
-        let first = match whole || route.looks_inside() {
+        let whole = !route.kind.client_streams();
+        let first = match whole || route.needs_first_message() {
             false => BytesMut::new(),
             true => {
                 let taken = client.take(&mut framer, whole);
--- a/src/net/grpc/front/checks.rs
+++ b/src/net/grpc/front/checks.rs
@@ -8,13 +8,15 @@
         headers: &HeaderMap,
         first: &[u8],
     ) -> Result<Vec<crate::balancer::interface::ShardId>, Status> {
-        let refuse = |e: grpc_routing::NoShard| match e {
-            grpc_routing::NoShard::TooLarge => Status::new(Code::ResourceExhausted, e.to_string()),
-            grpc_routing::NoShard::Packed(_) => Status::new(Code::Unimplemented, e.to_string()),
+        let refuse = |e: grpc_routing::ShardError| match e {
+            grpc_routing::ShardError::TooLarge => Status::new(Code::ResourceExhausted, e.to_string()),
+            grpc_routing::ShardError::UnsupportedEncoding(_) => {
+                Status::new(Code::Unimplemented, e.to_string())
+            }
             e => Status::new(Code::InvalidArgument, e.to_string()),
         };
         let encoding = headers.get(wire::GRPC_ENCODING).and_then(|v| v.to_str().ok());
-        let inner = match wire::message(first).filter(|_| route.looks_inside()) {
+        let inner = match wire::message(first).filter(|_| route.needs_first_message()) {
             None => None,
             Some((packed, message)) => {
                 let unpacked = grpc_routing::first_message(message, packed, encoding, self.limits.unpacked);
@@ -32,7 +34,7 @@
 
     /// A place among the open calls of a route that bounds them.
     pub(super) fn room<'f>(&'f self, table: &Table, route: &'f Route) -> Result<Option<OfRoute<'f>>, Status> {
-        let Some(most) = route.open else { return Ok(None) };
+        let Some(most) = route.max_open_calls else { return Ok(None) };
         let mut open = self.open.borrow_mut();
         let held = open.entry(route.pattern.clone()).or_default();
         if *held >= most {
--- a/src/net/grpc/health.rs
+++ b/src/net/grpc/health.rs
@@ -5,7 +5,7 @@
 
 use super::status::{Code, Status};
 use super::wire;
-use crate::grpc_routing::Routes;
+use crate::grpc_routing::RouteTable;
 
 pub const SERVICE: &str = "/grpc.health.v1.Health/";
 
@@ -36,9 +36,9 @@
 }
 
 /// How a service is.
-pub fn state(service: &str, routes: &Routes, ready: bool, closing: bool) -> State {
+pub fn state(service: &str, routes: &RouteTable, ready: bool, closing: bool) -> State {
     let named = |pattern: &str| pattern.starts_with(&format!("/{service}/")) || pattern == "*";
-    match service.is_empty() || routes.all().any(|r| named(&r.pattern)) {
+    match service.is_empty() || routes.iter().any(|r| named(&r.pattern)) {
         false => State::ServiceUnknown,
         true if ready && !closing => State::Serving,
         true => State::NotServing,
--- a/src/net/grpc/mod.rs
+++ b/src/net/grpc/mod.rs
@@ -73,12 +73,15 @@
 impl Front {
     /// Take over the routes of a file that was read again, whole; calls under way keep theirs. What else the file
     /// says holds from the next start on.
-    pub fn reread(&self, rows: &[crate::grpc_routing::Row]) -> Result<(), crate::grpc_routing::RowError> {
+    pub fn reread(
+        &self,
+        rows: &[crate::grpc_routing::RouteRow],
+    ) -> Result<(), crate::grpc_routing::RowError> {
         let old = self.table.load_full();
         let mut told = old.deployment.clone();
         let known = told.settings.classes.len();
         let shards = told.shard_count.unwrap_or(1);
-        let routes = crate::grpc_routing::Routes::compile(rows, &mut told, shards, self.limits.message)?;
+        let routes = crate::grpc_routing::RouteTable::compile(rows, &mut told, shards, self.limits.message)?;
         let unfit = |e: crate::balancer::interface::SettingsError| crate::grpc_routing::RowError {
             row: 0,
             key: None,
--- a/tests/grpc_decisions.rs
+++ b/tests/grpc_decisions.rs
@@ -9,7 +9,7 @@
 use marlgap::connection_pool::{
     Assignment, CloseReason, ConnectionId, ConnectionPool, PoolAction, PoolLimits,
 };
-use marlgap::grpc_routing::{field, first_message, stable_hash, Field, NoShard};
+use marlgap::grpc_routing::{find_field, first_message, stable_hash, FieldValue, ShardError};
 use marlgap::net::grpc::guard::{Flood, Guard};
 use marlgap::net::grpc::replay::{Budget, Next, Replay};
 use marlgap::net::grpc::wire::{self, Framer, Malformed};
@@ -89,21 +89,21 @@
     /// Whatever bytes come as a first message, reading it ends, and what prost writes is found.
     #[test]
     fn any_bytes_can_be_looked_into(noise in prop::collection::vec(any::<u8>(), 0..200), n in any::<u64>(), inner in any::<u32>()) {
-        let _ = field(&noise, &[1, 2]);
+        let _ = find_field(&noise, &[1, 2]);
         let _ = first_message(&noise, true, Some("gzip"), 100);
         let mut message = Vec::new();
         prost::encoding::uint64::encode(3, &n, &mut message);
         let mut nested = Vec::new();
         prost::encoding::fixed32::encode(2, &inner, &mut nested);
         prost::encoding::bytes::encode(1, &nested, &mut message);
-        prop_assert_eq!(field(&message, &[3]), Ok(Some(Field::Number(n))));
-        prop_assert_eq!(field(&message, &[1, 2]), Ok(Some(Field::Number(inner.into()))));
-        prop_assert_eq!(field(&message, &[1]), Ok(Some(Field::Bytes(&nested))));
-        prop_assert_eq!(field(&message, &[4]), Ok(None));
+        prop_assert_eq!(find_field(&message, &[3]), Ok(Some(FieldValue::Number(n))));
+        prop_assert_eq!(find_field(&message, &[1, 2]), Ok(Some(FieldValue::Number(inner.into()))));
+        prop_assert_eq!(find_field(&message, &[1]), Ok(Some(FieldValue::Bytes(&nested))));
+        prop_assert_eq!(find_field(&message, &[4]), Ok(None));
         // A later one counts; one cut short is none.
         prost::encoding::uint64::encode(3, &7, &mut message);
-        prop_assert_eq!(field(&message, &[3]), Ok(Some(Field::Number(7))));
-        prop_assert!(field(&message[..message.len() - 1], &[3]).is_err());
+        prop_assert_eq!(find_field(&message, &[3]), Ok(Some(FieldValue::Number(7))));
+        prop_assert!(find_field(&message[..message.len() - 1], &[3]).is_err());
     }
 
     /// The framer says the same of a stream however it is cut.
@@ -146,7 +146,7 @@
     /// Any order of things that happen keeps the pool's bounds, and no call goes where none may.
     #[test]
     fn the_pool_keeps_its_bounds(steps in prop::collection::vec((0u8..12, 0u8..16, 0u8..100), 1..200)) {
-        let limits = PoolLimits { connections: 2, streams: 3, waiting: 5, ..PoolLimits::default() };
+        let limits = PoolLimits { max_connections: 2, max_streams: 3, max_waiting: 5, ..PoolLimits::default() };
         let mut pool = ConnectionPool::new(limits);
         let (mut now, server) = (Instant::now(), |n: u8| ReplicaId(u64::from(n % 3)));
         (0..3).for_each(|n| pool.set_server_state(now, server(n), EndpointState::Ready));
@@ -229,14 +229,15 @@
                     // Aged ones drain by themselves, which the ten seconds of this test do not reach.
                 }
             }
-            prop_assert_eq!(pool.check(), Ok(()));
+            prop_assert_eq!(pool.check_invariants(), Ok(()));
         }
     }
 }
 
 #[test]
 fn a_silent_connection_is_asked_then_given_up_and_others_are_preferred_meanwhile() {
-    let mut pool = ConnectionPool::new(PoolLimits { connections: 2, streams: 1, ..PoolLimits::default() });
+    let mut pool =
+        ConnectionPool::new(PoolLimits { max_connections: 2, max_streams: 1, ..PoolLimits::default() });
     let (server, at) = (ReplicaId(1), |ms: u64| Duration::from_millis(ms));
     let start = Instant::now();
     pool.set_server_state(start, server, EndpointState::Ready);
@@ -343,11 +344,11 @@
             .map(|s| s.iter().map(|s: &ShardId| s.0).collect::<Vec<_>>())
     };
     assert_eq!(shards("/a.S/Number", &["7"]), Ok(vec![7]));
-    assert_eq!(shards("/a.S/Number", &["7", "8"]), Err(NoShard::Several));
-    assert_eq!(shards("/a.S/Number", &["+7"]).map_err(|e| matches!(e, NoShard::Bad(_))), Err(true));
-    assert_eq!(shards("/a.S/Number", &["24"]), Err(NoShard::Range(24)));
+    assert_eq!(shards("/a.S/Number", &["7", "8"]), Err(ShardError::MergeRequired));
+    assert_eq!(shards("/a.S/Number", &["+7"]).map_err(|e| matches!(e, ShardError::Unusable(_))), Err(true));
+    assert_eq!(shards("/a.S/Number", &["24"]), Err(ShardError::OutOfRange(24)));
     assert_eq!(shards("/a.S/Several", &["9, 2", "5"]), Ok(vec![2, 5, 9]));
-    assert_eq!(shards("/a.S/Several", &["9,9"]), Err(NoShard::Twice(9)));
+    assert_eq!(shards("/a.S/Several", &["9,9"]), Err(ShardError::Duplicate(9)));
     assert_eq!(shards("/a.S/Any", &[]), Ok(vec![1]));
     // FNV-1a's own test value: a change here would send every keyed call elsewhere.
     assert_eq!(stable_hash(b"foobar"), 0x85944171f73967e8);
