--- a/src/send_policy/mod.rs
+++ b/src/send_policy/mod.rs
@@ -1,20 +1,45 @@
-//! What may be sent, repeated, closed or taken for warm now. Each rule has one place here, without I/O or a clock; what
-//! carries it out asks here last of all, just before the byte, and is checked here once it is done.
+//! The last check before anything irreversible: whether an attempt may be sent or repeated, whether a
+//! client's connection may be closed, and since when a replica has been running.
 //!
-//! What is denied, and what was broken, [`crate::net::invariants`] counts.
-mod close;
+//! Each rule stands here once, as a pure function: no I/O, no clock, no state between calls. Whoever writes
+//! bytes asks here immediately before, and reports back when it is done. A denial is ordinary. A
+//! [`Violation`] is a broken invariant; [`crate::net::invariants`] counts both.
+//!
+//! Invariants:
+//! - no attempt is written for a cancelled request, after its deadline, to a replica that is not ready, or again once
+//!   its retry window has closed;
+//! - the timeout sent with an attempt exceeds the client's remaining time by no more than [`MAX_FRAME_WRITE_TIME`] and
+//!   [`MAX_PROCESS_STALL`];
+//! - a request of which a byte has been read is answered before its connection closes;
+//! - a replica is never taken to have started earlier than it may have.
+#![warn(missing_docs)]
+
+mod connection_close;
+mod replica_start;
 mod send;
-mod start;
 
-pub use close::{check_close, CloseConditions};
+use std::time::Duration;
+
+pub use connection_close::{check_close, CloseConditions};
+pub use replica_start::{estimate_start, is_restart, StartObservation};
 pub use send::{SendConditions, SendDenied, SendPermit, MAX_FRAME_WRITE_TIME, MAX_PROCESS_STALL};
-pub use start::{estimate_start, is_restart, StartObservation};
 
-/// An invariant that was broken.
-#[derive(Clone, Debug, PartialEq, Eq)]
+/// A broken invariant of this module.
+#[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum Violation {
-    /// An attempt tells more time than its client has left: its frame took so long from the look to its last byte.
-    StaleDeadline { write_time: std::time::Duration, time_left: std::time::Duration },
-    /// A connection ends with so many bytes of a request on it that were read, and will not be answered.
-    UnansweredRequest { bytes: usize },
+    /// An attempt was sent with a timeout that exceeds its client's remaining time, because its frame took
+    /// too long.
+    #[error("an attempt took {write_time:?} to write, with {time_left:?} left to its deadline")]
+    StaleDeadline {
+        /// From the permit to the last byte of the frame.
+        write_time: Duration,
+        /// What remained until the client's deadline when the last byte was written.
+        time_left: Duration,
+    },
+    /// A connection was closed with part of a request read and not answered.
+    #[error("a connection was closed with {bytes} bytes of a request read and not answered")]
+    UnansweredRequest {
+        /// Bytes that had been read and not consumed.
+        bytes: usize,
+    },
 }
