--- a/src/subsetting.rs
+++ b/src/subsetting.rs
@@ -1,13 +1,21 @@
-//! Which replicas a coordinator works with, where more are listed than it needs: deterministic subsetting, with a choice
-//! of its own by each coordinator. No I/O.
+//! Deterministic subsetting: which replicas a coordinator works with where more are listed than it needs
+//! (Site Reliability Engineering, chapter 20). Each coordinator draws a subset of its own from a seed. No I/O
+//! and no clock.
 //!
-//! A coordinator's traffic does not grow with the fleet. Were each part sent to any of all holders, a coordinator of a
-//! large fleet would open a connection for nearly every part, and know none of its replicas.
+//! Without it the traffic of a coordinator would grow with the fleet: with each part sent to any of all
+//! holders, a coordinator of a large fleet would open a connection for nearly every part, and have statistics
+//! on no replica.
 //!
-//! Invariants, where more are ready than [`MOST`]: each cell that has ready replicas has as many chosen ones as its share
-//! of [`MOST`] and [`LEAST_IN_CELL`], or all it has; a chosen one stays chosen for as long as it is ready; what is
-//! announced of a chosen one is what was listed last. Else all is announced as it came. News of one replica costs the
-//! same however many are listed, but where the choice begins or ends, or the number of cells changes.
+//! Invariants, while more replicas are ready than the target size:
+//! - each cell with ready replicas has as many selected ones as its share of the target size, at least
+//!   [`MIN_PER_CELL`], or all that it has;
+//! - a selected replica stays selected for as long as it is ready in its cell;
+//! - what is announced of a selected replica is what was listed last.
+//!
+//! Otherwise every update is passed on unchanged. An update of one replica costs the same however many are
+//! listed, except where subsetting starts or stops, or the number of cells changes.
+#![warn(missing_docs)]
+
 use std::collections::{BTreeMap, BTreeSet};
 
 use rand_core::{RngCore, SeedableRng};
@@ -15,188 +23,239 @@
 
 use crate::balancer::interface::{CellId, Endpoint, EndpointState, EndpointUpdate, ReplicaId};
 
-/// Ready replicas up to which all are worked with: as many as the fleets have that the days are drawn for. A coordinator
-/// of a larger one sees no more traffic.
+/// Target size of a subset, in replicas. Up to this many ready ones all are used, so that a coordinator of a
+/// larger fleet has no more connections than one of a usual fleet.
 pub const SUBSET_SIZE: usize = 200;
 
-/// Chosen ones of a cell at least, if it has so many: a shard may be held by one cell alone, and its parts need others to
-/// go to.
+/// Fewest selected replicas of a cell, if it has so many: a shard may be held by one cell alone, and its
+/// parts need alternatives.
 pub const MIN_PER_CELL: usize = 4;
 
 /// The ready replicas of a cell.
 #[derive(Debug, Default)]
 struct Cell {
-    chosen: BTreeSet<ReplicaId>,
-    /// The others, the next to be chosen first.
+    selected: BTreeSet<ReplicaId>,
+    /// The others, by rank: the first is selected next.
     spare: BTreeSet<(u64, ReplicaId)>,
 }
 
-/// A replica that is listed.
 #[derive(Debug)]
-struct Known {
-    listed: Endpoint,
-    /// Drawn once: the lowest of a cell are chosen first.
+struct ListedReplica {
+    endpoint: Endpoint,
+    /// Drawn once: the lowest ranks of a cell are selected first.
     rank: u64,
 }
 
-/// What is known of all that is listed, and the choice.
+/// Where a replica was ready before an update.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+struct FormerPlace {
+    cell: CellId,
+    was_selected: bool,
+}
+
+/// The endpoint list as it was last received, and the subset of it that is announced.
 #[derive(Debug)]
 pub struct Subset {
     random: Pcg64Mcg,
-    most: usize,
-    known: BTreeMap<ReplicaId, Known>,
+    target_size: usize,
+    listed: BTreeMap<ReplicaId, ListedReplica>,
     cells: BTreeMap<CellId, Cell>,
-    ready: usize,
-    /// More are ready than are worked with.
-    chooses: bool,
-    /// While it chooses: those that were announced, and not as gone.
+    ready_count: usize,
+    /// More replicas are ready than the target size.
+    is_subsetting: bool,
+    /// While subsetting: the replicas that were announced, and not as removed.
     announced: BTreeSet<ReplicaId>,
-    /// Replicas and cells gone through so far.
+    /// Replicas and cells visited so far, a measure of the work done.
     pub entries_visited: usize,
 }
 
 impl Subset {
-    /// A choice of about `most`, which follows from `seed`.
-    pub fn new(seed: u64, most: usize) -> Subset {
-        let (known, cells, announced) = Default::default();
-        let random = Pcg64Mcg::seed_from_u64(seed);
-        Subset { random, most, known, cells, ready: 0, chooses: false, announced, entries_visited: 0 }
+    /// An empty list. The subset of about `target_size` replicas follows from `seed` and the updates alone.
+    pub fn new(seed: u64, target_size: usize) -> Subset {
+        Subset {
+            random: Pcg64Mcg::seed_from_u64(seed),
+            target_size,
+            listed: BTreeMap::new(),
+            cells: BTreeMap::new(),
+            ready_count: 0,
+            is_subsetting: false,
+            announced: BTreeSet::new(),
+            entries_visited: 0,
+        }
     }
 
-    /// Take over news of the list; what of it is announced.
-    pub fn update(&mut self, news: EndpointUpdate, entries: Vec<Endpoint>) -> Vec<Endpoint> {
-        if news == EndpointUpdate::Failed {
+    /// Apply an update of the endpoint list, and give the entries to announce in its place, as an update of
+    /// the same kind.
+    pub fn update(&mut self, update: EndpointUpdate, entries: Vec<Endpoint>) -> Vec<Endpoint> {
+        if update == EndpointUpdate::Failed {
             return entries;
         }
-        let mut touched: BTreeSet<ReplicaId> = entries.iter().map(|e| e.replica).collect();
-        let whole = news != EndpointUpdate::Delta;
-        if whole {
-            self.keep_only(&touched);
+        let is_full = update != EndpointUpdate::Delta;
+        let mut touched: BTreeSet<ReplicaId> = entries.iter().map(|entry| entry.replica).collect();
+        if is_full {
+            self.retain_only(&touched);
         }
-        let cells = self.cells.len();
-        let mut changed: BTreeSet<CellId> = entries.iter().filter_map(|entry| self.place(entry)).collect();
-        changed.extend(entries.iter().map(|e| e.cell));
-        self.entries_visited += entries.len();
-        let chose = std::mem::replace(&mut self.chooses, self.ready > self.most);
-        if !chose && !self.chooses {
+        let cell_count = self.cells.len();
+        let mut changed_cells = self.apply_entries(&entries);
+        let was_subsetting = self.is_subsetting;
+        self.is_subsetting = self.ready_count > self.target_size;
+        if !was_subsetting && !self.is_subsetting {
             return entries;
         }
-        if !chose {
-            // All was announced so far.
-            self.announced = self.known.keys().chain(&touched).copied().collect();
+        if !was_subsetting {
+            // Until now everything was announced.
+            self.announced = self.listed.keys().chain(&touched).copied().collect();
         }
-        if whole {
-            // A whole list says by itself what is not in it. What drains goes on, and is in it.
-            let known = &self.known;
-            self.announced.retain(|id| known.get(id).is_some_and(|k| k.listed.state != EndpointState::Ready));
+        if is_full {
+            self.forget_announced_ready();
         }
-        // Where the choice begins or ends, there is something to say of all.
-        if whole || chose != self.chooses {
-            touched.extend(self.known.keys());
+        let restarted = is_full || was_subsetting != self.is_subsetting;
+        if restarted {
+            // Each listed replica may have to be announced, or announced as removed.
+            touched.extend(self.listed.keys());
         }
-        if whole || chose != self.chooses || cells != self.cells.len() {
-            changed.extend(self.cells.keys());
+        if restarted || cell_count != self.cells.len() {
+            changed_cells.extend(self.cells.keys());
+        }
+        for cell in changed_cells {
+            self.fill_cell(cell, &mut touched);
         }
-        changed.into_iter().for_each(|cell| self.fill(cell, &mut touched));
         self.entries_visited += touched.len();
-        let announced = touched.into_iter().filter_map(|id| self.announce(id)).collect();
-        if !self.chooses {
-            self.choose_none();
+        let announced = touched.into_iter().filter_map(|replica| self.announce(replica)).collect();
+        if !self.is_subsetting {
+            self.deselect_all();
         }
         announced
     }
 
-    fn keep_only(&mut self, kept: &BTreeSet<ReplicaId>) {
-        let gone: Vec<_> = self.known.keys().filter(|id| !kept.contains(id)).copied().collect();
-        for id in gone {
-            self.leave(id);
-            self.known.remove(&id);
-            // A whole list without it says so by itself.
-            self.announced.remove(&id);
+    /// Drop all replicas that a full list does not contain.
+    fn retain_only(&mut self, kept: &BTreeSet<ReplicaId>) {
+        let removed: Vec<_> = self.listed.keys().filter(|replica| !kept.contains(replica)).copied().collect();
+        for replica in removed {
+            self.take_from_cell(replica);
+            self.listed.remove(&replica);
+            // A full list without it announces its removal by itself.
+            self.announced.remove(&replica);
         }
     }
 
-    /// Take a replica out of its cell; which one that was, and whether it was chosen there.
-    fn leave(&mut self, id: ReplicaId) -> Option<(CellId, bool)> {
-        let known = self.known.get(&id).filter(|known| known.listed.state == EndpointState::Ready)?;
-        let at = known.listed.cell;
-        let cell = self.cells.get_mut(&at)?;
-        self.ready -= 1;
-        cell.spare.remove(&(known.rank, id));
-        let was_chosen = cell.chosen.remove(&id);
-        if cell.chosen.is_empty() && cell.spare.is_empty() {
-            self.cells.remove(&at);
-        }
-        Some((at, was_chosen))
+    /// Apply all entries of an update; the cells that replicas have entered or left.
+    fn apply_entries(&mut self, entries: &[Endpoint]) -> BTreeSet<CellId> {
+        let mut changed_cells = BTreeSet::new();
+        for entry in entries {
+            changed_cells.extend(self.apply_entry(entry));
+            changed_cells.insert(entry.cell);
+        }
+        self.entries_visited += entries.len();
+        changed_cells
     }
 
-    /// Note an entry; the cell that it was ready in before, if it was. A chosen one that is ready in the same cell stays
-    /// chosen.
-    fn place(&mut self, entry: &Endpoint) -> Option<CellId> {
-        let id = entry.replica;
-        let left = self.leave(id);
-        let old_cell = left.map(|(cell, _)| cell);
+    /// Apply one entry; the cell that its replica was ready in before, if it was. A selected replica that is
+    /// still ready in the same cell stays selected.
+    fn apply_entry(&mut self, entry: &Endpoint) -> Option<CellId> {
+        let replica = entry.replica;
+        let former_place = self.take_from_cell(replica);
+        let former_cell = former_place.map(|place| place.cell);
         if entry.state == EndpointState::Removed {
-            self.known.remove(&id);
-            return old_cell;
+            self.listed.remove(&replica);
+            return former_cell;
         }
         let random = &mut self.random;
-        let known = self.known.entry(id).or_insert_with(|| Known { listed: *entry, rank: random.next_u64() });
-        known.listed = *entry;
-        let rank = known.rank;
+        let new_replica = || ListedReplica { endpoint: *entry, rank: random.next_u64() };
+        let listed = self.listed.entry(replica).or_insert_with(new_replica);
+        listed.endpoint = *entry;
+        let rank = listed.rank;
         if entry.state == EndpointState::Ready {
-            self.ready += 1;
+            self.ready_count += 1;
             let cell = self.cells.entry(entry.cell).or_default();
-            if left == Some((entry.cell, true)) {
-                cell.chosen.insert(id);
+            if former_place == Some(FormerPlace { cell: entry.cell, was_selected: true }) {
+                cell.selected.insert(replica);
             } else {
-                cell.spare.insert((rank, id));
+                cell.spare.insert((rank, replica));
             }
         }
-        old_cell
+        former_cell
     }
 
-    /// Choose where a cell has room: for what has come, and in place of what has left.
-    fn fill(&mut self, cell: CellId, touched: &mut BTreeSet<ReplicaId>) {
-        let share = self.most.div_ceil(self.cells.len().max(1)).max(MIN_PER_CELL);
-        let share = if self.chooses { share } else { usize::MAX };
+    /// Take a replica out of the cell that it is ready in, if it is.
+    fn take_from_cell(&mut self, replica: ReplicaId) -> Option<FormerPlace> {
+        let listed = self.listed.get(&replica)?;
+        if listed.endpoint.state != EndpointState::Ready {
+            return None;
+        }
+        let cell_id = listed.endpoint.cell;
+        let cell = self.cells.get_mut(&cell_id)?;
+        self.ready_count -= 1;
+        cell.spare.remove(&(listed.rank, replica));
+        let was_selected = cell.selected.remove(&replica);
+        if cell.selected.is_empty() && cell.spare.is_empty() {
+            self.cells.remove(&cell_id);
+        }
+        Some(FormerPlace { cell: cell_id, was_selected })
+    }
+
+    /// Forget that ready replicas were announced: a full list announces removals by itself. A draining
+    /// replica is kept, since its entry is passed on.
+    fn forget_announced_ready(&mut self) {
+        let listed = &self.listed;
+        self.announced.retain(|replica| {
+            listed.get(replica).is_some_and(|listed| listed.endpoint.state != EndpointState::Ready)
+        });
+    }
+
+    /// Select spare replicas of a cell up to its share, and add them to `touched`.
+    fn fill_cell(&mut self, cell_id: CellId, touched: &mut BTreeSet<ReplicaId>) {
         self.entries_visited += 1;
-        let Some(cell) = self.cells.get_mut(&cell) else { return };
-        while cell.chosen.len() < share {
-            let Some((_, id)) = cell.spare.pop_first() else { break };
-            cell.chosen.insert(id);
-            touched.insert(id);
+        let share = self.share_of_cell();
+        let Some(cell) = self.cells.get_mut(&cell_id) else { return };
+        while cell.selected.len() < share {
+            let Some((_, replica)) = cell.spare.pop_first() else { break };
+            cell.selected.insert(replica);
+            touched.insert(replica);
+        }
+    }
+
+    /// How many replicas of each cell are selected, if it has so many.
+    fn share_of_cell(&self) -> usize {
+        if self.is_subsetting {
+            self.target_size.div_ceil(self.cells.len().max(1)).max(MIN_PER_CELL)
+        } else {
+            usize::MAX
         }
     }
 
-    /// The choice is given up: all are spare again, for the next one.
-    fn choose_none(&mut self) {
+    /// Make all selected replicas spare again, where subsetting stops.
+    fn deselect_all(&mut self) {
         for cell in self.cells.values_mut() {
-            for id in std::mem::take(&mut cell.chosen) {
-                let rank = self.known.get(&id).map_or(0, |known| known.rank);
-                cell.spare.insert((rank, id));
+            for replica in std::mem::take(&mut cell.selected) {
+                let rank = self.listed.get(&replica).map_or(0, |listed| listed.rank);
+                cell.spare.insert((rank, replica));
             }
         }
         self.announced.clear();
     }
 
-    /// What is to be said of a replica, if anything is.
-    fn announce(&mut self, id: ReplicaId) -> Option<Endpoint> {
-        let gone = Endpoint { replica: id, state: EndpointState::Removed, ..Endpoint::default() };
-        let Some(listed) = self.known.get(&id).map(|known| known.listed) else {
-            return self.announced.remove(&id).then_some(gone);
+    /// The entry to announce for a replica, if any.
+    fn announce(&mut self, replica: ReplicaId) -> Option<Endpoint> {
+        let Some(endpoint) = self.listed.get(&replica).map(|listed| listed.endpoint) else {
+            let removed = Endpoint { replica, state: EndpointState::Removed, ..Endpoint::default() };
+            return self.announced.remove(&replica).then_some(removed);
         };
-        let chosen = self.cells.get(&listed.cell).is_some_and(|cell| cell.chosen.contains(&id));
-        match listed.state {
-            EndpointState::Ready if chosen => {
-                self.announced.insert(id);
-                Some(listed)
-            }
-            EndpointState::Ready => {
-                self.announced.remove(&id).then_some(Endpoint { state: EndpointState::Removed, ..listed })
-            }
-            // One that was never announced is of no matter to whoever sends. With all announced again it is.
-            _ => (self.announced.contains(&id) || !self.chooses).then_some(listed),
+        if endpoint.state != EndpointState::Ready {
+            // One that was never announced carries no attempts. Where subsetting stops, everything is
+            // announced.
+            let announce = self.announced.contains(&replica) || !self.is_subsetting;
+            return announce.then_some(endpoint);
+        }
+        if self.is_selected(&endpoint) {
+            self.announced.insert(replica);
+            return Some(endpoint);
         }
+        let removed = Endpoint { state: EndpointState::Removed, ..endpoint };
+        self.announced.remove(&replica).then_some(removed)
+    }
+
+    fn is_selected(&self, endpoint: &Endpoint) -> bool {
+        self.cells.get(&endpoint.cell).is_some_and(|cell| cell.selected.contains(&endpoint.replica))
     }
 }
--- a/tests/subsetting.rs
+++ b/tests/subsetting.rs
@@ -1,106 +1,120 @@
-//! The choice of replicas that a coordinator works with, against its invariants, over drawn changes of the list.
+//! Deterministic subsetting against its invariants, over generated updates of the endpoint list.
 use std::collections::{BTreeMap, BTreeSet};
 
-use marlgap::balancer::interface::*;
+use marlgap::balancer::interface::{CellId, Endpoint, EndpointState, EndpointUpdate, ReplicaId, ZoneId};
 use marlgap::subsetting::{Subset, MIN_PER_CELL};
 use proptest::prelude::*;
 
-const MOST: usize = 12;
-const CELLS: u16 = 4;
+const TARGET_SIZE: usize = 12;
+const CELL_COUNT: u16 = 4;
 
-fn entry(replica: u64, phase: EndpointState, started: u64) -> Endpoint {
-    let cell = CellId((replica % u64::from(CELLS)) as u16);
+fn endpoint(replica: u64, state: EndpointState, started: u64) -> Endpoint {
+    let cell = CellId((replica % u64::from(CELL_COUNT)) as u16);
     let started = (started > 0).then_some(started as f64);
-    Endpoint { replica: ReplicaId(replica), zone: ZoneId(0), cell, state: phase, weight: 1.0, started }
+    Endpoint { replica: ReplicaId(replica), zone: ZoneId(0), cell, state, weight: 1.0, started }
 }
 
-/// A whole list or changes of it, by replica.
+/// State and start of replicas, by number.
+type Entries = BTreeMap<u64, (EndpointState, u64)>;
+
 #[derive(Clone, Debug)]
-enum Step {
-    Whole(BTreeMap<u64, (EndpointState, u64)>),
-    Changes(BTreeMap<u64, (EndpointState, u64)>),
+enum Update {
+    Full(Entries),
+    Delta(Entries),
 }
 
-fn steps() -> impl Strategy<Value = Vec<Step>> {
-    let phase = prop_oneof![5 => Just(EndpointState::Ready), 1 => Just(EndpointState::Draining), 1 => Just(EndpointState::Removed)];
-    let entries = |most| prop::collection::btree_map(0..40u64, (phase.clone(), 0..3u64), 0..most);
-    let step = prop_oneof![1 => entries(40).prop_map(Step::Whole), 4 => entries(8).prop_map(Step::Changes)];
-    prop::collection::vec(step, 1..30)
+fn updates() -> impl Strategy<Value = Vec<Update>> {
+    let state = prop_oneof![
+        5 => Just(EndpointState::Ready),
+        1 => Just(EndpointState::Draining),
+        1 => Just(EndpointState::Removed)
+    ];
+    let entries = |max| prop::collection::btree_map(0..40u64, (state.clone(), 0..3u64), 0..max);
+    let update =
+        prop_oneof![1 => entries(40).prop_map(Update::Full), 4 => entries(8).prop_map(Update::Delta)];
+    prop::collection::vec(update, 1..30)
 }
 
-fn listed(entries: &BTreeMap<u64, (EndpointState, u64)>) -> Vec<Endpoint> {
-    entries.iter().map(|(id, (phase, started))| entry(*id, *phase, *started)).collect()
+fn endpoints(entries: &Entries) -> Vec<Endpoint> {
+    entries.iter().map(|(id, (state, started))| endpoint(*id, *state, *started)).collect()
 }
 
-/// What somebody holds who was told these news.
-fn hold(held: &mut BTreeMap<ReplicaId, Endpoint>, news: EndpointUpdate, entries: &[Endpoint]) {
-    if news == EndpointUpdate::Full {
-        held.clear();
+/// Apply an update as its receiver does.
+fn apply(view: &mut BTreeMap<ReplicaId, Endpoint>, update: EndpointUpdate, entries: &[Endpoint]) {
+    if update == EndpointUpdate::Full {
+        view.clear();
     }
     for entry in entries {
-        match entry.state {
-            EndpointState::Removed => drop(held.remove(&entry.replica)),
-            _ => drop(held.insert(entry.replica, *entry)),
+        if entry.state == EndpointState::Removed {
+            view.remove(&entry.replica);
+        } else {
+            view.insert(entry.replica, *entry);
         }
     }
 }
 
+fn ready(view: &BTreeMap<ReplicaId, Endpoint>) -> BTreeSet<ReplicaId> {
+    view.values().filter(|e| e.state == EndpointState::Ready).map(|e| e.replica).collect()
+}
+
+fn count_in_cell(replicas: &BTreeSet<ReplicaId>, cell: u64) -> usize {
+    replicas.iter().filter(|id| id.0 % u64::from(CELL_COUNT) == cell).count()
+}
+
 proptest! {
     #![proptest_config(ProptestConfig { cases: 400, rng_seed: prop::test_runner::RngSeed::Fixed(7), ..ProptestConfig::default() })]
 
     #[test]
-    fn what_is_announced_is_a_choice_of_what_is_listed(steps in steps()) {
-        let mut subset = Subset::new(1, MOST);
-        let (mut all, mut ours) = (BTreeMap::new(), BTreeMap::new());
-        let mut chosen_before = BTreeSet::new();
-        for step in steps {
-            let (news, entries) = match &step {
-                Step::Whole(entries) => (EndpointUpdate::Full, listed(entries)),
-                Step::Changes(entries) => (EndpointUpdate::Delta, listed(entries)),
-            };
-            hold(&mut all, news, &entries);
-            let announced = subset.update(news, entries);
-            hold(&mut ours, news, &announced);
-            let ready = |held: &BTreeMap<ReplicaId, Endpoint>| -> BTreeSet<ReplicaId> {
-                held.values().filter(|l| l.state == EndpointState::Ready).map(|l| l.replica).collect()
+    fn announced_replicas_are_a_stable_subset_with_a_share_of_each_cell(updates in updates()) {
+        let mut subset = Subset::new(1, TARGET_SIZE);
+        let mut listed = BTreeMap::new();
+        let mut announced = BTreeMap::new();
+        let mut selected_before = BTreeSet::new();
+        for update in updates {
+            let (kind, entries) = match &update {
+                Update::Full(entries) => (EndpointUpdate::Full, endpoints(entries)),
+                Update::Delta(entries) => (EndpointUpdate::Delta, endpoints(entries)),
             };
-            // What is held of a replica is what was listed last.
-            for (id, listed) in &ours {
-                prop_assert_eq!(all.get(id), Some(listed));
+            apply(&mut listed, kind, &entries);
+            let passed_on = subset.update(kind, entries);
+            apply(&mut announced, kind, &passed_on);
+            for (id, endpoint) in &announced {
+                prop_assert_eq!(listed.get(id), Some(endpoint), "what was listed last is announced");
             }
-            let (listed_ready, chosen) = (ready(&all), ready(&ours));
-            if listed_ready.len() <= MOST {
-                prop_assert_eq!(&listed_ready, &chosen, "all are worked with");
-                chosen_before.clear();
+            let listed_ready = ready(&listed);
+            let selected = ready(&announced);
+            if listed_ready.len() <= TARGET_SIZE {
+                prop_assert_eq!(&listed_ready, &selected, "all are used");
+                selected_before.clear();
                 continue;
             }
-            let of_cell = |set: &BTreeSet<ReplicaId>, cell: u64| {
-                set.iter().filter(|id| id.0 % u64::from(CELLS) == cell).count()
-            };
-            let cells = (0..u64::from(CELLS)).filter(|cell| of_cell(&listed_ready, *cell) > 0).count();
-            for cell in 0..u64::from(CELLS) {
-                let share = MOST.div_ceil(cells).max(MIN_PER_CELL).min(of_cell(&listed_ready, cell));
-                prop_assert!(of_cell(&chosen, cell) >= share, "cell {}", cell);
+            let cells = (0..u64::from(CELL_COUNT)).filter(|cell| count_in_cell(&listed_ready, *cell) > 0).count();
+            for cell in 0..u64::from(CELL_COUNT) {
+                let share = TARGET_SIZE.div_ceil(cells).max(MIN_PER_CELL);
+                let share = share.min(count_in_cell(&listed_ready, cell));
+                prop_assert!(count_in_cell(&selected, cell) >= share, "cell {}", cell);
             }
-            // Whoever was chosen and is ready still is; a new choice begins where all were worked with before.
-            for id in chosen_before.intersection(&listed_ready) {
-                prop_assert!(chosen.contains(id), "{:?} was chosen", id);
+            // A selected replica stays while it is ready; a new selection starts where all were used before.
+            for id in selected_before.intersection(&listed_ready) {
+                prop_assert!(selected.contains(id), "{:?} was selected", id);
             }
-            chosen_before = chosen;
+            selected_before = selected;
         }
     }
 }
 
 #[test]
-fn coordinators_choose_apart_from_each_other() {
-    let list: Vec<Endpoint> = (0..2000).map(|n| entry(n, EndpointState::Ready, 0)).collect();
+fn coordinators_select_independently_of_each_other() {
+    let list: Vec<Endpoint> = (0..2000).map(|n| endpoint(n, EndpointState::Ready, 0)).collect();
     let mut times: BTreeMap<ReplicaId, usize> = BTreeMap::new();
     for seed in 0..200 {
-        let chosen = Subset::new(seed, 200).update(EndpointUpdate::Full, list.clone());
-        assert_eq!(chosen.len(), 200);
-        chosen.iter().for_each(|l| *times.entry(l.replica).or_default() += 1);
+        let selected = Subset::new(seed, 200).update(EndpointUpdate::Full, list.clone());
+        assert_eq!(selected.len(), 200);
+        for endpoint in selected {
+            *times.entry(endpoint.replica).or_default() += 1;
+        }
     }
-    // Twenty in the mean, with a deviation of a little over four.
+    // The mean is 20, the standard deviation a little over 4.
     assert!(
         times.len() == 2000 && times.values().all(|n| (3..=40).contains(n)),
         "{:?}",
@@ -108,23 +122,24 @@
     );
 }
 
-/// What a change of one replica goes through, with so many listed.
-fn cost_of_a_change(listed: u64) -> usize {
+/// Entries visited by sixty updates of one replica each, with so many listed.
+fn entries_visited_by_updates(listed: u64) -> usize {
     let mut subset = Subset::new(1, 200);
-    subset.update(EndpointUpdate::Full, (0..listed).map(|n| entry(n, EndpointState::Ready, 0)).collect());
+    subset.update(EndpointUpdate::Full, (0..listed).map(|n| endpoint(n, EndpointState::Ready, 0)).collect());
     let before = subset.entries_visited;
     for n in 0..20 {
-        subset.update(EndpointUpdate::Delta, vec![entry(n, EndpointState::Draining, 0)]);
-        subset.update(EndpointUpdate::Delta, vec![entry(n, EndpointState::Removed, 0)]);
-        subset.update(EndpointUpdate::Delta, vec![entry(listed + n, EndpointState::Ready, 7)]);
+        subset.update(EndpointUpdate::Delta, vec![endpoint(n, EndpointState::Draining, 0)]);
+        subset.update(EndpointUpdate::Delta, vec![endpoint(n, EndpointState::Removed, 0)]);
+        subset.update(EndpointUpdate::Delta, vec![endpoint(listed + n, EndpointState::Ready, 7)]);
     }
     subset.entries_visited - before
 }
 
 #[test]
-fn a_change_costs_the_same_however_many_are_listed() {
-    assert_eq!(cost_of_a_change(50), cost_of_a_change(150), "where all are worked with");
-    let (few, many) = (cost_of_a_change(1_000), cost_of_a_change(50_000));
-    // A vacancy is filled, or is not, by what was drawn: one more entry for each change at most.
+fn an_update_costs_the_same_however_many_are_listed() {
+    assert_eq!(entries_visited_by_updates(50), entries_visited_by_updates(150), "where all are used");
+    let few = entries_visited_by_updates(1_000);
+    let many = entries_visited_by_updates(50_000);
+    // Whether a vacancy arises depends on the ranks drawn: one more entry for each update at most.
     assert!(many <= few + 60, "{few} for a thousand, {many} for fifty thousand");
 }
