--- a/src/config/operator/mod.rs
+++ b/src/config/operator/mod.rs
@@ -197,7 +197,8 @@
         })?;
         let told = settings::parse(file.settings.to_string().as_bytes()).map_err(|e| {
             // Its words begin with the path inside the settings.
-            let words = e.0.strip_prefix("settings: ").unwrap_or(&e.0).to_owned();
+            let message = e.to_string();
+            let words = message.strip_prefix("settings: ").unwrap_or(&message).to_owned();
             let inner = words.split(' ').next().unwrap_or_default();
             let mut segments = vec![Seg::Key("settings".into())];
             let class = words.rsplit_once("(class ").and_then(|(_, n)| n.trim_end_matches(')').parse().ok());
--- a/src/config/settings.rs
+++ b/src/config/settings.rs
@@ -1,49 +1,61 @@
-//! The settings of a deployment, as both programs are handed them: read, checked for form, nothing decided.
-mod read;
+//! The settings of a deployment, as the platform hands them to both programs: a JSON object, read and checked
+//! key by key into [`Deployment`]. Each key with a value of a wrong type or range is refused by its name;
+//! unknown keys are ignored. Nothing is decided here, and no value is kept but in what [`parse`] returns.
+//!
+//! The keys are the platform's and keep its wording; the fields have the terms of the field.
+#![warn(missing_docs)]
+
+mod class;
+mod error;
+mod sections;
+mod structure;
+mod value;
 
-use std::fmt;
 use std::time::Duration;
 
 use serde_json::Value;
 
-use crate::balancer::interface::*;
-use read::*;
+pub use self::error::{KeyProblem, SettingsParseError};
+use self::value::{at_least, count, flag, integer, number, optional_number, strings, unique_names};
+use crate::balancer::interface::{Class, LoadReport, Settings, Tenant, TenantId, ZoneId};
 
-/// Settings that cannot be read, and where.
-#[derive(Debug, Clone, PartialEq, Eq)]
-pub struct SettingsParseError(pub String);
+/// An attempt has a number of 8 bits, and the last one stands for no attempt.
+const MAX_ATTEMPTS: u32 = u8::MAX as u32;
+/// A cell has a number of 16 bits.
+const MAX_CELLS: u32 = 1 << 16;
+/// A zone has a number of 8 bits.
+const MAX_ZONE: u32 = u8::MAX as u32;
 
-impl fmt::Display for SettingsParseError {
-    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        f.write_str(&self.0)
-    }
-}
-
-impl std::error::Error for SettingsParseError {}
-
-/// All that a deployment tells a coordinator: what its decisions go by, and what its sockets do.
+/// All that a deployment configures in a coordinator.
 #[derive(Clone, Debug)]
 pub struct Deployment {
+    /// What the decision module goes by.
     pub settings: Settings,
+    /// What the values of a load report stand for, in order.
     pub report_fields: Vec<LoadReportField>,
-    /// Empty for one that is not told a name: nobody can ask for it.
+    /// Names of the classes by number; empty for a class without one, which no client can ask for.
     pub class_names: Vec<String>,
+    /// Names of the tenants by number; empty for a tenant without one.
     pub tenant_names: Vec<String>,
+    /// Names of the values of a load report, in order.
     pub report_names: Vec<String>,
+    /// Names of the zones by number.
     pub zones: Vec<String>,
-    /// How many shards there are, if that is told.
+    /// How many shards there are, if that is configured.
     pub shard_count: Option<u32>,
-    /// Queries and parts that may be open at once.
+    /// Queries and parts that may be open at the same time.
     pub max_open: usize,
+    /// How connections to data nodes are made and kept.
     pub connections: ConnectionSettings,
 }
 
 impl Deployment {
-    /// What the module goes by over sockets.
+    /// The settings of the decision module with one tenant more, of quota 0, for queries that name no known
+    /// tenant.
     ///
-    /// Behind the tenants that are told comes one without a share, for whoever names none of them: it is served where
-    /// there is room, and is the first to wait where there is not. So a tenant that another configuration tells is
-    /// not refused, and nobody takes another's share by leaving out a name.
+    /// Such a query is served while there is capacity and shed first when there is not. So a tenant that only
+    /// another configuration knows is not refused, and no one gets another tenant's quota by leaving out the
+    /// name. Without any tenant the settings stay as they are.
     pub fn with_default_tenant(&self) -> Settings {
         let mut settings = self.settings.clone();
         if !settings.tenants.is_empty() {
@@ -52,223 +64,135 @@
         settings
     }
 
-    /// The tenant of a query over sockets; without tenants there is one.
+    /// The tenant of a query by its name, as [`Deployment::with_default_tenant`] numbers them.
     pub fn tenant_id(&self, name: Option<&str>) -> TenantId {
-        let told = self.tenant_names.iter().position(|t| !t.is_empty() && Some(t.as_str()) == name);
-        TenantId(told.unwrap_or(self.tenant_names.len()) as u16)
+        let known = self.tenant_names.iter().position(|t| !t.is_empty() && Some(t.as_str()) == name);
+        TenantId(known.unwrap_or(self.tenant_names.len()) as u16)
     }
 }
 
-/// How connections to data nodes are kept.
+/// How connections to data nodes are made and kept.
 #[derive(Clone, Copy, Debug)]
 pub struct ConnectionSettings {
+    /// Longest time to establish a connection.
     pub connect_timeout: Duration,
+    /// How long a connection without calls is kept.
     pub idle_timeout: Duration,
+    /// Calls at the same time on one connection.
     pub max_streams: usize,
 }
 
-fn plain(v: &Value) -> String {
-    v.as_str().unwrap_or_default().to_owned()
-}
-
-fn names_of(v: &Value, path: &str) -> Result<Vec<String>, SettingsParseError> {
-    let mut names = Vec::new();
-    for (i, one) in list(v, path)?.iter().enumerate() {
-        let name = match get(one, "Name") {
-            None => "",
-            Some(_) => {
-                text(one, "Name").or_else(|_| bad(format!("settings: {path}[{i}].Name is not a text")))?
-            }
-        };
-        if !name.is_empty() && names.iter().any(|other| other == name) {
-            return bad(format!("settings: {path}[{i}].Name '{name}' is there twice"));
-        }
-        names.push(name.to_owned());
-    }
-    Ok(names)
-}
-
-/// A load report from its values, in the order in which the settings name them.
-pub fn load_report(names: &[LoadReportField], values: impl Iterator<Item = f64>) -> LoadReport {
-    let mut out = LoadReport::default();
-    for (name, value) in names.iter().zip(values) {
-        let value = Some(value).filter(|v| v.is_finite());
-        match name {
-            LoadReportField::QueueDepth => out.queue_depth = value,
-            LoadReportField::InFlight => out.in_flight = value,
-            LoadReportField::Utilization => out.utilization = value,
-            LoadReportField::ServiceTimeMs => out.service_time = value.map(|ms| ms / 1000.0),
-            LoadReportField::Rate => out.rate = value,
-            LoadReportField::Other => {}
-        }
-    }
-    out
-}
-
 /// What a value of a load report stands for.
 #[derive(Clone, Copy, Debug)]
 pub enum LoadReportField {
+    /// Requests that wait at the data node.
     QueueDepth,
+    /// Requests that the data node is working on.
     InFlight,
+    /// Busy share of the data node, from 0 to 1.
     Utilization,
+    /// Mean service time, in milliseconds.
     ServiceTimeMs,
+    /// Requests finished in a second.
     Rate,
+    /// A value that is not used.
     Other,
 }
 
-fn class(v: &Value, i: usize, c: &Value) -> Result<Class, SettingsParseError> {
-    let of_class = |e: SettingsParseError| SettingsParseError(format!("{e} (class {i})"));
-    let at = |key: &str| above_zero(c, key).map_err(of_class);
-    let family = |key: &str, default: f64| -> Result<f64, SettingsParseError> {
-        let path = format!("FamilyInfo.{key}");
-        match list(v, &path)?.get(i) {
-            None => Ok(default),
-            Some(n) => n.as_f64().ok_or(SettingsParseError(format!("settings: {path}[{i}] is not a number"))),
+impl LoadReportField {
+    fn from_name(name: &str) -> LoadReportField {
+        match name {
+            "depth" => LoadReportField::QueueDepth,
+            "concurrent" => LoadReportField::InFlight,
+            "load_share" => LoadReportField::Utilization,
+            "mean_ms" => LoadReportField::ServiceTimeMs,
+            "tps" => LoadReportField::Rate,
+            _ => LoadReportField::Other,
         }
-    };
-    let part = |key: &str, default: f64| match family(key, default)? {
-        n if (0.0..=1.0).contains(&n) => Ok(n),
-        _ => bad(format!("settings: FamilyInfo.{key}[{i}] is not a share from 0 to 1")),
-    };
-    let effect = match text(c, "Semantics").map_err(of_class)? {
-        "pure" => Idempotency::Idempotent,
-        "token" => {
-            number(c, "WindowS").map_err(of_class)?;
-            let window = at_least(c, "WindowS", 0.0).map_err(of_class)?.unwrap_or(0.0);
-            // Where not every holder drops a repeat, none is made: it might go to one that does not.
-            let all = get(c, "DedupScope").is_none_or(|scope| scope == "all");
-            Idempotency::Keyed { window: if all { window } else { 0.0 } }
+    }
+}
+
+/// A load report from its values, in the order of `fields`. A value that is not finite counts as not
+/// reported.
+pub fn load_report(fields: &[LoadReportField], values: impl Iterator<Item = f64>) -> LoadReport {
+    let mut report = LoadReport::default();
+    for (field, value) in fields.iter().zip(values) {
+        let value = Some(value).filter(|v| v.is_finite());
+        match field {
+            LoadReportField::QueueDepth => report.queue_depth = value,
+            LoadReportField::InFlight => report.in_flight = value,
+            LoadReportField::Utilization => report.utilization = value,
+            LoadReportField::ServiceTimeMs => report.service_time = value.map(|ms| ms / 1000.0),
+            LoadReportField::Rate => report.rate = value,
+            LoadReportField::Other => {}
         }
-        "side_effect" => Idempotency::NonIdempotent,
-        other => return bad(format!("settings: Semantics '{other}' is unknown (class {i})")),
-    };
-    let need = part("ClassNeed", 1.0)?;
-    if need <= 0.0 {
-        return bad(format!("settings: FamilyInfo.ClassNeed[{i}] is not above 0"));
     }
-    let floor = part("LeastShare", need)?;
-    let path = format!("FamilyInfo.FetchParts[{i}]");
-    Ok(Class {
-        latency_objective: at("AimS")?,
-        deadline: at("DeadlineS")?,
-        priority_weight: number(c, "Worth").map_err(of_class)?,
-        late_weight: optional(c, "LateWorth").map_err(of_class)?.unwrap_or(0.0),
-        idempotency: effect,
-        // No answer may hold less than the least share, a whole one neither.
-        target_coverage: need.max(floor),
-        min_coverage: floor,
-        partial_weight: family("ClassPartial", 1.0)?,
-        second_step_parts: whole(&path, family("FetchParts", 0.0)?, 0, u32::MAX)?,
-        hedging: true,
-    })
+    report
 }
 
 /// Read the settings object, as an instance gets it on the simulator's wire or in a configuration file.
+///
+/// # Errors
+///
+/// The first fault found: text that is no JSON object, a required key that is missing, or a key with a value
+/// that cannot be used.
 pub fn parse(bytes: &[u8]) -> Result<Deployment, SettingsParseError> {
-    let v: Value = serde_json::from_slice(bytes)
-        .map_err(|e| SettingsParseError(format!("settings are not valid JSON: {e}")))?;
-    form(&v)?;
-    let mut classes = Vec::new();
-    for (i, c) in list(&v, "Classes")?.iter().enumerate() {
-        classes.push(class(&v, i, c)?);
-    }
-    let mut tenants = Vec::new();
-    for t in list(&v, "Tenants")? {
-        let quota =
-            at_least(t, "QuotaPerS", 0.0).map_err(|e| SettingsParseError(format!("{e} (Tenants)")))?;
-        tenants.push(Tenant { quota: quota.unwrap_or(f64::MAX) });
-    }
-    let mut names = Vec::new();
-    for name in list(&v, "Reporting.Names")? {
-        names.push(match name.as_str() {
-            Some("depth") => LoadReportField::QueueDepth,
-            Some("concurrent") => LoadReportField::InFlight,
-            Some("load_share") => LoadReportField::Utilization,
-            Some("mean_ms") => LoadReportField::ServiceTimeMs,
-            Some("tps") => LoadReportField::Rate,
-            _ => LoadReportField::Other,
-        });
-    }
-    let reports = match get(&v, "Reporting.How") {
-        None => LoadReporting::Off,
-        Some(_) => match text(&v, "Reporting.How")? {
-            "inline" => LoadReporting::Inline,
-            "on_probe" => LoadReporting::OnHealthCheck,
-            "off" => LoadReporting::Off,
-            other => return bad(format!("settings: Reporting.How '{other}' is unknown")),
-        },
-    };
-    let discovery = match get(&v, "Discovery") {
-        None => Discovery::Push,
-        Some(_) => match text(&v, "Discovery")? {
-            "push" => Discovery::Push,
-            "ask" => Discovery::Ask { within: at_least(&v, "Safety.AskWithinS", 0.0)?.unwrap_or(f64::MAX) },
-            other => return bad(format!("settings: Discovery '{other}' is unknown")),
-        },
-    };
-    // Either figure alone is a budget: the other is nought then.
-    let (share_told, free) =
-        (at_least(&v, "Safety.RepeatRatio", 0.0)?, at_least(&v, "Safety.MinExtra", 0.0)?);
-    let budget = match (share_told, free) {
-        (None, None) => None,
-        (share, free) => Some(RetryBudget {
-            free: free.unwrap_or(0.0),
-            share: share.unwrap_or(0.0),
-            window: above_zero(&v, "Safety.ResendSpanS")?,
-        }),
-    };
-    let cold = match optional(&v, "Safety.TipMultiple")? {
-        None => None,
-        Some(_) => Some(SlowStart {
-            initial_capacity: share(&v, "Safety.ColdFrom")?,
-            ramp: above_zero(&v, "Safety.RampTimeS")?,
-            overload_factor: above_zero(&v, "Safety.TipMultiple")?,
-            overload_window: above_zero(&v, "Safety.TipAfterS")?,
-        }),
-    };
-    let retry_after = match flag(&v, "Limits.RetryAfter")? {
-        // Nought is no guidance.
-        true => at_least(&v, "Limits.MaxRetryAfterS", 0.0)?.filter(|s| *s > 0.0),
-        false => None,
-    };
-    let most_tries = count(&v, "Limits.MostTries", u32::from(u8::MAX))?;
-    let settings = Settings {
+    let json: Value =
+        serde_json::from_slice(bytes).map_err(|e| SettingsParseError::InvalidJson(e.to_string()))?;
+    structure::check_structure(&json)?;
+    let classes = class::classes(&json)?;
+    let tenants = sections::tenants(&json)?;
+    let report_fields = sections::load_report_fields(&json)?;
+    Ok(Deployment {
+        settings: balancer_settings(&json, classes, tenants)?,
+        connections: sections::connections(&json)?,
+        report_fields,
+        class_names: unique_names(&json, "Classes")?,
+        tenant_names: unique_names(&json, "Tenants")?,
+        report_names: strings(&json, "Reporting.Names")?,
+        zones: strings(&json, "Localities")?,
+        shard_count: count(&json, "FamilyInfo.Shards", u32::MAX)?,
+        max_open: count(&json, "Limits.OpenCap", u32::MAX)?.map_or(usize::MAX, |n| n as usize),
+    })
+}
+
+/// What the decision module goes by, of which the classes and tenants are read already.
+fn balancer_settings(
+    json: &Value,
+    classes: Vec<Class>,
+    tenants: Vec<Tenant>,
+) -> Result<Settings, SettingsParseError> {
+    let load_reporting = sections::load_reporting(json)?;
+    let discovery = sections::discovery(json)?;
+    let retry_budget = sections::retry_budget(json)?;
+    let slow_start = sections::slow_start(json)?;
+    let retry_after = sections::retry_after(json)?;
+    let max_attempts = count(json, "Limits.MostTries", MAX_ATTEMPTS)?;
+    Ok(Settings {
         classes,
         tenants,
-        over_quota_weight: at_least(&v, "OverShareWorth", 0.0)?.unwrap_or(1.0),
-        // A cell's number has 16 bits.
-        cells: whole("FamilyInfo.Positions", number(&v, "FamilyInfo.Positions")?, 1, 1 << 16)?,
-        reach: whole("FamilyInfo.InARow", number(&v, "FamilyInfo.InARow")?, 1, u32::MAX)?,
-        max_parts_per_call: count(&v, "FamilyInfo.PerCall", u32::MAX)?.unwrap_or(1),
-        zone: ZoneId(whole("Zone", optional(&v, "Zone")?.unwrap_or(0.0), 0, u32::from(u8::MAX))? as u8),
-        clients_mark_retries: flag(&v, "Clients.MarksRetry")?,
-        coordinators: count(&v, "ReplicasOfMe", u32::MAX)?.unwrap_or(1),
-        load_reporting: reports,
+        over_quota_weight: at_least(json, "OverShareWorth", 0.0)?.unwrap_or(1.0),
+        cells: integer("FamilyInfo.Positions", number(json, "FamilyInfo.Positions")?, 1, MAX_CELLS)?,
+        reach: integer("FamilyInfo.InARow", number(json, "FamilyInfo.InARow")?, 1, u32::MAX)?,
+        max_parts_per_call: count(json, "FamilyInfo.PerCall", u32::MAX)?.unwrap_or(1),
+        zone: zone(json)?,
+        clients_mark_retries: flag(json, "Clients.MarksRetry")?,
+        coordinators: count(json, "ReplicasOfMe", u32::MAX)?.unwrap_or(1),
+        load_reporting,
         discovery,
-        cancellation: flag(&v, "Limits.Cancel")?,
-        health_checks: flag(&v, "Limits.Probes")?,
-        hedging: flag(&v, "Limits.SecondCopies")?,
+        cancellation: flag(json, "Limits.Cancel")?,
+        health_checks: flag(json, "Limits.Probes")?,
+        hedging: flag(json, "Limits.SecondCopies")?,
         retry_after,
-        // An attempt's number has 8 bits, and the last one stands for none.
-        max_attempts: most_tries.ok_or(SettingsParseError("settings: Limits.MostTries is missing".into()))?,
-        round_interval: at_least(&v, "PeriodS", 0.0)?.unwrap_or(0.0),
-        retry_budget: budget,
-        slow_start: cold,
-    };
-    let sockets = ConnectionSettings {
-        connect_timeout: span(&v, "Limits.ConnectTimeoutS", 0.25)?,
-        idle_timeout: span(&v, "Limits.KeepaliveS", 30.0)?,
-        max_streams: count(&v, "Limits.Multiplex", u32::MAX)?.unwrap_or(1) as usize,
-    };
-    Ok(Deployment {
-        settings,
-        report_fields: names,
-        class_names: names_of(&v, "Classes")?,
-        tenant_names: names_of(&v, "Tenants")?,
-        report_names: list(&v, "Reporting.Names")?.iter().map(plain).collect(),
-        zones: list(&v, "Localities")?.iter().map(plain).collect(),
-        shard_count: count(&v, "FamilyInfo.Shards", u32::MAX)?,
-        max_open: count(&v, "Limits.OpenCap", u32::MAX)?.map_or(usize::MAX, |n| n as usize),
-        connections: sockets,
+        max_attempts: max_attempts
+            .ok_or_else(|| SettingsParseError::invalid("Limits.MostTries", KeyProblem::Missing))?,
+        round_interval: at_least(json, "PeriodS", 0.0)?.unwrap_or(0.0),
+        retry_budget,
+        slow_start,
     })
 }
+
+fn zone(json: &Value) -> Result<ZoneId, SettingsParseError> {
+    let number = optional_number(json, "Zone")?.unwrap_or(0.0);
+    Ok(ZoneId(integer("Zone", number, 0, MAX_ZONE)? as u8))
+}
--- /dev/null
+++ b/src/config/settings/sections.rs
@@ -0,0 +1,104 @@
+//! The sections of the settings, each read into the part of [`Settings`] that it decides.
+//!
+//! [`Settings`]: crate::balancer::interface::Settings
+use serde_json::Value;
+
+use super::error::KeyProblem;
+use super::value::{at_least, count, flag, fraction, get, list, optional_number, positive, span, string};
+use super::{ConnectionSettings, LoadReportField, SettingsParseError};
+use crate::balancer::interface::{Discovery, LoadReporting, RetryBudget, SlowStart, Tenant};
+
+/// `Tenants`: a tenant without a quota is not limited.
+pub(super) fn tenants(settings: &Value) -> Result<Vec<Tenant>, SettingsParseError> {
+    let mut tenants = Vec::new();
+    for entry in list(settings, "Tenants")? {
+        let quota = at_least(entry, "QuotaPerS", 0.0).map_err(SettingsParseError::in_tenants)?;
+        tenants.push(Tenant { quota: quota.unwrap_or(f64::MAX) });
+    }
+    Ok(tenants)
+}
+
+/// `Reporting.Names`: what the values of a load report stand for, in order.
+pub(super) fn load_report_fields(settings: &Value) -> Result<Vec<LoadReportField>, SettingsParseError> {
+    let names = list(settings, "Reporting.Names")?.iter();
+    Ok(names.map(|name| LoadReportField::from_name(name.as_str().unwrap_or_default())).collect())
+}
+
+/// `Reporting.How`: whether and how data nodes report their load.
+pub(super) fn load_reporting(settings: &Value) -> Result<LoadReporting, SettingsParseError> {
+    const PATH: &str = "Reporting.How";
+    if get(settings, PATH).is_none() {
+        return Ok(LoadReporting::Off);
+    }
+    match string(settings, PATH)? {
+        "inline" => Ok(LoadReporting::Inline),
+        "on_probe" => Ok(LoadReporting::OnHealthCheck),
+        "off" => Ok(LoadReporting::Off),
+        other => Err(unknown_value(PATH, other)),
+    }
+}
+
+/// `Discovery`: whether the endpoint list is pushed or polled.
+pub(super) fn discovery(settings: &Value) -> Result<Discovery, SettingsParseError> {
+    const PATH: &str = "Discovery";
+    if get(settings, PATH).is_none() {
+        return Ok(Discovery::Push);
+    }
+    match string(settings, PATH)? {
+        "push" => Ok(Discovery::Push),
+        "ask" => {
+            let within = at_least(settings, "Safety.AskWithinS", 0.0)?;
+            Ok(Discovery::Ask { within: within.unwrap_or(f64::MAX) })
+        }
+        other => Err(unknown_value(PATH, other)),
+    }
+}
+
+/// The budget of retries in `Safety`. Either figure alone makes one, with 0 for the other.
+pub(super) fn retry_budget(settings: &Value) -> Result<Option<RetryBudget>, SettingsParseError> {
+    let share = at_least(settings, "Safety.RepeatRatio", 0.0)?;
+    let free = at_least(settings, "Safety.MinExtra", 0.0)?;
+    if share.is_none() && free.is_none() {
+        return Ok(None);
+    }
+    Ok(Some(RetryBudget {
+        free: free.unwrap_or(0.0),
+        share: share.unwrap_or(0.0),
+        window: positive(settings, "Safety.ResendSpanS")?,
+    }))
+}
+
+/// The slow start of a replica in `Safety`; `TipMultiple` alone decides whether there is one.
+pub(super) fn slow_start(settings: &Value) -> Result<Option<SlowStart>, SettingsParseError> {
+    if optional_number(settings, "Safety.TipMultiple")?.is_none() {
+        return Ok(None);
+    }
+    Ok(Some(SlowStart {
+        initial_capacity: fraction(settings, "Safety.ColdFrom")?,
+        ramp: positive(settings, "Safety.RampTimeS")?,
+        overload_factor: positive(settings, "Safety.TipMultiple")?,
+        overload_window: positive(settings, "Safety.TipAfterS")?,
+    }))
+}
+
+/// The longest Retry-After in seconds (`Limits`), if rejections carry one; 0 stands for none.
+pub(super) fn retry_after(settings: &Value) -> Result<Option<f64>, SettingsParseError> {
+    if !flag(settings, "Limits.RetryAfter")? {
+        return Ok(None);
+    }
+    let longest = at_least(settings, "Limits.MaxRetryAfterS", 0.0)?;
+    Ok(longest.filter(|seconds| *seconds > 0.0))
+}
+
+/// The connections to data nodes (`Limits`).
+pub(super) fn connections(settings: &Value) -> Result<ConnectionSettings, SettingsParseError> {
+    Ok(ConnectionSettings {
+        connect_timeout: span(settings, "Limits.ConnectTimeoutS", 0.25)?,
+        idle_timeout: span(settings, "Limits.KeepaliveS", 30.0)?,
+        max_streams: count(settings, "Limits.Multiplex", u32::MAX)?.unwrap_or(1) as usize,
+    })
+}
+
+fn unknown_value(path: &str, value: &str) -> SettingsParseError {
+    SettingsParseError::invalid(path, KeyProblem::UnknownValue(value.to_owned()))
+}
