--- a/src/simulator_wire.rs
+++ b/src/simulator_wire.rs
@@ -1,92 +1,63 @@
-//! The simulator's wire: a codec for frames and the table of instances. It decides nothing.
+//! The simulator's wire: decodes batches of event records for many instances of the decision module, runs a
+//! round of each instance that has events, and encodes their actions (the operators' page WIRE-marlgap).
+//! Numbers are little-endian, except a replica's, which is big-endian.
+//!
+//! It decides nothing and reads no clock: the time of a round comes in with its batch. A malformed batch ends
+//! the run with an error that names the batch, the record and the field; it is never read past its end.
+#![warn(missing_docs)]
+
+mod action;
+mod event;
+mod record;
+
 use std::collections::BTreeMap;
-use std::fmt;
 use std::io::{Read, Write};
 
-use crate::balancer::interface::*;
+use thiserror::Error;
+
+use self::action::Reply;
+use self::event::{decode_endpoint, decode_event};
+use self::record::{tail_slice, Record};
+use crate::balancer::interface::{Endpoint, Event};
 use crate::config::settings::{self, Deployment, LoadReportField};
 use crate::Balancer;
 
+/// Bytes of an event record.
 const EVENT_BYTES: usize = 48;
+/// Bytes of an entry of an endpoint list.
 const ENTRY_BYTES: usize = 23;
-const LISTS: u32 = 16;
-/// No sane batch is larger; a length beyond it is taken for a broken frame, not allocated.
-const LARGEST_FRAME: usize = 1 << 30;
-
-/// What was wrong, and where.
-#[derive(Debug, Clone, PartialEq, Eq)]
-pub struct WireError(pub String);
-
-impl fmt::Display for WireError {
-    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        f.write_str(&self.0)
-    }
-}
-
-impl std::error::Error for WireError {}
-
-fn bad<T>(text: impl Into<String>) -> Result<T, WireError> {
-    Err(WireError(text.into()))
-}
+/// Bytes of a batch header: record count, body length, clock.
+const HEADER_BYTES: usize = 16;
+/// Endpoint lists that can be registered at the same time.
+const MAX_LISTS: u32 = 16;
+/// No sane batch is larger, in bytes: a greater length is taken for a malformed header, and not allocated.
+const MAX_BATCH_BYTES: usize = 1 << 30;
 
-/// Fields of a record by offset; an offset outside it reads as zero, which no fixed-size record meets.
-struct Fields<'a>(&'a [u8]);
-
-impl Fields<'_> {
-    fn bytes<const N: usize>(&self, at: usize) -> [u8; N] {
-        let mut out = [0; N];
-        if let Some(slice) = self.0.get(at..at + N) {
-            out.copy_from_slice(slice);
-        }
-        out
-    }
-    fn u8(&self, at: usize) -> u8 {
-        self.bytes::<1>(at)[0]
-    }
-    fn u16(&self, at: usize) -> u16 {
-        u16::from_le_bytes(self.bytes(at))
-    }
-    fn u32(&self, at: usize) -> u32 {
-        u32::from_le_bytes(self.bytes(at))
-    }
-    fn u64(&self, at: usize) -> u64 {
-        u64::from_le_bytes(self.bytes(at))
-    }
-    fn f32(&self, at: usize) -> f64 {
-        f64::from(f32::from_le_bytes(self.bytes(at)))
-    }
-    fn f64(&self, at: usize) -> f64 {
-        f64::from_le_bytes(self.bytes(at))
-    }
-    fn replica(&self, at: usize) -> ReplicaId {
-        let b: [u8; 6] = self.bytes(at);
-        ReplicaId(u64::from_be_bytes([0, 0, b[0], b[1], b[2], b[3], b[4], b[5]]))
-    }
-}
+/// Codes of the records that the host handles itself.
+const SPAWN: u8 = 0;
+const REMOVE: u8 = 9;
+const REGISTER_LIST: u8 = 10;
+const SELECT: u8 = 11;
 
-fn put_replica(out: &mut [u8], replica: ReplicaId) {
-    out.copy_from_slice(&replica.0.to_be_bytes()[2..8]);
-}
+/// What is wrong with a batch, and where; or why reading or writing failed.
+#[derive(Debug, Clone, PartialEq, Eq, Error)]
+#[error("{0}")]
+pub struct WireError(String);
 
-fn report(record: &Fields, at: usize, names: &[LoadReportField]) -> Result<Option<LoadReport>, WireError> {
-    let n = usize::from(record.u8(at));
-    if n > 4 {
-        return bad(format!("load report of {n} values, at most 4 fit"));
-    }
-    if n == 0 {
-        return Ok(None);
+impl WireError {
+    fn new(message: impl Into<String>) -> WireError {
+        WireError(message.into())
     }
-    let values = (0..n).map(|i| record.f32(at + 1 + 4 * i));
-    Ok(Some(settings::load_report(names, values)))
 }
 
 struct Instance {
     balancer: Balancer,
-    names: Vec<LoadReportField>,
+    report_fields: Vec<LoadReportField>,
+    /// Events of the current batch.
     events: Vec<Event>,
 }
 
-/// All instances of one process, and the lists they share the carriage of.
+/// All instances of one process, and the endpoint lists that they share.
 #[derive(Default)]
 pub struct SimulatorHost {
     instances: BTreeMap<u16, Instance>,
@@ -94,301 +65,135 @@
 }
 
 impl SimulatorHost {
-    /// Take one batch (without its header) and give back the reply, header included.
+    /// Handle one batch: `body` without its header, `clock` in seconds. Gives the reply, header included.
+    ///
+    /// # Errors
+    ///
+    /// A malformed batch; records before the malformed one may have been applied.
     pub fn handle_batch(&mut self, records: u32, clock: f64, body: &[u8]) -> Result<Vec<u8>, WireError> {
-        let Some(split) = (records as usize).checked_mul(EVENT_BYTES).filter(|n| *n <= body.len()) else {
-            return bad(format!("batch of {records} records does not fit its {} bytes", body.len()));
+        let length = (records as usize).checked_mul(EVENT_BYTES).filter(|length| *length <= body.len());
+        let Some(length) = length else {
+            let message = format!("batch of {records} records does not fit its {} bytes", body.len());
+            return Err(WireError(message));
         };
         if !clock.is_finite() {
-            return bad("batch header: the clock is not a number");
+            return Err(WireError::new("batch header: the clock is not a number"));
         }
-        let (records, tail) = body.split_at(split);
-        let mut current = None;
+        let (records, tail) = body.split_at(length);
+        let mut selected = None;
         for (i, record) in records.chunks_exact(EVENT_BYTES).enumerate() {
-            self.event(&Fields(record), tail, &mut current)
+            self.handle_record(&Record(record), tail, &mut selected)
                 .map_err(|e| WireError(format!("record {i} (code {}): {e}", record[0])))?;
         }
+        Ok(self.run_rounds(clock))
+    }
+
+    /// A round of each instance that has events.
+    fn run_rounds(&mut self, clock: f64) -> Vec<u8> {
         let mut reply = Reply::default();
         for (number, instance) in &mut self.instances {
             let events = std::mem::take(&mut instance.events);
             if !events.is_empty() {
-                reply.actions(*number, &instance.balancer.round(clock, &events));
+                reply.add_actions(*number, &instance.balancer.round(clock, &events));
             }
         }
-        Ok(reply.frame())
+        reply.encode()
     }
 
-    fn event(&mut self, r: &Fields, tail: &[u8], current: &mut Option<u16>) -> Result<(), WireError> {
-        match r.u8(0) {
-            11 => *current = Some(r.u16(1)),
-            10 => self.register(r, tail)?,
-            code => {
-                let Some(number) = *current else {
-                    return bad("no select before it");
-                };
-                match code {
-                    0 => self.spawn(number, r, tail)?,
-                    9 => drop(self.instances.remove(&number)),
-                    _ => self.deliver(number, code, r, tail)?,
-                }
+    /// Apply one record. `selected` is the instance that the last select record of the batch named.
+    fn handle_record(
+        &mut self,
+        record: &Record,
+        tail: &[u8],
+        selected: &mut Option<u16>,
+    ) -> Result<(), WireError> {
+        let code = record.code();
+        if code == SELECT {
+            *selected = Some(record.u16(1));
+            return Ok(());
+        }
+        if code == REGISTER_LIST {
+            return self.register_list(record, tail);
+        }
+        let Some(number) = *selected else {
+            return Err(WireError::new("no select before it"));
+        };
+        match code {
+            SPAWN => self.spawn(number, record, tail),
+            REMOVE => {
+                self.instances.remove(&number);
+                Ok(())
             }
+            _ => self.queue_event(number, record, tail),
         }
-        Ok(())
     }
 
-    fn spawn(&mut self, number: u16, r: &Fields, tail: &[u8]) -> Result<(), WireError> {
-        let info = slice(tail, r.u32(9), r.u32(13), 1, "BootInfo")?;
-        let told = settings::parse(info).map_err(|e| WireError(e.to_string()))?;
-        let Deployment { settings, report_fields: names, .. } = told;
-        let balancer = Balancer::new(settings, r.u64(1)).map_err(|e| WireError(e.to_string()))?;
-        self.instances.insert(number, Instance { balancer, names, events: Vec::new() });
+    fn spawn(&mut self, number: u16, record: &Record, tail: &[u8]) -> Result<(), WireError> {
+        let text = tail_slice(tail, record.u32(9), record.u32(13), 1, "BootInfo")?;
+        let Deployment { settings, report_fields, .. } =
+            settings::parse(text).map_err(|e| WireError(e.to_string()))?;
+        let balancer = Balancer::new(settings, record.u64(1)).map_err(|e| WireError(e.to_string()))?;
+        self.instances.insert(number, Instance { balancer, report_fields, events: Vec::new() });
         Ok(())
     }
 
-    fn register(&mut self, r: &Fields, tail: &[u8]) -> Result<(), WireError> {
-        let sheet = r.u32(1);
-        if sheet >= LISTS {
-            return bad(format!("list number {sheet} is over {}", LISTS - 1));
+    fn register_list(&mut self, record: &Record, tail: &[u8]) -> Result<(), WireError> {
+        let number = record.u32(1);
+        if number >= MAX_LISTS {
+            return Err(WireError(format!("list number {number} is over {}", MAX_LISTS - 1)));
         }
-        let bytes = slice(tail, r.u32(5), r.u32(9), ENTRY_BYTES, "NodesList")?;
-        let entries: Result<_, _> = bytes.chunks_exact(ENTRY_BYTES).map(entry).collect();
-        self.lists.insert(sheet, entries?);
+        let bytes = tail_slice(tail, record.u32(5), record.u32(9), ENTRY_BYTES, "NodesList")?;
+        let endpoints: Result<_, _> = bytes.chunks_exact(ENTRY_BYTES).map(decode_endpoint).collect();
+        self.lists.insert(number, endpoints?);
         Ok(())
     }
 
-    fn deliver(&mut self, number: u16, code: u8, r: &Fields, tail: &[u8]) -> Result<(), WireError> {
-        let lists = &self.lists;
+    fn queue_event(&mut self, number: u16, record: &Record, tail: &[u8]) -> Result<(), WireError> {
         let Some(instance) = self.instances.get_mut(&number) else {
-            return bad(format!("instance {number} is not running"));
-        };
-        let event = match code {
-            1 => members(r, lists)?,
-            2 => arrival(r)?,
-            // Nothing streams here and peers are not listened to; the round still happens.
-            3 => Event::Timer,
-            8 => {
-                slice(tail, r.u32(5), r.u32(9), 1, "Msg")?;
-                Event::Timer
-            }
-            4 => Event::Outcome {
-                part: PartId(r.u32(1)),
-                attempt: r.u8(5),
-                replica: r.replica(6),
-                part_finished: r.u8(12) != 0,
-                outcome: outcome(r.u8(13))?,
-                elapsed: r.f64(14),
-                report: report(r, 22, &instance.names)?,
-            },
-            5 => Event::ClientDisconnected { query: QueryId(r.u32(1)) },
-            6 => Event::Timer,
-            7 => Event::HealthChecked {
-                replica: r.replica(1),
-                healthy: r.u8(7) == 0,
-                elapsed: r.f64(8),
-                report: report(r, 16, &instance.names)?,
-            },
-            _ => return bad("unknown event code"),
+            return Err(WireError(format!("instance {number} is not running")));
         };
+        let event = decode_event(record, tail, &self.lists, &instance.report_fields)?;
         instance.events.push(event);
         Ok(())
     }
 }
 
-fn slice<'a>(tail: &'a [u8], at: u32, n: u32, size: usize, name: &str) -> Result<&'a [u8], WireError> {
-    let start = at as usize;
-    let end = (n as usize).checked_mul(size).and_then(|bytes| bytes.checked_add(start));
-    match end.and_then(|end| tail.get(start..end)) {
-        Some(bytes) => Ok(bytes),
-        None => bad(format!("{name} at {at}, length {n}, lies outside the tail of {} bytes", tail.len())),
-    }
-}
-
-fn entry(bytes: &[u8]) -> Result<Endpoint, WireError> {
-    let r = Fields(bytes);
-    Ok(Endpoint {
-        replica: r.replica(0),
-        zone: ZoneId(r.u8(6)),
-        cell: CellId(r.u16(8)),
-        state: match r.u8(10) {
-            0 => EndpointState::Draining,
-            1 => EndpointState::Ready,
-            2 => EndpointState::Removed,
-            other => return bad(format!("Phase {other} is unknown")),
-        },
-        weight: r.f32(11),
-        started: Some(r.f64(15)).filter(|t| *t > 0.0 && t.is_finite()),
-    })
-}
-
-fn members(r: &Fields, lists: &BTreeMap<u32, Vec<Endpoint>>) -> Result<Event, WireError> {
-    let news = match r.u8(5) {
-        0 => return Ok(Event::Endpoints { update: EndpointUpdate::Failed, endpoints: Vec::new() }),
-        1 => EndpointUpdate::Full,
-        2 => EndpointUpdate::Delta,
-        3 => EndpointUpdate::Cached,
-        other => return bad(format!("Form {other} is unknown")),
-    };
-    match lists.get(&r.u32(1)) {
-        Some(entries) => Ok(Event::Endpoints { update: news, endpoints: entries.clone() }),
-        None => bad(format!("Sheet {} was not registered", r.u32(1))),
-    }
-}
-
-fn arrival(r: &Fields) -> Result<Event, WireError> {
-    let (number, shard, amount) = (r.f32(21), r.f32(42), r.f32(36));
-    if !(0.0..=u32::MAX as f64).contains(&number) {
-        return bad(format!("WholeNo {number} is out of range"));
-    }
-    let number = QueryNumber(number as u32);
-    if shard < 0.0 {
-        let patience = r.f64(5);
-        if !patience.is_finite() {
-            return bad("BudgetS is not a number");
-        }
-        return Ok(Event::Query {
-            query: QueryId(r.u32(1)),
-            number,
-            class: ClassId(r.u16(40)),
-            tenant: TenantId(r.u16(34)),
-            time_left: patience,
-            parts: amount as u32,
-            is_retry: r.u8(25) & 2 != 0,
-        });
-    }
-    if !(0.0..=u32::MAX as f64).contains(&shard) {
-        return bad(format!("RangeNo {shard} is out of range"));
-    }
-    Ok(Event::Part {
-        part: PartId(r.u32(1)),
-        number,
-        shard: ShardId(shard as u32),
-        weight: amount,
-        prior_attempts: 0,
-        completed: false,
-    })
-}
-
-fn outcome(code: u8) -> Result<Outcome, WireError> {
-    Ok(match code {
-        0 => Outcome::Succeeded,
-        5 => Outcome::Error,
-        11 => Outcome::Rejected,
-        104 => Outcome::Reset,
-        110 => Outcome::TimedOut,
-        111 => Outcome::ConnectFailed,
-        114 => Outcome::NeverSent,
-        125 => Outcome::Cancelled,
-        other => return bad(format!("StateCode {other} is unknown")),
-    })
-}
-
-/// A reply in the making.
-#[derive(Default)]
-struct Reply {
-    records: Vec<[u8; 24]>,
-}
-
-impl Reply {
-    fn actions(&mut self, instance: u16, actions: &[Action]) {
-        if actions.is_empty() {
-            return;
-        }
-        let mut select = [0; 24];
-        select[0] = 7;
-        select[1..3].copy_from_slice(&instance.to_le_bytes());
-        self.records.push(select);
-        self.records.extend(actions.iter().map(action));
-    }
-
-    fn frame(&self) -> Vec<u8> {
-        let body = self.records.concat();
-        let mut out = Vec::with_capacity(8 + body.len());
-        out.extend((body.len() as u32).to_le_bytes());
-        out.extend((self.records.len() as u32).to_le_bytes());
-        out.extend(body);
-        out
-    }
-}
-
-fn action(action: &Action) -> [u8; 24] {
-    let mut r = [0; 24];
-    let mut head = |code: u8, id: u32| {
-        r[0] = code;
-        r[1..5].copy_from_slice(&id.to_le_bytes());
-    };
-    match action {
-        Action::Send { part, replica, timeout } => {
-            head(0, part.0);
-            put_replica(&mut r[5..11], *replica);
-            r[11..19].copy_from_slice(&timeout.unwrap_or(0.0).to_le_bytes());
-        }
-        Action::Cancel { part, attempt } => {
-            head(8, part.0);
-            r[5] = *attempt;
-        }
-        Action::Answer { query, complete } => {
-            head(13, query.0);
-            r[5] = u8::from(*complete);
-        }
-        Action::Reject { query, retry_after } => {
-            head(11, query.0);
-            r[5..13].copy_from_slice(&retry_after.unwrap_or(0.0).to_le_bytes());
-        }
-        Action::Fail { query } => head(1, query.0),
-        Action::HealthCheck { replica } => {
-            r[0] = 3;
-            put_replica(&mut r[1..7], *replica);
-        }
-        Action::CloseIdle { replica } => {
-            r[0] = 12;
-            put_replica(&mut r[1..7], *replica);
-        }
-        Action::Timer { after } => {
-            r[0] = 4;
-            r[1..9].copy_from_slice(&after.to_le_bytes());
-        }
-        Action::Subscribe => {
-            r[0] = 2;
-            r[1] = 1;
-        }
-    }
-    r
-}
-
-/// Read at most `len` bytes; the count tells how many came before the input ended.
-fn read_up_to(input: &mut impl Read, len: usize) -> Result<Vec<u8>, WireError> {
-    let mut buf = Vec::new();
-    match input.take(len as u64).read_to_end(&mut buf) {
-        Ok(_) => Ok(buf),
-        Err(e) => bad(format!("reading: {e}")),
-    }
+/// Read `length` bytes, or fewer where the input ends before.
+fn read_up_to(input: &mut impl Read, length: usize) -> Result<Vec<u8>, WireError> {
+    let mut bytes = Vec::new();
+    input.take(length as u64).read_to_end(&mut bytes).map_err(|e| WireError(format!("reading: {e}")))?;
+    Ok(bytes)
 }
 
 /// Serve batches until the input ends.
+///
+/// # Errors
+///
+/// A batch that is malformed or cut off, or input or output that fails.
 pub fn serve(input: &mut impl Read, output: &mut impl Write) -> Result<(), WireError> {
     let mut host = SimulatorHost::default();
     for batch in 0u64.. {
-        let head = read_up_to(input, 16)?;
-        if head.is_empty() {
+        let in_batch = |e: WireError| WireError(format!("batch {batch}: {e}"));
+        let header = read_up_to(input, HEADER_BYTES)?;
+        if header.is_empty() {
             break;
         }
-        let fields = Fields(&head);
-        let length = fields.u32(4) as usize;
-        if head.len() < 16 {
-            return bad(format!("batch {batch}: header cut off after {} bytes", head.len()));
+        if header.len() < HEADER_BYTES {
+            let message = format!("header cut off after {} bytes", header.len());
+            return Err(in_batch(WireError(message)));
         }
-        if length > LARGEST_FRAME {
-            return bad(format!("batch {batch}: length {length} is over {LARGEST_FRAME}"));
+        let header = Record(&header);
+        let length = header.u32(4) as usize;
+        if length > MAX_BATCH_BYTES {
+            return Err(in_batch(WireError(format!("length {length} is over {MAX_BATCH_BYTES}"))));
         }
         let body = read_up_to(input, length)?;
         if body.len() < length {
-            return bad(format!("batch {batch}: {} bytes of {length} came", body.len()));
+            return Err(in_batch(WireError(format!("{} bytes of {length} came", body.len()))));
         }
-        let reply = host
-            .handle_batch(fields.u32(0), fields.f64(8), &body)
-            .map_err(|e| WireError(format!("batch {batch}: {e}")))?;
-        let sent = output.write_all(&reply).and_then(|()| output.flush());
-        sent.map_err(|e| WireError(format!("batch {batch}: writing the reply: {e}")))?;
+        let reply = host.handle_batch(header.u32(0), header.f64(8), &body).map_err(in_batch)?;
+        let written = output.write_all(&reply).and_then(|()| output.flush());
+        written.map_err(|e| in_batch(WireError(format!("writing the reply: {e}"))))?;
     }
     Ok(())
 }
