--- a/src/grpc_routing/shard.rs
+++ b/src/grpc_routing/shard.rs
@@ -1,4 +1,5 @@
-//! Reads a key out of a first message without its schema, by prost's wire primitives, and hashes keys.
+//! Finds a field of a first message without its schema, by prost's wire primitives, and hashes keys. Reads no
+//! more than the message, and decompresses no more than a limit.
 use std::hash::Hasher;
 use std::io::Read;
 
@@ -17,7 +18,8 @@
 }
 
 /// Bytes that are no protobuf message.
-#[derive(Debug, PartialEq, Eq)]
+#[derive(Debug, PartialEq, Eq, thiserror::Error)]
+#[error("the message is malformed")]
 pub struct MalformedMessage;
 
 impl From<DecodeError> for MalformedMessage {
@@ -28,9 +30,14 @@
 
 /// The field at `path` of a protobuf message: the last one counts where there are several, as for any reader
 /// (Protocol Buffers encoding, "Last One Wins"), over all occurrences of the messages that lead to it.
+///
+/// # Errors
+///
+/// [`MalformedMessage`] if the message, or one on the path, cannot be decoded.
 pub fn find_field<'m>(message: &'m [u8], path: &[u32]) -> Result<Option<FieldValue<'m>>, MalformedMessage> {
     let Some((wanted, rest)) = path.split_first() else { return Ok(None) };
-    let (mut buf, mut found) = (message, None);
+    let mut buf = message;
+    let mut found = None;
     while !buf.is_empty() {
         let (tag, wire) = decode_key(&mut buf)?;
         if tag != *wanted {
@@ -45,19 +52,19 @@
                 let end = usize::try_from(length).ok().and_then(|n| at.checked_add(n));
                 let inner = end.and_then(|end| before.get(at..end)).ok_or(MalformedMessage)?;
                 buf = &before[at + inner.len()..];
-                match leaf {
-                    true => found = Some(FieldValue::Bytes(inner)),
-                    false => found = find_field(inner, rest)?.or(found),
-                }
+                found =
+                    if leaf { Some(FieldValue::Bytes(inner)) } else { find_field(inner, rest)?.or(found) };
             }
             (WireType::Varint, true) => found = Some(FieldValue::Number(decode_varint(&mut buf)?)),
             (WireType::ThirtyTwoBit, true) => {
                 let (bytes, left) = buf.split_first_chunk::<4>().ok_or(MalformedMessage)?;
-                (found, buf) = (Some(FieldValue::Number(u32::from_le_bytes(*bytes).into())), left);
+                found = Some(FieldValue::Number(u32::from_le_bytes(*bytes).into()));
+                buf = left;
             }
             (WireType::SixtyFourBit, true) => {
                 let (bytes, left) = buf.split_first_chunk::<8>().ok_or(MalformedMessage)?;
-                (found, buf) = (Some(FieldValue::Number(u64::from_le_bytes(*bytes))), left);
+                found = Some(FieldValue::Number(u64::from_le_bytes(*bytes)));
+                buf = left;
             }
             _ => skip_field(wire, tag, &mut buf, DecodeContext::default())?,
         }
@@ -72,23 +79,29 @@
     hasher.finish()
 }
 
-/// The first message of a call as its sender meant it. `packed` is its compressed flag, `encoding` the call's
-/// `grpc-encoding`; `most` bounds what it may come to.
+/// The first message of a call, decompressed. `compressed` is its compressed flag (gRPC over HTTP/2),
+/// `encoding` the call's `grpc-encoding`, and `max_bytes` the largest size that it may have.
+///
+/// # Errors
+///
+/// [`ShardError::TooLarge`], [`ShardError::UnsupportedEncoding`], or [`ShardError::Unusable`] for corrupt
+/// data.
 pub fn first_message<'m>(
     message: &'m [u8],
-    packed: bool,
+    compressed: bool,
     encoding: Option<&str>,
-    most: usize,
+    max_bytes: usize,
 ) -> Result<std::borrow::Cow<'m, [u8]>, ShardError> {
-    match (packed, encoding) {
+    match (compressed, encoding) {
         (false, _) => Ok(message.into()),
         (true, Some("identity")) => Ok(message.into()),
         (true, Some("gzip")) => {
             let mut out = Vec::new();
-            // One byte more than may be tells a bomb from what just fits; no more than that is ever unpacked.
-            let read = flate2::read::GzDecoder::new(message).take(most as u64 + 1).read_to_end(&mut out);
+            // One byte above the limit tells a bomb from a message that just fits; no more is ever
+            // decompressed.
+            let read = flate2::read::GzDecoder::new(message).take(max_bytes as u64 + 1).read_to_end(&mut out);
             match read {
-                Ok(n) if n > most => Err(ShardError::TooLarge),
+                Ok(n) if n > max_bytes => Err(ShardError::TooLarge),
                 Ok(_) => Ok(out.into()),
                 Err(_) => Err(ShardError::Unusable("the first message".into())),
             }
--- a/src/grpc_routing/table.rs
+++ b/src/grpc_routing/table.rs
@@ -2,16 +2,18 @@
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
-use super::{Merge, MethodKind, RepeatEffect, Route, RouteRow, ShardSource};
+use super::{KeyMapping, Merge, MethodKind, RepeatEffect, Route, RouteRow, ShardSource};
 use crate::balancer::interface::{Class, ClassId, Idempotency};
 use crate::config::settings::Deployment;
 
-/// What is wrong with a row.
+/// What is wrong with a row of the table.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct RowError {
+    /// Index of the row, from 0.
     pub row: usize,
     /// The key at fault, if it is one.
     pub key: Option<&'static str>,
+    /// What is wrong with it.
     pub what: String,
 }
 
@@ -27,95 +29,52 @@
 /// Metadata that a route may not take its shard from: it is not the caller's word, or changes on its way.
 const NOT_KEYS: [&str; 4] = ["grpc-timeout", "content-type", "te", "user-agent"];
 
+/// Largest field number of a protobuf message.
+const MAX_FIELD_NUMBER: u32 = (1 << 29) - 1;
+/// Longest path to a field.
+const MAX_FIELD_DEPTH: usize = 16;
+
 /// The service that the front itself is (gRPC health checking protocol).
 const HEALTH: &str = "/grpc.health.v1.Health/";
 
 impl RouteTable {
-    /// Compile the rows. A class gets a variant of its own in `told` for each effect, or ban on copies, that a row
-    /// gives it: the decision module goes by classes alone. Variants that are there already are used again, so that a table
-    /// that is reread adds classes behind those that a core knows.
+    /// Compile the rows. `max_message_bytes` is the front's limit.
+    ///
+    /// A class gets a variant of its own in `deployment` for each idempotency, or ban on hedging, that a row
+    /// gives it: the decision module goes by classes alone. Variants that are there already are used again,
+    /// so that a reload adds classes behind those that a running coordinator knows.
+    ///
+    /// # Errors
+    ///
+    /// The first row that cannot be used, and why.
     pub fn compile(
         rows: &[RouteRow],
-        told: &mut Deployment,
-        shards: u32,
-        most: usize,
+        deployment: &mut Deployment,
+        shard_count: u32,
+        max_message_bytes: usize,
     ) -> Result<RouteTable, RowError> {
         let mut table = RouteTable::default();
-        for (n, row) in rows.iter().enumerate() {
-            let bad = |key, what: String| Err(RowError { row: n, key: Some(key), what });
-            let class = told.class_names.iter().position(|c| *c == row.class);
-            let Some(class) = class else {
-                return bad("class", format!("no class '{}' in settings.Classes", row.class));
-            };
-            let mut wanted = told.settings.classes[class];
-            let own = match wanted.idempotency {
-                Idempotency::Keyed { window } => Some(window),
-                _ => None,
-            };
-            match row.effect {
-                None if row.window_s.is_some() => return bad("window_s", "goes with effect 'keyed'".into()),
-                None => {}
-                Some(RepeatEffect::Safe) => wanted.idempotency = Idempotency::Idempotent,
-                Some(RepeatEffect::Unsafe) => wanted.idempotency = Idempotency::NonIdempotent,
-                Some(RepeatEffect::Keyed) => match row.window_s.or(own) {
-                    Some(window) if window.is_finite() && window > 0.0 => {
-                        wanted.idempotency = Idempotency::Keyed { window }
-                    }
-                    Some(_) => return bad("window_s", "must be over 0".into()),
-                    None => return bad("window_s", "is missing: for how long are repeats dropped?".into()),
-                },
-            }
-            // A second step belongs to the platform's classes; a call has one.
-            wanted.second_step_parts = 0;
-            wanted.hedging &= row.hedging;
-            let several =
-                matches!(row.shard, ShardSource::Metadata { mapping: super::KeyMapping::Number, .. });
-            if row.merge.is_some() && (row.kind != MethodKind::Unary || !several) {
-                return bad("merge", "is for unary methods whose shard is a number in the metadata".into());
-            }
-            match &row.shard {
-                ShardSource::Metadata { key, .. } => {
-                    let lower =
-                        key.bytes().all(|b| matches!(b, b'a'..=b'z' | b'0'..=b'9' | b'-' | b'_' | b'.'));
-                    if key.is_empty() || !lower || key.ends_with("-bin") || NOT_KEYS.contains(&key.as_str()) {
-                        return bad("shard", format!("'{key}' is not a metadata key that can name a shard"));
-                    }
-                }
-                ShardSource::Field { path, .. } => {
-                    if path.is_empty() || path.len() > 16 || path.iter().any(|f| *f == 0 || *f >= 1 << 29) {
-                        return bad("shard", "path must hold 1 to 16 field numbers".into());
-                    }
-                }
-                ShardSource::Any => {}
-            }
-            let message = row.max_message_bytes.unwrap_or(most);
-            if message == 0 || message > most {
-                return bad("message", format!("must be 1 to grpc.front.message, which is {most}"));
-            }
+        for (index, row) in rows.iter().enumerate() {
+            let in_row = |(key, what)| RowError { row: index, key: Some(key), what };
+            let class = class_of(row, deployment).map_err(in_row)?;
+            check_merge(row).map_err(in_row)?;
+            check_shard_source(&row.shard).map_err(in_row)?;
+            let max_message_bytes = message_limit(row, max_message_bytes).map_err(in_row)?;
             if row.max_open_calls == Some(0) {
-                return bad("open", "must be at least 1: a route that takes no call is left out".into());
-            }
-            let same = |(name, class): (&String, &Class)| *name == row.class && *class == wanted;
-            let held = told.class_names.iter().zip(&told.settings.classes).position(same);
-            let id = ClassId(held.unwrap_or(told.settings.classes.len()) as u16);
-            if held.is_none() {
-                told.settings.classes.push(wanted);
-                told.class_names.push(row.class.clone());
+                let what = "must be at least 1: a route that takes no call is left out";
+                return Err(in_row(("open", what.into())));
             }
-            let merge = row.merge.filter(|m| *m == Merge::Concat);
-            let (pattern, kind, shard, open) =
-                (row.pattern.clone(), row.kind, row.shard.clone(), row.max_open_calls);
-            let route = Arc::new(Route {
-                pattern,
-                kind,
-                class: id,
-                shard,
-                merge,
-                max_message_bytes: message,
-                max_open_calls: open,
-                shard_count: shards,
-            });
-            table.insert(n, &row.pattern, route)?;
+            let route = Route {
+                pattern: row.pattern.clone(),
+                kind: row.kind,
+                class: class_id(deployment, &row.class, class),
+                shard: row.shard.clone(),
+                merge: row.merge.filter(|merge| *merge == Merge::Concat),
+                max_message_bytes,
+                max_open_calls: row.max_open_calls,
+                shard_count,
+            };
+            table.insert(index, &row.pattern, Arc::new(route))?;
         }
         Ok(table)
     }
@@ -123,7 +82,7 @@
     fn insert(&mut self, row: usize, pattern: &str, route: Arc<Route>) -> Result<(), RowError> {
         let bad = |what: String| Err(RowError { row, key: Some("match"), what });
         let taken = match split(pattern) {
-            // Guards against a row that looks as if it counted: the front serves this one by itself.
+            // Prevents a row without effect: the front serves this service by itself.
             Some((HEALTH, _)) => return bad(format!("'{pattern}' is never reached: the front answers it")),
             None if pattern == "*" => self.rest.replace(route),
             None => {
@@ -134,10 +93,10 @@
             Some((service, "*")) => self.services.insert(service.to_owned(), route),
             Some(_) => self.methods.insert(pattern.to_owned(), route),
         };
-        match taken {
-            Some(_) => bad(format!("'{pattern}' has another row")),
-            None => Ok(()),
+        if taken.is_some() {
+            return bad(format!("'{pattern}' has another row"));
         }
+        Ok(())
     }
 
     /// The route of a path, the most specific one that fits it.
@@ -161,3 +120,93 @@
     let sound = name.split('.').all(word) && (method == "*" || word(method));
     sound.then_some((service, method))
 }
+
+/// A key of a row, and what is wrong with its value.
+type KeyError = (&'static str, String);
+
+/// The class that a row asks for: the settings' class with the row's idempotency and hedging.
+fn class_of(row: &RouteRow, deployment: &Deployment) -> Result<Class, KeyError> {
+    let index = deployment.class_names.iter().position(|name| *name == row.class);
+    let index = index.ok_or_else(|| ("class", format!("no class '{}' in settings.Classes", row.class)))?;
+    let mut class = deployment.settings.classes[index];
+    if let Some(idempotency) = idempotency_of(row, class.idempotency)? {
+        class.idempotency = idempotency;
+    }
+    // A second step belongs to the platform's classes; a call has one.
+    class.second_step_parts = 0;
+    class.hedging &= row.hedging;
+    Ok(class)
+}
+
+/// The idempotency that a row gives its class, if it does; `own` is the class's.
+fn idempotency_of(row: &RouteRow, own: Idempotency) -> Result<Option<Idempotency>, KeyError> {
+    match row.effect {
+        None if row.window_s.is_some() => Err(("window_s", "goes with effect 'keyed'".into())),
+        None => Ok(None),
+        Some(RepeatEffect::Safe) => Ok(Some(Idempotency::Idempotent)),
+        Some(RepeatEffect::Unsafe) => Ok(Some(Idempotency::NonIdempotent)),
+        Some(RepeatEffect::Keyed) => {
+            let own_window = match own {
+                Idempotency::Keyed { window } => Some(window),
+                _ => None,
+            };
+            let Some(window) = row.window_s.or(own_window) else {
+                return Err(("window_s", "is missing: for how long are repeats dropped?".into()));
+            };
+            if !(window.is_finite() && window > 0.0) {
+                return Err(("window_s", "must be over 0".into()));
+            }
+            Ok(Some(Idempotency::Keyed { window }))
+        }
+    }
+}
+
+fn check_merge(row: &RouteRow) -> Result<(), KeyError> {
+    let may_name_several = matches!(row.shard, ShardSource::Metadata { mapping: KeyMapping::Number, .. });
+    if row.merge.is_some() && (row.kind != MethodKind::Unary || !may_name_several) {
+        return Err(("merge", "is for unary methods whose shard is a number in the metadata".into()));
+    }
+    Ok(())
+}
+
+fn check_shard_source(shard: &ShardSource) -> Result<(), KeyError> {
+    match shard {
+        ShardSource::Metadata { key, .. } => {
+            let is_allowed = |b| matches!(b, b'a'..=b'z' | b'0'..=b'9' | b'-' | b'_' | b'.');
+            let is_plain = !key.is_empty() && key.bytes().all(is_allowed) && !key.ends_with("-bin");
+            if !is_plain || NOT_KEYS.contains(&key.as_str()) {
+                return Err(("shard", format!("'{key}' is not a metadata key that can name a shard")));
+            }
+        }
+        ShardSource::Field { path, .. } => {
+            let is_field_number = |n: &u32| (1..=MAX_FIELD_NUMBER).contains(n);
+            let is_path = (1..=MAX_FIELD_DEPTH).contains(&path.len()) && path.iter().all(is_field_number);
+            if !is_path {
+                return Err(("shard", "path must hold 1 to 16 field numbers".into()));
+            }
+        }
+        ShardSource::Any => {}
+    }
+    Ok(())
+}
+
+fn message_limit(row: &RouteRow, front_limit: usize) -> Result<usize, KeyError> {
+    let bytes = row.max_message_bytes.unwrap_or(front_limit);
+    if bytes == 0 || bytes > front_limit {
+        return Err(("message", format!("must be 1 to grpc.front.message, which is {front_limit}")));
+    }
+    Ok(bytes)
+}
+
+/// The number of a class of this name and content, which is added if there is none.
+fn class_id(deployment: &mut Deployment, name: &str, class: Class) -> ClassId {
+    let classes = &mut deployment.settings.classes;
+    let names = &mut deployment.class_names;
+    let known = names.iter().zip(classes.iter()).position(|(n, c)| n == name && *c == class);
+    let index = known.unwrap_or(classes.len());
+    if known.is_none() {
+        classes.push(class);
+        names.push(name.to_owned());
+    }
+    ClassId(index as u16)
+}
--- a/tests/fleet.rs
+++ b/tests/many_coordinators.rs
@@ -303,7 +303,7 @@
 }
 
 #[test]
-fn a_lost_room_is_left_alone_though_each_of_its_data_nodes_is_met_seldom() {
+fn an_unreachable_zone_is_avoided_though_each_of_its_data_nodes_is_sent_to_seldom() {
     let mut world = World::new(20, 60);
     world.run(5.0, 0.5, 60);
     // All of one zone: no connection comes up, and each coordinator meets a data node every two seconds.
