--- a/src/grpc_routing/mod.rs
+++ b/src/grpc_routing/mod.rs
@@ -69,7 +69,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "snake_case", deny_unknown_fields, tag = "from")]
 pub enum ShardSource {
-    /// A metadata key; with [`As::Number`] a list of numbers for a call to several shards.
+    /// A metadata key; with [`KeyMapping::Number`] a list of numbers for a call to several shards.
     Metadata {
         /// The key, in lower case.
         key: String,
--- a/tests/settings.rs
+++ b/tests/settings.rs
@@ -4,7 +4,10 @@
 use std::path::Path;
 use std::process::Command;
 
-use marlgap::balancer::interface::*;
+use marlgap::balancer::interface::{
+    Action, CellId, ClassId, Discovery, Endpoint, EndpointState, EndpointUpdate, Event, Idempotency, PartId,
+    QueryId, QueryNumber, ReplicaId, ShardId, TenantId,
+};
 use marlgap::config::settings::{self, Deployment};
 use marlgap::Balancer;
 use serde_json::{json, Value};
