--- a/src/grpc_routing/shard.rs
+++ b/src/grpc_routing/shard.rs
@@ -1,15 +1,16 @@
-//! Reads a key out of a first message without its schema, by prost's wire primitives, and hashes keys.
+//! Finds a field of a first message without its schema, by prost's wire primitives, and hashes keys. Reads no
+//! more than the message, and decompresses no more than a limit.
 use std::hash::Hasher;
 use std::io::Read;
 
 use prost::encoding::{decode_key, decode_varint, skip_field, DecodeContext, WireType};
 use prost::DecodeError;
 
-use super::NoShard;
+use super::ShardError;
 
 /// A field's value as it stands on the wire.
 #[derive(Debug, PartialEq, Eq)]
-pub enum Field<'m> {
+pub enum FieldValue<'m> {
     /// Varint, fixed32 or fixed64, unsigned.
     Number(u64),
     /// Length-delimited: text, bytes or a message.
@@ -17,20 +18,26 @@
 }
 
 /// Bytes that are no protobuf message.
-#[derive(Debug, PartialEq, Eq)]
-pub struct Malformed;
+#[derive(Debug, PartialEq, Eq, thiserror::Error)]
+#[error("the message is malformed")]
+pub struct MalformedMessage;
 
-impl From<DecodeError> for Malformed {
+impl From<DecodeError> for MalformedMessage {
     fn from(_: DecodeError) -> Self {
-        Malformed
+        MalformedMessage
     }
 }
 
 /// The field at `path` of a protobuf message: the last one counts where there are several, as for any reader
 /// (Protocol Buffers encoding, "Last One Wins"), over all occurrences of the messages that lead to it.
-pub fn field<'m>(message: &'m [u8], path: &[u32]) -> Result<Option<Field<'m>>, Malformed> {
+///
+/// # Errors
+///
+/// [`MalformedMessage`] if the message, or one on the path, cannot be decoded.
+pub fn find_field<'m>(message: &'m [u8], path: &[u32]) -> Result<Option<FieldValue<'m>>, MalformedMessage> {
     let Some((wanted, rest)) = path.split_first() else { return Ok(None) };
-    let (mut buf, mut found) = (message, None);
+    let mut buf = message;
+    let mut found = None;
     while !buf.is_empty() {
         let (tag, wire) = decode_key(&mut buf)?;
         if tag != *wanted {
@@ -43,21 +50,21 @@
                 let length = decode_varint(&mut buf)?;
                 let at = before.len() - buf.len();
                 let end = usize::try_from(length).ok().and_then(|n| at.checked_add(n));
-                let inner = end.and_then(|end| before.get(at..end)).ok_or(Malformed)?;
+                let inner = end.and_then(|end| before.get(at..end)).ok_or(MalformedMessage)?;
                 buf = &before[at + inner.len()..];
-                match leaf {
-                    true => found = Some(Field::Bytes(inner)),
-                    false => found = field(inner, rest)?.or(found),
-                }
+                found =
+                    if leaf { Some(FieldValue::Bytes(inner)) } else { find_field(inner, rest)?.or(found) };
             }
-            (WireType::Varint, true) => found = Some(Field::Number(decode_varint(&mut buf)?)),
+            (WireType::Varint, true) => found = Some(FieldValue::Number(decode_varint(&mut buf)?)),
             (WireType::ThirtyTwoBit, true) => {
-                let (bytes, left) = buf.split_first_chunk::<4>().ok_or(Malformed)?;
-                (found, buf) = (Some(Field::Number(u32::from_le_bytes(*bytes).into())), left);
+                let (bytes, left) = buf.split_first_chunk::<4>().ok_or(MalformedMessage)?;
+                found = Some(FieldValue::Number(u32::from_le_bytes(*bytes).into()));
+                buf = left;
             }
             (WireType::SixtyFourBit, true) => {
-                let (bytes, left) = buf.split_first_chunk::<8>().ok_or(Malformed)?;
-                (found, buf) = (Some(Field::Number(u64::from_le_bytes(*bytes))), left);
+                let (bytes, left) = buf.split_first_chunk::<8>().ok_or(MalformedMessage)?;
+                found = Some(FieldValue::Number(u64::from_le_bytes(*bytes)));
+                buf = left;
             }
             _ => skip_field(wire, tag, &mut buf, DecodeContext::default())?,
         }
@@ -72,27 +79,33 @@
     hasher.finish()
 }
 
-/// The first message of a call as its sender meant it. `packed` is its compressed flag, `encoding` the call's
-/// `grpc-encoding`; `most` bounds what it may come to.
+/// The first message of a call, decompressed. `compressed` is its compressed flag (gRPC over HTTP/2),
+/// `encoding` the call's `grpc-encoding`, and `max_bytes` the largest size that it may have.
+///
+/// # Errors
+///
+/// [`ShardError::TooLarge`], [`ShardError::UnsupportedEncoding`], or [`ShardError::Unusable`] for corrupt
+/// data.
 pub fn first_message<'m>(
     message: &'m [u8],
-    packed: bool,
+    compressed: bool,
     encoding: Option<&str>,
-    most: usize,
-) -> Result<std::borrow::Cow<'m, [u8]>, NoShard> {
-    match (packed, encoding) {
+    max_bytes: usize,
+) -> Result<std::borrow::Cow<'m, [u8]>, ShardError> {
+    match (compressed, encoding) {
         (false, _) => Ok(message.into()),
         (true, Some("identity")) => Ok(message.into()),
         (true, Some("gzip")) => {
             let mut out = Vec::new();
-            // One byte more than may be tells a bomb from what just fits; no more than that is ever unpacked.
-            let read = flate2::read::GzDecoder::new(message).take(most as u64 + 1).read_to_end(&mut out);
+            // One byte above the limit tells a bomb from a message that just fits; no more is ever
+            // decompressed.
+            let read = flate2::read::GzDecoder::new(message).take(max_bytes as u64 + 1).read_to_end(&mut out);
             match read {
-                Ok(n) if n > most => Err(NoShard::TooLarge),
+                Ok(n) if n > max_bytes => Err(ShardError::TooLarge),
                 Ok(_) => Ok(out.into()),
-                Err(_) => Err(NoShard::Bad("the first message".into())),
+                Err(_) => Err(ShardError::Unusable("the first message".into())),
             }
         }
-        (true, other) => Err(NoShard::Packed(other.unwrap_or("none").to_owned())),
+        (true, other) => Err(ShardError::UnsupportedEncoding(other.unwrap_or("none").to_owned())),
     }
 }
--- a/src/net/grpc/front.rs
+++ b/src/net/grpc/front.rs
@@ -19,7 +19,7 @@
 use crate::config::operator::FrontLimits;
 use crate::config::settings::Deployment;
 use crate::coordinator::Coordinator;
-use crate::grpc_routing::Routes;
+use crate::grpc_routing::RouteTable;
 use crate::net::http_server::GracefulShutdown;
 use crate::net::LogRateLimiter;
 
@@ -28,7 +28,7 @@
 
 /// What SIGHUP replaces whole; a call keeps what it began with.
 pub struct Table {
-    pub routes: Routes,
+    pub routes: RouteTable,
     /// The settings with the classes of these routes.
     pub deployment: Deployment,
 }
--- a/src/net/grpc/front/call.rs
+++ b/src/net/grpc/front/call.rs
@@ -108,9 +108,9 @@
     async fn read_start(&self, call: &RoutedCall<'_>, client: &mut Caller) -> Result<RequestStart, Status> {
         let route = call.route;
         let mut replay = Replay::new(self.limits.replay, self.budget.clone());
-        let mut framer = Framer::new(route.message, route.kind.streams_up());
-        let unary = !route.kind.streams_up();
-        let first = if unary || route.looks_inside() {
+        let mut framer = Framer::new(route.max_message_bytes, route.kind.client_streams());
+        let unary = !route.kind.client_streams();
+        let first = if unary || route.needs_first_message() {
             let read = client.take(&mut framer, unary);
             let late = Status::new(Code::DeadlineExceeded, "the request did not come in in time");
             let read = timeout_at(call.deadline, read).await;
