--- a/benches/scale/client.rs
+++ b/benches/scale/client.rs
@@ -9,8 +9,8 @@
 use marlgap::config::settings::{self, Deployment, SettingsParseError};
 use marlgap::coordinator::Coordinator;
 use marlgap::net::data_nodes::DataNodes;
-use marlgap::net::descriptors::Descriptors;
-use marlgap::net::discovery::{Discovery, List};
+use marlgap::net::descriptors::DescriptorBudget;
+use marlgap::net::discovery::{Discovery, EndpointList};
 use serde_json::json;
 
 use crate::standin::{Exchange, Reply, Standin};
@@ -80,7 +80,7 @@
         let told = deployment(data_nodes, zones).expect("the bench's own settings are sound");
         let log = slog::Logger::root(slog::Discard, slog::o!());
         let executor = Rc::new(LocalExecutor::new());
-        let descriptors = Rc::new(Descriptors::new(DESCRIPTORS));
+        let descriptors = Rc::new(DescriptorBudget::new(DESCRIPTORS));
         let nodes = DataNodes::new(told.clone(), descriptors, executor.clone(), log.clone());
         let core =
             Coordinator::new(told.over_sockets(), SEED, told.max_open, executor.clone(), nodes.clone())
@@ -94,7 +94,7 @@
     }
 
     /// Take over a list as the watch does, through the module's round.
-    pub fn take_over(&self, list: &List, news: EndpointUpdate) {
+    pub fn take_over(&self, list: &EndpointList, news: EndpointUpdate) {
         self.discovery.apply(list, news);
         while self.executor.try_tick() {}
     }
@@ -109,7 +109,8 @@
 pub fn follow(data_nodes: u64, zones: u64, known: Option<&str>, replies: Vec<Reply>) -> Vec<Exchange> {
     let standin = Standin::start(replies).expect("a port on loopback");
     let client = Client::new(data_nodes, zones, standin.at);
-    let known: Option<List> = known.map(|text| serde_json::from_str(text).expect("the bench's own list"));
+    let known: Option<EndpointList> =
+        known.map(|text| serde_json::from_str(text).expect("the bench's own list"));
     let executor = client.executor.clone();
     let watch = async {
         client.discovery.run(known.as_ref()).await;
--- a/benches/scale/control/plane/watches.rs
+++ b/benches/scale/control/plane/watches.rs
@@ -10,8 +10,10 @@
 
 use marlgap::balancer::interface::{self, EndpointUpdate};
 use marlgap::net::buffer::Buffer;
-use marlgap::net::discovery::watch_policy::{Terms, CONNECT, CONTINUES, PACE, PAUSE};
-use marlgap::net::discovery::{version, List, MOST_LIST};
+use marlgap::net::discovery::watch_policy::{
+    WatchPolicy, CONNECT_TIMEOUT, MAX_BACKOFF, MIN_CALL_INTERVAL, WATCH_CONTINUES_WITHIN,
+};
+use marlgap::net::discovery::{version, EndpointList, MAX_LIST_BYTES};
 use marlgap::net::http::{self, Kind};
 
 use super::catalogue::{number, Catalogue, Health};
@@ -75,7 +77,7 @@
     /// What discovery sent and received.
     pub served: Flow,
     pub asked: Flow,
-    terms: Terms,
+    terms: WatchPolicy,
     queue: Queue<Event>,
     held: Vec<HeldCall>,
     busy_until: Micros,
@@ -106,7 +108,7 @@
             links: Links::new(seed, 0),
             served: Flow::default(),
             asked: Flow::default(),
-            terms: Terms::of(interface::Discovery::Ask { within: 0.0 }),
+            terms: WatchPolicy::for_discovery(interface::Discovery::Ask { within: 0.0 }),
             queue: Queue::new(),
             held: Vec::new(),
             busy_until: 0,
--- a/benches/scale/control/plane/watches/calls.rs
+++ b/benches/scale/control/plane/watches/calls.rs
@@ -27,12 +27,12 @@
             Event::Answer(i, call, bytes) if self.watches[i].call == call => self.answered(i, &bytes),
             Event::Late(i, call) if self.watches[i].call == call => {
                 // Silent: begun anew, at the pace of calls.
-                let after = (self.watches[i].called + micros(PACE)).saturating_sub(self.now());
+                let after = (self.watches[i].called + micros(MIN_CALL_INTERVAL)).saturating_sub(self.now());
                 self.again(i, after);
             }
             Event::Broken(i, call) if self.watches[i].call == call => {
                 let continues = self.now() < self.watches[i].continues;
-                self.again(i, if continues { 0 } else { micros(PAUSE) });
+                self.again(i, if continues { 0 } else { micros(MAX_BACKOFF) });
                 self.watches[i].failed += u64::from(!continues);
             }
             _ => {}
@@ -56,7 +56,7 @@
             Some(delay) => self.queue.later(2 * delay, Event::Ask(i, call, 2 * delay)),
             None => {
                 watch.failed += 1;
-                self.again(i, micros(CONNECT) + micros(PAUSE));
+                self.again(i, micros(CONNECT_TIMEOUT) + micros(MAX_BACKOFF));
             }
         }
     }
@@ -67,12 +67,12 @@
         if connecting == 0 {
             watch.called = now;
         }
-        let hold = (micros(terms.hold) / MS).saturating_sub(connecting / MS / 100 * 100);
-        let text = version::call(SocketAddr::from(DISCOVERY), watch.seq, hold);
+        let hold = (micros(terms.poll_wait) / MS).saturating_sub(connecting / MS / 100 * 100);
+        let text = version::poll_request(SocketAddr::from(DISCOVERY), watch.seq, hold);
         watch.traffic.sent.add(text.len());
         watch.asked_bytes = text.len();
         let held = HeldCall { watch: i, call: watch.call, index: watch.seq };
-        let latest = watch.called + micros(terms.hold) + micros(terms.late);
+        let latest = watch.called + micros(terms.poll_wait) + micros(terms.answer_slack);
         self.queue.later(latest.saturating_sub(now), Event::Late(i, watch.call));
         if let Some(delay) = self.links.carry(watch.place, AT) {
             self.asked.add(text.len());
@@ -107,7 +107,7 @@
         let watch = &mut self.watches[i];
         watch.traffic.took(begun.elapsed());
         watch.traffic.received.add(bytes.len());
-        watch.continues = now + micros(CONTINUES);
+        watch.continues = now + micros(WATCH_CONTINUES_WITHIN);
         match taken {
             Ok(newer) => {
                 if newer {
@@ -115,13 +115,14 @@
                     watch.news.add(watch.asked_bytes + bytes.len());
                 }
                 watch.call += 1;
-                let next = if newer { 0 } else { (watch.called + micros(PACE)).saturating_sub(now) };
+                let next =
+                    if newer { 0 } else { (watch.called + micros(MIN_CALL_INTERVAL)).saturating_sub(now) };
                 self.queue.later(next, Event::Ask(i, watch.call, 0));
             }
             Err(why) => {
                 watch.failed += 1;
                 self.broken.get_or_insert(why);
-                self.again(i, micros(PAUSE));
+                self.again(i, micros(MAX_BACKOFF));
             }
         }
     }
@@ -130,13 +131,13 @@
     fn take(&mut self, i: usize, bytes: &[u8]) -> Result<bool, String> {
         let mut buffer = Buffer::default();
         let mut stream = bytes;
-        let read = http::read(&mut stream, &mut buffer, Kind::Answer, MOST_LIST);
+        let read = http::read(&mut stream, &mut buffer, Kind::Answer, MAX_LIST_BYTES);
         let message = futures_lite::future::block_on(read).map_err(|e| e.to_string())?;
         let body = message.body(&buffer);
-        let list: List = serde_json::from_slice(&body).map_err(|e| e.to_string())?;
+        let list: EndpointList = serde_json::from_slice(&body).map_err(|e| e.to_string())?;
         let watch = &mut self.watches[i];
-        let taken = version::taken(&list, watch.seq, self.terms.pushed).map_err(|e| e.to_string())?;
-        match taken.news {
+        let taken = version::interpret(&list, watch.seq, self.terms.is_push).map_err(|e| e.to_string())?;
+        match taken.update {
             Some(EndpointUpdate::Full) => {
                 watch.whole += 1;
                 watch.held.fill(Health::Removed as u8);
@@ -144,8 +145,8 @@
             Some(_) => watch.deltas += 1,
             None => {}
         }
-        for host in list.hosts.iter().filter(|_| taken.news.is_some()) {
-            let at = number(&host.host).and_then(|n| watch.held.get_mut(n));
+        for host in list.endpoints.iter().filter(|_| taken.update.is_some()) {
+            let at = number(&host.name).and_then(|n| watch.held.get_mut(n));
             let health = [Health::Up, Health::Draining, Health::Removed];
             let known = health.into_iter().find(|h| h.name() == host.health);
             if let (Some(at), Some(known)) = (at, known) {
@@ -153,6 +154,6 @@
             }
         }
         watch.seq = taken.seq;
-        Ok(taken.newer)
+        Ok(taken.is_new_version)
     }
 }
--- a/benches/scale/listing.rs
+++ b/benches/scale/listing.rs
@@ -4,7 +4,7 @@
 use std::time::Instant;
 
 use marlgap::balancer::interface::EndpointUpdate;
-use marlgap::net::discovery::List;
+use marlgap::net::discovery::EndpointList;
 
 use crate::client::{follow, list, nowhere, Client};
 use crate::options::Options;
@@ -80,7 +80,7 @@
     let (mut parses, mut takes) = (Vec::new(), Vec::new());
     for round in 0..ROUNDS {
         let begun = Instant::now();
-        let list: List =
+        let list: EndpointList =
             serde_json::from_slice(texts[round % texts.len()].as_bytes()).expect("the bench's own list");
         parses.push(begun.elapsed());
         let begun = Instant::now();
--- a/benches/scale/meetings.rs
+++ b/benches/scale/meetings.rs
@@ -1,7 +1,7 @@
 //! Who meets whom: connections of a coordinator, callers of a data node, and how much a coordinator may have open.
 use marlgap::balancer::interface::SettingsError;
 use marlgap::balancer::stretch;
-use marlgap::net::descriptors::Descriptors;
+use marlgap::net::descriptors::DescriptorBudget;
 
 use crate::client::DESCRIPTORS;
 use crate::hollow::{Hollow, Setup};
@@ -42,8 +42,8 @@
 
 /// Connections to data nodes that a coordinator may hold, clients taking none.
 pub fn most_connections() -> f64 {
-    let descriptors = Descriptors::new(DESCRIPTORS);
-    std::iter::repeat_with(|| descriptors.take()).take_while(|taken| *taken).count() as f64
+    let descriptors = DescriptorBudget::new(DESCRIPTORS);
+    std::iter::repeat_with(|| descriptors.try_acquire_backend()).take_while(|taken| *taken).count() as f64
 }
 
 fn connections(options: &Options) -> Result<Vec<Row>, SettingsError> {
--- a/benches/scale/sockets.rs
+++ b/benches/scale/sockets.rs
@@ -9,7 +9,7 @@
 use marlgap::balancer::interface::{EndpointState, Outcome, ShardId};
 use marlgap::coordinator::{Call, CancellationToken, Step, Transport};
 use marlgap::net::data_nodes::{DataNodes, ListedDataNode, RequestContext};
-use marlgap::net::descriptors::Descriptors;
+use marlgap::net::descriptors::DescriptorBudget;
 
 use crate::client::deployment;
 use crate::options::Options;
@@ -97,11 +97,15 @@
     let told = deployment(connections as u64, 1).expect("the bench's own settings are sound");
     let executor = Rc::new(LocalExecutor::new());
     let log = slog::Logger::root(slog::Discard, slog::o!());
-    let room = Rc::new(Descriptors::new(4 * connections));
+    let room = Rc::new(DescriptorBudget::new(4 * connections));
     let nodes = DataNodes::new(told, room, executor.clone(), log);
-    let entry =
-        |n: usize| ListedDataNode { name: format!("n{n}"), address, phase: EndpointState::Ready, born: 0 };
-    let replicas: Vec<_> = (0..connections).map(|n| nodes.list(&entry(n))).collect();
+    let entry = |n: usize| ListedDataNode {
+        name: format!("n{n}"),
+        address,
+        state: EndpointState::Ready,
+        start_unix_ms: 0,
+    };
+    let replicas: Vec<_> = (0..connections).map(|n| nodes.register(&entry(n))).collect();
     let carried = Rc::new(RequestContext::new("a1".to_owned(), vec![b's'; statement]));
     let mut served = 0;
     let info = measure(|| {
--- a/benches/scale/state.rs
+++ b/benches/scale/state.rs
@@ -1,7 +1,7 @@
 //! Memory that a coordinator keeps, counted by the allocator: the list, the module, what is open, what was lately.
 use allocation_counter::measure;
 use marlgap::balancer::interface::{EndpointUpdate, SettingsError, SlowStart};
-use marlgap::net::discovery::List;
+use marlgap::net::discovery::EndpointList;
 
 use crate::client::{list, nowhere, Client};
 use crate::hollow::{Hollow, Setup};
@@ -46,7 +46,7 @@
     let client = Client::new(data_nodes, ZONES, nowhere());
     let info = measure(|| {
         let text = list(41, true, 0, data_nodes, ZONES, "up");
-        let parsed: List = serde_json::from_str(&text).expect("the bench's own list");
+        let parsed: EndpointList = serde_json::from_str(&text).expect("the bench's own list");
         client.take_over(&parsed, EndpointUpdate::Full);
     });
     assert_eq!(client.known() as u64, data_nodes);
--- a/src/cli/show.rs
+++ b/src/cli/show.rs
@@ -45,7 +45,7 @@
 fn holders<'s>(told: &Deployment, servers: &'s [Server], shard: ShardId) -> Vec<&'s Server> {
     let (cells, reach) = (told.settings.cells, told.settings.reach);
     let row = |cell: u32| (0..reach.min(cells)).any(|j| (shard.0 % cells + j) % cells == cell);
-    let held = |s: &&Server| s.phase == EndpointState::Ready && row(u32::from(s.cell));
+    let held = |s: &&Server| s.state == EndpointState::Ready && row(u32::from(s.cell));
     servers.iter().filter(held).collect()
 }
 
--- a/src/config/platform.rs
+++ b/src/config/platform.rs
@@ -8,7 +8,7 @@
 use crate::balancer::interface::SettingsError;
 use crate::config::operator::{OperatorConfig, OperatorConfigError};
 use crate::config::settings::{self, Deployment, SettingsParseError};
-use crate::net::discovery::List;
+use crate::net::discovery::EndpointList;
 use crate::net::{socket, StartError};
 use async_io::Timer;
 use serde::Deserialize;
@@ -66,7 +66,7 @@
     /// Whether the same file may be good a moment later.
     fn may_pass(&self) -> bool {
         match self {
-            ConfigError::Read(_, e) => socket::is_local(e),
+            ConfigError::Read(_, e) => socket::is_local_failure(e),
             ConfigError::Json(_) => true,
             _ => false,
         }
@@ -110,7 +110,7 @@
 
 impl Platform {
     /// The list of data nodes as we last had it.
-    pub fn known(&self) -> Result<Option<List<'_>>, ConfigError> {
+    pub fn known(&self) -> Result<Option<EndpointList<'_>>, ConfigError> {
         let list = self.known.as_deref().map(serde_json::from_str).transpose();
         list.map_err(ConfigError::Json)
     }
@@ -161,10 +161,10 @@
 
 /// The same at the start, when nothing else waits: what our own machine refuses for a moment is tried again.
 fn at_start(path: &str) -> Result<String, ConfigError> {
-    let latest = Instant::now() + socket::START;
+    let latest = Instant::now() + socket::STARTUP_RETRY_TIME;
     loop {
         match text(path) {
-            Err(ConfigError::Read(_, e)) if socket::is_local(&e) && Instant::now() < latest => {
+            Err(ConfigError::Read(_, e)) if socket::is_local_failure(&e) && Instant::now() < latest => {
                 std::thread::sleep(RETRY)
             }
             read => return read,
--- a/src/main.rs
+++ b/src/main.rs
@@ -21,7 +21,7 @@
 use marlgap::coordinator::{Coordinator, Transport};
 use marlgap::net::cluster::ClusterNode;
 use marlgap::net::data_nodes::DataNodes;
-use marlgap::net::descriptors::Descriptors;
+use marlgap::net::descriptors::DescriptorBudget;
 use marlgap::net::discovery::Discovery;
 use marlgap::net::http_server::{Acceptor, GracefulShutdown, STILL_COMING};
 use marlgap::net::platform_api::PlatformApi;
@@ -80,11 +80,11 @@
         + usize::from(grpc.is_some());
     let members = fleet.as_ref().map_or(0, ClusterNode::descriptors);
     let all = config.sockets.saturating_sub(RESERVED + members).max(LEAST_SHARED) / fronts.max(1);
-    let acceptor = |descriptors: Rc<Descriptors>| {
+    let acceptor = |descriptors: Rc<DescriptorBudget>| {
         Acceptor::new(executor.clone(), closing.clone(), descriptors, log.clone())
     };
     // The fronts of the operator's file keep theirs by themselves: the share that is always there for them.
-    let apart = Descriptors::new(all);
+    let apart = DescriptorBudget::new(all);
     let mut accepted = Vec::new();
     // SIGKILL goes by the platform's settings; nobody sends it where there is no platform.
     let platform_longest = config.platform.as_ref().map(|p| longest(&p.deployment.settings));
@@ -96,7 +96,7 @@
         platform.known()?;
         let listener = listen(platform.listen).await?;
         let told = Rc::new(platform.deployment.clone());
-        let descriptors = Rc::new(Descriptors::new(all));
+        let descriptors = Rc::new(DescriptorBudget::new(all));
         let nodes = DataNodes::new((*told).clone(), descriptors.clone(), executor.clone(), log.clone());
         let settings = told.over_sockets();
         let core = Coordinator::new(settings, config.seed, told.max_open, executor.clone(), nodes.clone())
@@ -137,7 +137,7 @@
     if let Some(setup) = query_api {
         searching = longest(&setup.deployment.settings);
         let address = setup.listen;
-        let front = opensearch::start(setup, config.seed, apart.kept(), &executor, &closing, &log)
+        let front = opensearch::start(setup, config.seed, apart.backend_reserve(), &executor, &closing, &log)
             .map_err(ConfigError::Start)?;
         if let Some(fleet) = &fleet {
             front.join(fleet.clone(), &executor);
@@ -145,7 +145,7 @@
         let listener = listen(address).await?;
         info!(log, "query API listening"; "address" => %listener.get_ref().local_addr().unwrap_or(address));
         executor.spawn(count(front.coordinator.clone(), "query API", log.clone())).detach();
-        let acceptor = acceptor(Rc::new(Descriptors::new(all)));
+        let acceptor = acceptor(Rc::new(DescriptorBudget::new(all)));
         let accept = acceptor.clone().accept(listener, move |client| front.clone().serve(client));
         accepted.push((acceptor, executor.spawn(accept)));
     }
@@ -153,13 +153,13 @@
     let mut routed = None;
     if let Some(setup) = grpc {
         let address = setup.listen;
-        let front = grpc::start(setup, config.seed, apart.kept(), &executor, &closing, &log)
+        let front = grpc::start(setup, config.seed, apart.backend_reserve(), &executor, &closing, &log)
             .map_err(ConfigError::Start)?;
         routed = Some(front.clone());
         let listener = listen(address).await?;
         info!(log, "gRPC listening"; "address" => %listener.get_ref().local_addr().unwrap_or(address));
         executor.spawn(count(front.coordinator.clone(), "gRPC", log.clone())).detach();
-        let acceptor = acceptor(Rc::new(Descriptors::new(all)));
+        let acceptor = acceptor(Rc::new(DescriptorBudget::new(all)));
         let accept = acceptor.clone().accept(listener, move |client| front.clone().serve(client));
         accepted.push((acceptor, executor.spawn(accept)));
     }
--- a/src/net/cluster/accept.rs
+++ b/src/net/cluster/accept.rs
@@ -68,12 +68,12 @@
     loop {
         match socket::accept(listener) {
             Accepted::Stream(stream, from) => return Ok((stream, from)),
-            Accepted::Nobody => socket::somebody(listener).await,
-            Accepted::Gone => {
+            Accepted::NonePending => socket::wait_for_connection(listener).await,
+            Accepted::Aborted => {
                 gone += 1;
-                socket::pass_over(gone).await;
+                socket::yield_after_aborted(gone).await;
             }
-            Accepted::Local(e) => return Err(e),
+            Accepted::LocalFailure(e) => return Err(e),
         }
     }
 }
--- a/src/net/data_nodes/exchange.rs
+++ b/src/net/data_nodes/exchange.rs
@@ -48,10 +48,10 @@
             None
         };
         let local_failure = || {
-            invariants::local_failure();
+            invariants::record_local_failure();
             connection.local_failure.set(true);
         };
-        let connected = async { Some(socket::connect_noting(address, latest, local_failure).await) };
+        let connected = async { Some(socket::connect_observed(address, latest, local_failure).await) };
         let outcome = match connected.or(closed).await {
             Some(Ok(stream)) => {
                 let nodelay = stream.set_nodelay();
@@ -86,8 +86,8 @@
             Some(Err(e)) => {
                 debug!(self.log, "no connection"; "replica" => replica.0, "error" => %e);
                 match e {
-                    ConnectError::Local(_) => Outcome::NeverSent,
-                    ConnectError::Refused(_) | ConnectError::Late => Outcome::ConnectFailed,
+                    ConnectError::LocalFailure(_) => Outcome::NeverSent,
+                    ConnectError::Refused(_) | ConnectError::TimedOut => Outcome::ConnectFailed,
                 }
             }
             // Closed by ourselves: its data node moved, or is another process now, which refused nothing.
@@ -107,7 +107,7 @@
     /// Its descriptor is free, unless it was closed to make way for another and has been counted out before.
     fn let_go(&self, connection: &Connection) {
         if connection.counted.replace(false) {
-            self.descriptors.give_back();
+            self.descriptors.release_backend();
         }
     }
 
@@ -159,7 +159,7 @@
             }
             let written = Instant::now();
             let permits = parts.iter().filter_map(|item| item.permit.get());
-            permits.for_each(|permit| invariants::check(permit.written(written)));
+            permits.for_each(|permit| invariants::check_invariant(permit.written(written)));
             connection.under_way.borrow_mut().clear();
         }
     }
@@ -167,7 +167,7 @@
     /// Its data node does not read on: the frame would be finished with a time that is over, or for nobody. What is
     /// out on the connection may have run, and its data node may be sound.
     fn stalled(&self, replica: ReplicaId, connection: &Connection) {
-        invariants::stalled();
+        invariants::record_stalled_frame();
         if let Some(suppressed) = self.log_limiter.permit() {
             let unfinished = connection.under_way.borrow().first().map(|item| item.id.clone());
             info!(self.log, "a data node does not read"; "replica" => replica.0, "unfinished" => unfinished,
@@ -186,11 +186,11 @@
         bytes: &mut Vec<u8>,
     ) -> (Vec<Rc<Item>>, Option<Probe>) {
         let nodes = self.nodes.borrow();
-        let node = nodes.get(&replica).filter(|n| n.phase == EndpointState::Ready);
+        let node = nodes.get(&replica).filter(|n| n.state == EndpointState::Ready);
         let mut queue = connection.queue.borrow_mut();
         let (mut parts, now) = (Vec::new(), Instant::now());
         let per_call = self.deployment.settings.max_parts_per_call.max(1) as usize;
-        let at = frames::open(bytes, b'q');
+        let at = frames::begin_frame(bytes, b'q');
         let transit = if self.alone() { TRANSIT } else { Duration::ZERO };
         let streams = self.deployment.connections.max_streams;
         loop {
@@ -200,7 +200,7 @@
             // What has been put together goes out before anything that is no part of it.
             let part = next.is_some_and(|n| matches!(queue[n], Out::Part(_)));
             if !parts.is_empty() && !part {
-                frames::seal(bytes, at);
+                frames::finish_frame(bytes, at);
                 return (parts, None);
             }
             let Some(out) = next.and_then(|n| queue.remove(n)) else { break };
@@ -217,7 +217,7 @@
                     let permit = match conditions.permit() {
                         Ok(permit) => permit,
                         Err(denied) => {
-                            invariants::denied(denied);
+                            invariants::record_denial(denied);
                             debug!(self.log, "not sent"; "id" => &item.id, "replica" => replica.0, "why" => ?denied);
                             // Otherwise its attempt has ended, or is about to be told so.
                             if matches!(denied, Denied::ReplicaNotReady | Denied::WindowOver) {
@@ -234,21 +234,21 @@
                     bytes.extend_from_slice(&item.carried.statement);
                     parts.push(item);
                     if parts.len() == per_call {
-                        frames::seal(bytes, at);
+                        frames::finish_frame(bytes, at);
                         return (parts, None);
                     }
                 }
                 Out::GiveUp(id) => {
                     bytes.truncate(at);
-                    let at = frames::open(bytes, b'c');
+                    let at = frames::begin_frame(bytes, b'c');
                     bytes.extend_from_slice(id.as_bytes());
-                    frames::seal(bytes, at);
+                    frames::finish_frame(bytes, at);
                     return (parts, None);
                 }
                 Out::Probe(letter, done) if node.is_some() => {
                     bytes.truncate(at);
-                    let at = frames::open(bytes, letter);
-                    frames::seal(bytes, at);
+                    let at = frames::begin_frame(bytes, letter);
+                    frames::finish_frame(bytes, at);
                     return (parts, Some(done));
                 }
                 Out::Probe(..) => {}
@@ -270,9 +270,9 @@
                 }
             }
             let used = match frames::parse(buffer.unread()) {
-                Ok(Some((Frame::Error { words }, _))) => {
+                Ok(Some((Frame::Error { message }, _))) => {
                     if let Some(suppressed) = self.log_limiter.permit() {
-                        warn!(self.log, "data node could not use a frame"; "words" => words, "suppressed" => suppressed);
+                        warn!(self.log, "data node could not use a frame"; "words" => message, "suppressed" => suppressed);
                     }
                     return;
                 }
@@ -309,7 +309,7 @@
             warn!(self.log, "unusable frame from a data node"; "error" => %error, "suppressed" => suppressed,
                 "out" => connection.waiting.borrow().len());
         }
-        connection.spoil(frames::named(bytes), self.alone());
+        connection.spoil(frames::malformed_answer_id(bytes), self.alone());
     }
 
     /// Hand an answer to who waits for it. An answer to what was given up finds nobody, as is usual; any other
@@ -331,8 +331,8 @@
             }
         };
         match frame {
-            Frame::Answer { id, end, score, report, value } => {
-                let item = match connection.answered(id, end == frames::End::Served) {
+            Frame::Answer { id, status, score, report, value } => {
+                let item = match connection.answered(id, status == frames::AnswerStatus::Served) {
                     Ok(None) => return false,
                     Ok(item) => item,
                     Err(()) => None,
@@ -340,15 +340,15 @@
                 owing(connection);
                 let Some(item) = item else { return true };
                 let report = self.report(report);
-                let (outcome, served) = match end {
+                let (outcome, served) = match status {
                     // Copied: the value outlives the buffer, until its query is answered.
-                    frames::End::Served => (Outcome::Succeeded, Some((value.into(), score))),
-                    frames::End::Broke => (Outcome::Error, None),
-                    frames::End::Skipped if item.carried.turned_away(&item.id, connection) => {
+                    frames::AnswerStatus::Served => (Outcome::Succeeded, Some((value.into(), score))),
+                    frames::AnswerStatus::Failed => (Outcome::Error, None),
+                    frames::AnswerStatus::Rejected if item.carried.turned_away(&item.id, connection) => {
                         (Outcome::Rejected, None)
                     }
                     // The one before may have come twice: this proves nothing.
-                    frames::End::Skipped => (Outcome::ConnectionLost, None),
+                    frames::AnswerStatus::Rejected => (Outcome::ConnectionLost, None),
                 };
                 drop(item.end.0.try_send(AttemptResult { outcome, served, report }));
             }
@@ -366,7 +366,7 @@
     }
 
     fn report(&self, report: &str) -> Option<LoadReport> {
-        let values = self.deployment.report_names.iter().map(|name| frames::reported(report, name));
+        let values = self.deployment.report_names.iter().map(|name| frames::report_value(report, name));
         (report != "-").then(|| settings::report(&self.deployment.report_fields, values))
     }
 }
--- a/src/net/data_nodes/mod.rs
+++ b/src/net/data_nodes/mod.rs
@@ -13,7 +13,7 @@
 use futures_lite::FutureExt;
 use slog::{debug, Logger};
 
-use super::descriptors::Descriptors;
+use super::descriptors::DescriptorBudget;
 use super::timeout_at;
 use super::LogRateLimiter;
 use crate::balancer::interface::*;
@@ -62,13 +62,13 @@
 
 struct DataNode {
     address: SocketAddr,
-    phase: EndpointState,
+    state: EndpointState,
     /// Since when it is gone, if it is.
     gone: Option<Instant>,
     /// Counts its starts, as far as we were told of them.
     life: u64,
     /// When its machine's clock said that it started, in Unix ms, and when that was on ours.
-    born: u64,
+    start_unix_ms: u64,
     started: Option<f64>,
     connections: Vec<Rc<Connection>>,
 }
@@ -77,7 +77,7 @@
     /// Note since when it is gone.
     fn leave(&mut self) {
         let since = self.gone.unwrap_or_else(Instant::now);
-        self.gone = (self.phase == EndpointState::Removed).then_some(since);
+        self.gone = (self.state == EndpointState::Removed).then_some(since);
     }
 }
 
@@ -85,8 +85,8 @@
 pub struct ListedDataNode {
     pub name: String,
     pub address: SocketAddr,
-    pub phase: EndpointState,
-    pub born: u64,
+    pub state: EndpointState,
+    pub start_unix_ms: u64,
 }
 
 pub struct DataNodes {
@@ -100,13 +100,13 @@
     executor: Rc<LocalExecutor<'static>>,
     log: Logger,
     log_limiter: LogRateLimiter,
-    descriptors: Rc<Descriptors>,
+    descriptors: Rc<DescriptorBudget>,
 }
 
 impl DataNodes {
     pub fn new(
         told: Deployment,
-        descriptors: Rc<Descriptors>,
+        descriptors: Rc<DescriptorBudget>,
         executor: Rc<LocalExecutor<'static>>,
         log: Logger,
     ) -> Rc<Self> {
@@ -125,7 +125,7 @@
     }
 
     /// The number under which a data node is known to the module; the same for as long as it is known.
-    pub fn id(&self, name: &str) -> ReplicaId {
+    pub fn replica_id(&self, name: &str) -> ReplicaId {
         let mut names = self.names.borrow_mut();
         if let Some(id) = names.get(name) {
             return *id;
@@ -136,16 +136,16 @@
     }
 
     /// Data nodes that are known, gone ones among them.
-    pub fn known(&self) -> usize {
+    pub fn known_count(&self) -> usize {
         self.nodes.borrow().len()
     }
 
     /// Close what carries nothing to data nodes that want nothing, and forget those long gone. Guards a long
     /// run, in which data nodes are replaced for good, against growing.
-    pub fn forget(&self, now: Instant) {
+    pub fn forget_removed(&self, now: Instant) {
         let mut nodes = self.nodes.borrow_mut();
         nodes.retain(|_, node| {
-            if node.phase != EndpointState::Ready {
+            if node.state != EndpointState::Ready {
                 node.connections.iter().filter(|c| c.idle()).for_each(|c| c.close());
                 node.connections.retain(|c| !c.closed.get());
             }
@@ -155,22 +155,30 @@
     }
 
     /// Take over what discovery says of one data node. A drain counts from here on for whatever is queued.
-    pub fn list(&self, entry: &ListedDataNode) -> ReplicaId {
-        self.list_started(entry, || None).0
+    pub fn register(&self, entry: &ListedDataNode) -> ReplicaId {
+        self.register_with_start(entry, || None).0
     }
 
     /// The same; `started` says when a start that is told first was, on our own clock. It stays as it was told then.
-    pub fn list_started(
+    pub fn register_with_start(
         &self,
         entry: &ListedDataNode,
         started: impl FnOnce() -> Option<f64>,
     ) -> (ReplicaId, Option<f64>) {
-        let id = self.id(&entry.name);
+        let id = self.replica_id(&entry.name);
         let mut nodes = self.nodes.borrow_mut();
-        let (address, phase, connections) = (entry.address, entry.phase, Vec::new());
-        let new = || DataNode { address, phase, gone: None, life: 0, born: 0, started: None, connections };
+        let (address, phase, connections) = (entry.address, entry.state, Vec::new());
+        let new = || DataNode {
+            address,
+            state: phase,
+            gone: None,
+            life: 0,
+            start_unix_ms: 0,
+            started: None,
+            connections,
+        };
         let node = nodes.entry(id).or_insert_with(new);
-        let restarted = send_policy::is_another_start(entry.born, node.born);
+        let restarted = send_policy::is_another_start(entry.start_unix_ms, node.start_unix_ms);
         // Guards against waiting on connections to a process that is no more: its machine may have
         // vanished without a word, and they stay open and silent.
         if (restarted || entry.address != node.address) && !node.connections.is_empty() {
@@ -178,19 +186,19 @@
         }
         if restarted {
             node.life += 1;
-            node.born = entry.born;
+            node.start_unix_ms = entry.start_unix_ms;
             node.started = started();
         }
-        (node.address, node.phase) = (entry.address, entry.phase);
+        (node.address, node.state) = (entry.address, entry.state);
         node.leave();
         (id, node.started)
     }
 
     /// A whole list names all there are; the others are gone.
-    pub fn keep_only(&self, listed: &BTreeSet<ReplicaId>) {
+    pub fn retain_listed(&self, listed: &BTreeSet<ReplicaId>) {
         for (id, node) in self.nodes.borrow_mut().iter_mut() {
             if !listed.contains(id) {
-                node.phase = EndpointState::Removed;
+                node.state = EndpointState::Removed;
                 node.leave();
             }
         }
@@ -200,7 +208,7 @@
     /// that carries least.
     fn connection(self: &Rc<Self>, replica: ReplicaId) -> Option<(Rc<Connection>, u64)> {
         let mut nodes = self.nodes.borrow_mut();
-        let node = nodes.get_mut(&replica).filter(|n| n.phase == EndpointState::Ready)?;
+        let node = nodes.get_mut(&replica).filter(|n| n.state == EndpointState::Ready)?;
         let now = Instant::now();
         node.connections.iter().for_each(|c| c.hush(now, DEAD));
         node.connections.retain(|c| !c.closed.get());
@@ -223,7 +231,7 @@
         nodes: &mut BTreeMap<ReplicaId, DataNode>,
         replica: ReplicaId,
     ) -> Option<Rc<Connection>> {
-        if !self.descriptors.take() {
+        if !self.descriptors.try_acquire_backend() {
             let open = nodes.values().flat_map(|n| &n.connections).filter(|c| c.idle() && !c.closed.get());
             let longest = open.min_by_key(|c| c.used.get())?;
             longest.close();
@@ -247,7 +255,7 @@
         let latest = Instant::now() + LIVES;
         let fresh = {
             let mut nodes = self.nodes.borrow_mut();
-            let Some(node) = nodes.get_mut(&replica).filter(|n| n.phase == EndpointState::Ready) else {
+            let Some(node) = nodes.get_mut(&replica).filter(|n| n.state == EndpointState::Ready) else {
                 return true;
             };
             node.connections.retain(|c| !c.closed.get());
--- a/src/net/discovery/mod.rs
+++ b/src/net/discovery/mod.rs
@@ -24,12 +24,15 @@
 use crate::coordinator::{Clock, Coordinator};
 use crate::send_policy::{self, StartNotice};
 use crate::subsetting::{self, Subset};
-pub use list::{DiscoveryError, Host, List};
-use watch_policy::{Terms, CONNECT, CONTINUES, PACE, PAUSE, SLOW, START};
+pub use list::{DiscoveryError, EndpointList, ListedEndpoint};
+use watch_policy::{
+    WatchPolicy, CONNECT_TIMEOUT, FIRST_LIST_TIMEOUT, MAX_BACKOFF, MAX_SLOW_ANSWER_SLACK, MIN_CALL_INTERVAL,
+    WATCH_CONTINUES_WITHIN,
+};
 
 /// The largest list: some ten thousand data nodes with long names. Only what comes is held in memory, and not for
 /// longer than it is read; the bound guards that memory against an answer that never ends.
-pub const MOST_LIST: usize = 4 << 20;
+pub const MAX_LIST_BYTES: usize = 4 << 20;
 
 pub struct Discovery {
     address: Cell<SocketAddr>,
@@ -38,7 +41,7 @@
     coordinator: Rc<Coordinator<DataNodes>>,
     nodes: Rc<DataNodes>,
     zones: Vec<String>,
-    terms: Terms,
+    terms: WatchPolicy,
     /// When the last call began.
     called: Cell<Instant>,
     /// When the place that is asked last answered with a list, or that nothing changed.
@@ -62,7 +65,7 @@
         log: Logger,
     ) -> Discovery {
         let (address, called, slow) = (Cell::new(address), Cell::new(Instant::now()), Cell::default());
-        let (terms, zones, said) = (Terms::of(told.0), told.1, LogRateLimiter::default());
+        let (terms, zones, said) = (WatchPolicy::for_discovery(told.0), told.1, LogRateLimiter::default());
         let (last_list, subset) = (Cell::new(None), RefCell::new(Subset::new(seed, subsetting::MOST)));
         Discovery {
             address,
@@ -81,20 +84,20 @@
     }
 
     /// Hand a list on: to the connections first, whose writes it may stop, then to the module.
-    pub fn apply(&self, list: &List, news: EndpointUpdate) {
+    pub fn apply(&self, list: &EndpointList, news: EndpointUpdate) {
         let clock = self.coordinator.clock();
-        let entries: Vec<Endpoint> = list.hosts.iter().filter_map(|h| self.entry(h, &clock)).collect();
+        let entries: Vec<Endpoint> = list.endpoints.iter().filter_map(|h| self.entry(h, &clock)).collect();
         if news != EndpointUpdate::Delta {
-            self.nodes.keep_only(&entries.iter().map(|e| e.replica).collect());
+            self.nodes.retain_listed(&entries.iter().map(|e| e.replica).collect());
         }
         info!(self.log, "list of data nodes"; "seq" => list.seq, "whole" => news != EndpointUpdate::Delta,
             "entries" => entries.len());
-        self.nodes.forget(Instant::now());
+        self.nodes.forget_removed(Instant::now());
         let entries = self.subset.borrow_mut().update(news, entries);
         self.coordinator.update_endpoints(news, entries);
     }
 
-    fn entry(&self, host: &Host, clock: &Clock) -> Option<Endpoint> {
+    fn entry(&self, host: &ListedEndpoint, clock: &Clock) -> Option<Endpoint> {
         let phase = match &*host.health {
             "up" => EndpointState::Ready,
             "draining" => EndpointState::Draining,
@@ -102,36 +105,41 @@
         };
         // Nobody dials what wants nothing new: guards against a drain that goes unheard for want of an address.
         let unused = (phase != EndpointState::Ready).then_some(SocketAddr::from(([0, 0, 0, 0], 0)));
-        let address = host.dial.parse().ok();
+        let address = host.address.parse().ok();
         if address.is_none() {
-            warn!(self.log, "unusable address of a data node"; "host" => &*host.host, "dial" => &*host.dial);
+            warn!(self.log, "unusable address of a data node"; "host" => &*host.name, "dial" => &*host.address);
         }
         let address = address.or(unused)?;
-        let entry = ListedDataNode { name: host.host.to_string(), address, phase, born: host.born_ms };
-        let (replica, started) = self.nodes.list_started(&entry, || {
-            let by_wall_clock = clock.born(host.born_ms)?;
+        let entry = ListedDataNode {
+            name: host.name.to_string(),
+            address,
+            state: phase,
+            start_unix_ms: host.start_unix_ms,
+        };
+        let (replica, started) = self.nodes.register_with_start(&entry, || {
+            let by_wall_clock = clock.born(host.start_unix_ms)?;
             let now = clock.at(Instant::now());
             let last_list_without = self.last_list.get().map(|at| clock.at(at));
             Some(send_policy::started(StartNotice { by_wall_clock, now, last_list_without }))
         });
-        let zone = self.zones.iter().position(|z| *z == host.site).map_or(u8::MAX, |n| n as u8);
-        let (cell, weight) = (CellId(host.block), host.share);
+        let zone = self.zones.iter().position(|z| *z == host.zone).map_or(u8::MAX, |n| n as u8);
+        let (cell, weight) = (CellId(host.cell), host.weight);
         Some(Endpoint { replica, zone: ZoneId(zone), cell, state: phase, weight, started })
     }
 
     /// Follow the list for as long as the program runs. `known` is the list as we last had it, maybe old. Where lists
     /// are pushed, all that the agent has counts as told from our first moment on: nothing is sent by `known` until the
     /// agent has had its time.
-    pub async fn run(self, known: Option<&List<'_>>) {
+    pub async fn run(self, known: Option<&EndpointList<'_>>) {
         let mut seq = None;
-        if let Some(known) = known.filter(|_| !self.terms.pushed) {
+        if let Some(known) = known.filter(|_| !self.terms.is_push) {
             self.apply(known, EndpointUpdate::Cached);
             seq = Some(known.seq);
         }
         let late = async {
-            Timer::at(Instant::now() + START).await;
+            Timer::at(Instant::now() + FIRST_LIST_TIMEOUT).await;
             if !self.coordinator.ready() {
-                warn!(self.log, "no list from discovery yet"; "known" => known.map(|k| k.hosts.len()));
+                warn!(self.log, "no list from discovery yet"; "known" => known.map(|k| k.endpoints.len()));
                 known.iter().for_each(|k| self.apply(k, EndpointUpdate::Cached));
                 self.coordinator.stop_waiting_for_endpoints();
             }
@@ -145,7 +153,7 @@
     /// place tells, while we wait for the old one to close.
     async fn watch(&self, mut seq: Option<u64>) {
         let subscriptions = self.coordinator.subscriptions();
-        let (mut to, mut latest) = (None, self.terms.pushed.then(Instant::now));
+        let (mut to, mut latest) = (None, self.terms.is_push.then(Instant::now));
         loop {
             if to.is_none() {
                 let asked = async {
@@ -186,7 +194,7 @@
                     // Asked for before this end: it was begun already.
                     while subscriptions.try_recv().is_ok() {}
                     self.coordinator.update_endpoints(EndpointUpdate::Failed, Vec::new());
-                    latest = Some(Instant::now() + PAUSE);
+                    latest = Some(Instant::now() + MAX_BACKOFF);
                 }
             }
         }
@@ -207,14 +215,14 @@
                 Err(e) => e,
                 Ok(never) => match never {},
             };
-            if !self.terms.pushed && !matches!(e, DiscoveryError::Silent) {
+            if !self.terms.is_push && !matches!(e, DiscoveryError::NoAnswer) {
                 return e;
             }
             if let Some(suppressed) = self.log_limiter.permit() {
                 warn!(self.log, "watch on discovery begun anew"; "error" => %e, "address" => %self.address.get(),
                     "seq" => *seq, "suppressed" => suppressed);
             }
-            Timer::at(self.called.get() + PACE).await;
+            Timer::at(self.called.get() + MIN_CALL_INTERVAL).await;
         }
     }
 
@@ -227,13 +235,13 @@
         loop {
             // Connecting counts, and is taken off the wait in tenths of a second.
             let connecting = self.called.get().elapsed().as_millis() as u64 / 100 * 100;
-            let hold = (self.terms.hold.as_millis() as u64).saturating_sub(connecting);
-            let call = version::call(self.address.get(), *seq, hold);
+            let hold = (self.terms.poll_wait.as_millis() as u64).saturating_sub(connecting);
+            let call = version::poll_request(self.address.get(), *seq, hold);
             let answer = async {
                 stream.write_all(call.as_bytes()).await?;
-                http::read(&mut stream, &mut buffer, Kind::Answer, MOST_LIST).await
+                http::read(&mut stream, &mut buffer, Kind::Answer, MAX_LIST_BYTES).await
             };
-            let latest = self.called.get() + self.terms.hold + self.terms.late + self.slow.get();
+            let latest = self.called.get() + self.terms.poll_wait + self.terms.answer_slack + self.slow.get();
             let answer = match timeout_at(latest, answer).await {
                 Some(Ok(answer)) => answer,
                 // Closed between two calls, just as we wrote the next one: no failure, and the watch goes on if that
@@ -247,17 +255,18 @@
                 }
                 Some(Err(e)) => return Err(e.into()),
                 None => {
-                    if self.terms.pushed && !buffer.unread().is_empty() {
-                        self.slow.set((2 * self.slow.get()).clamp(self.terms.late, SLOW));
+                    if self.terms.is_push && !buffer.unread().is_empty() {
+                        self.slow
+                            .set((2 * self.slow.get()).clamp(self.terms.answer_slack, MAX_SLOW_ANSWER_SLACK));
                     }
-                    return Err(DiscoveryError::Silent);
+                    return Err(DiscoveryError::NoAnswer);
                 }
             };
             if answer.status != 200 {
                 return Err(DiscoveryError::Status(answer.status));
             }
             let body = answer.body(&buffer);
-            let list: List = serde_json::from_slice(&body).map_err(DiscoveryError::List)?;
+            let list: EndpointList = serde_json::from_slice(&body).map_err(DiscoveryError::MalformedList)?;
             let newer = self.take(&list, seq)?;
             drop(body);
             buffer.consume(answer.length);
@@ -266,9 +275,9 @@
                 return Err(HttpError::Malformed("more than one answer").into());
             }
             self.slow.set(Duration::ZERO);
-            continues = Some(Instant::now() + CONTINUES);
+            continues = Some(Instant::now() + WATCH_CONTINUES_WITHIN);
             if !newer {
-                Timer::at(self.called.get() + PACE).await;
+                Timer::at(self.called.get() + MIN_CALL_INTERVAL).await;
             }
             self.called.set(Instant::now());
             if !answer.keep_alive {
@@ -279,25 +288,25 @@
     }
 
     /// Take over an answer's list; whether it was newer than ours.
-    fn take(&self, list: &List, seq: &mut Option<u64>) -> Result<bool, DiscoveryError> {
-        let taken = version::taken(list, *seq, self.terms.pushed)?;
-        if taken.back {
+    fn take(&self, list: &EndpointList, seq: &mut Option<u64>) -> Result<bool, DiscoveryError> {
+        let taken = version::interpret(list, *seq, self.terms.is_push)?;
+        if taken.went_back {
             warn!(self.log, "versions of the list went back"; "seq" => list.seq, "ours" => *seq);
         }
-        if let Some(news) = taken.news {
+        if let Some(news) = taken.update {
             self.apply(list, news);
         }
         *seq = taken.seq;
         self.last_list.set(Some(Instant::now()));
-        Ok(taken.newer)
+        Ok(taken.is_new_version)
     }
 
     async fn connect(&self) -> Result<Stream, DiscoveryError> {
         let begun = Instant::now();
         self.called.set(begun);
-        let latest = begun + CONNECT.min(self.terms.hold + self.terms.late);
+        let latest = begun + CONNECT_TIMEOUT.min(self.terms.poll_wait + self.terms.answer_slack);
         socket::connect(self.address.get(), latest).await.map_err(|e| match e {
-            ConnectError::Late => DiscoveryError::Unreachable,
+            ConnectError::TimedOut => DiscoveryError::ConnectTimeout,
             e => io::Error::from(e).into(),
         })
     }
--- a/src/net/discovery/watch_policy.rs
+++ b/src/net/discovery/watch_policy.rs
@@ -13,20 +13,21 @@
 /// How long discovery may hold a call. Guards against sending to what drains on a list that fell silent: within what
 /// counts as told, silence is found, a call is ended behind its turn, and another still has one second.
 const HOLD: Duration = Duration::from_secs(2);
-pub const CONNECT: Duration = Duration::from_secs(1);
+pub const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
 /// The longest pause behind a failed call, wherever the module's has grown to. Guards against its growing beyond
 /// what counts as told: a quarter of the time that settings give for asking may be any time.
-pub const PAUSE: Duration = Duration::from_millis(700);
+pub const MAX_BACKOFF: Duration = Duration::from_millis(700);
 /// How long a call may take, connecting and a trickled answer included.
 const CALL: Duration = HOLD.saturating_add(LATE);
 const _: () = assert!(CALL.as_millis() + TURN.as_millis() + 1000 < TOLD.as_millis());
 /// The same where the new watch is silent too.
 const _: () = assert!(2 * CALL.as_millis() + 1000 <= TOLD.as_millis());
 /// A pause, a call that fails as late as it may (trickled, unusable), a pause, a call answered at its last turn.
-const _: () = assert!(2 * PAUSE.as_millis() + CALL.as_millis() + TURN.as_millis() < TOLD.as_millis());
+const _: () = assert!(2 * MAX_BACKOFF.as_millis() + CALL.as_millis() + TURN.as_millis() < TOLD.as_millis());
 /// A pause, a connection that never comes up, a pause, a turn that ends in 503 or a reset, a pause, an answer.
 const _: () = assert!(
-    3 * PAUSE.as_millis() + CONNECT.as_millis() + TURN.as_millis() + LATE.as_millis() < TOLD.as_millis()
+    3 * MAX_BACKOFF.as_millis() + CONNECT_TIMEOUT.as_millis() + TURN.as_millis() + LATE.as_millis()
+        < TOLD.as_millis()
 );
 
 /// Sends to what drains end so long after we were told.
@@ -40,34 +41,38 @@
 const _: () =
     assert!(AGENT_HOLD.as_millis() + AGENT_LATE.as_millis() + REST.as_millis() <= GRACE.as_millis());
 /// A watch continues while its next call comes so soon after the last answer.
-pub const CONTINUES: Duration = Duration::from_millis(200);
+pub const WATCH_CONTINUES_WITHIN: Duration = Duration::from_millis(200);
 /// The least time from one call's start to the next where the first brought nothing new. Guards the processor
 /// against an answer that comes at once though it was to wait; within the grace, and within what continues a watch.
-pub const PACE: Duration = Duration::from_millis(100);
-const _: () = assert!(PACE.as_millis() + REST.as_millis() <= GRACE.as_millis());
-const _: () = assert!(PACE.as_millis() + REST.as_millis() <= CONTINUES.as_millis());
+pub const MIN_CALL_INTERVAL: Duration = Duration::from_millis(100);
+const _: () = assert!(MIN_CALL_INTERVAL.as_millis() + REST.as_millis() <= GRACE.as_millis());
+const _: () = assert!(MIN_CALL_INTERVAL.as_millis() + REST.as_millis() <= WATCH_CONTINUES_WITHIN.as_millis());
 /// The most that an agent's answer which has begun may be late. Guards a list that takes longer to come in than
 /// silence does against being cut off each time.
-pub const SLOW: Duration = Duration::from_secs(1);
+pub const MAX_SLOW_ANSWER_SLACK: Duration = Duration::from_secs(1);
 /// How long a new process waits for its first list before it goes on with what it knows: nine in ten have to be ready
 /// within 10 s, and the start and the front's look take some of that.
-pub const START: Duration = Duration::from_secs(8);
+pub const FIRST_LIST_TIMEOUT: Duration = Duration::from_secs(8);
 
 /// How a watch is kept, by how lists come to us.
 #[derive(Clone, Copy, Debug)]
-pub struct Terms {
+pub struct WatchPolicy {
     /// Lists are pushed to an agent on our machine, which is asked at no cost.
-    pub pushed: bool,
+    pub is_push: bool,
     /// How long the other side may hold a call, and be late behind that.
-    pub hold: Duration,
-    pub late: Duration,
+    pub poll_wait: Duration,
+    pub answer_slack: Duration,
 }
 
-impl Terms {
-    pub fn of(discovery: interface::Discovery) -> Terms {
+impl WatchPolicy {
+    pub fn for_discovery(discovery: interface::Discovery) -> WatchPolicy {
         match discovery {
-            interface::Discovery::Push => Terms { pushed: true, hold: AGENT_HOLD, late: AGENT_LATE },
-            interface::Discovery::Ask { .. } => Terms { pushed: false, hold: HOLD, late: LATE },
+            interface::Discovery::Push => {
+                WatchPolicy { is_push: true, poll_wait: AGENT_HOLD, answer_slack: AGENT_LATE }
+            }
+            interface::Discovery::Ask { .. } => {
+                WatchPolicy { is_push: false, poll_wait: HOLD, answer_slack: LATE }
+            }
         }
     }
 }
--- a/src/net/dns_sd/watcher.rs
+++ b/src/net/dns_sd/watcher.rs
@@ -9,7 +9,7 @@
 use async_io::Timer;
 use slog::{info, warn, Logger};
 
-use super::zone_file::{self, RecordsError, Server};
+use super::zone_file::{self, Server, ZoneFileError};
 use crate::balancer::interface::*;
 use crate::config::operator::Source;
 use crate::coordinator::{Clock, Coordinator, Transport};
@@ -20,14 +20,14 @@
 #[derive(Debug)]
 pub enum SourceError {
     Read(PathBuf, io::Error),
-    Records(RecordsError),
+    ZoneFile(ZoneFileError),
 }
 
 impl fmt::Display for SourceError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             SourceError::Read(path, e) => write!(f, "cannot read {}: {e}", path.display()),
-            SourceError::Records(e) => write!(f, "{e}"),
+            SourceError::ZoneFile(e) => write!(f, "{e}"),
         }
     }
 }
@@ -37,93 +37,94 @@
 /// The servers of a source as it is now.
 pub fn read(source: &Source) -> Result<Vec<Server>, SourceError> {
     let text = std::fs::read(&source.records).map_err(|e| SourceError::Read(source.records.clone(), e))?;
-    zone_file::parse(&text, &source.service).map_err(SourceError::Records)
+    zone_file::parse(&text, &source.service).map_err(SourceError::ZoneFile)
 }
 
 /// A server that was listed, and how many lives of it are known.
-pub struct Member {
+pub struct KnownServer {
     pub server: Server,
-    pub life: u64,
+    pub incarnation: u64,
 }
 
 /// What a list changed of one server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Change {
+pub enum ServerChange {
     /// It is on the list, as it was or in another phase.
     Listed(EndpointState),
     /// It is another process now, or at another place: what leads to the old one is of no more use.
-    Moved(EndpointState),
+    Replaced(EndpointState),
     /// It is on the list no more: a drain.
-    Gone,
+    Removed,
 }
 
 /// The servers that a transport knows.
 #[derive(Default)]
-pub struct Book {
-    members: BTreeMap<ReplicaId, Member>,
+pub struct ServerRegistry {
+    members: BTreeMap<ReplicaId, KnownServer>,
     names: BTreeMap<String, ReplicaId>,
 }
 
-impl Book {
+impl ServerRegistry {
     /// Take over a whole list: what the module is to be told, and what changed.
-    pub fn list(
+    pub fn apply_list(
         &mut self,
         servers: &[Server],
         zones: &[String],
         clock: &Clock,
-    ) -> (Vec<Endpoint>, Vec<(ReplicaId, Change)>) {
+    ) -> (Vec<Endpoint>, Vec<(ReplicaId, ServerChange)>) {
         let mut changes = Vec::new();
         for (id, old) in &mut self.members {
             if !servers.iter().any(|s| s.name == old.server.name) {
-                old.server.phase = EndpointState::Removed;
-                changes.push((*id, Change::Gone));
+                old.server.state = EndpointState::Removed;
+                changes.push((*id, ServerChange::Removed));
             }
         }
         let (mut listed, now) = (Vec::new(), clock.at(Instant::now()));
         for server in servers {
             let next = ReplicaId(self.names.len() as u64 + 1);
             let replica = *self.names.entry(server.name.clone()).or_insert(next);
-            let new = || Member { server: server.clone(), life: 0 };
+            let new = || KnownServer { server: server.clone(), incarnation: 0 };
             let held = self.members.entry(replica).or_insert_with(new);
-            let moved = held.server.born != server.born || held.server.address != server.address;
-            held.life += u64::from(moved);
+            let moved =
+                held.server.start_unix_ms != server.start_unix_ms || held.server.address != server.address;
+            held.incarnation += u64::from(moved);
             held.server = server.clone();
-            let change = if moved { Change::Moved } else { Change::Listed };
-            changes.push((replica, change(server.phase)));
+            let change = if moved { ServerChange::Replaced } else { ServerChange::Listed };
+            changes.push((replica, change(server.state)));
             let zone = zones.iter().position(|z| *z == server.zone).map_or(u8::MAX, |n| n as u8);
             listed.push(Endpoint {
                 replica,
                 zone: ZoneId(zone),
                 cell: CellId(server.cell),
-                state: server.phase,
+                state: server.state,
                 weight: server.weight,
                 // A start that is still to come is one of a clock that disagrees with ours.
-                started: clock.born(server.born).map(|at| at.min(now)),
+                started: clock.born(server.start_unix_ms).map(|at| at.min(now)),
             });
         }
         (listed, changes)
     }
 
-    pub fn get(&self, replica: ReplicaId) -> Option<&Member> {
+    pub fn get(&self, replica: ReplicaId) -> Option<&KnownServer> {
         self.members.get(&replica)
     }
 
     /// Where a server is and which life of it, if it wants anything new.
-    pub fn ready(&self, replica: ReplicaId) -> Option<(std::net::SocketAddr, u64)> {
-        let held = self.members.get(&replica).filter(|m| m.server.phase == EndpointState::Ready)?;
-        Some((held.server.address, held.life))
+    pub fn ready_address(&self, replica: ReplicaId) -> Option<(std::net::SocketAddr, u64)> {
+        let held = self.members.get(&replica).filter(|m| m.server.state == EndpointState::Ready)?;
+        Some((held.server.address, held.incarnation))
     }
 }
 
 /// A transport that follows a list of servers.
-pub trait Follows: Transport {
+pub trait FollowsServerList: Transport {
     /// Take over a whole list; what the module is to be told of it.
-    fn list(&self, servers: &[Server], zones: &[String], clock: &Clock) -> Vec<Endpoint>;
+    fn apply_list(&self, servers: &[Server], zones: &[String], clock: &Clock) -> Vec<Endpoint>;
 }
 
 /// The records, read again whenever they change.
-pub struct Watch<T: Follows> {
-    core: Rc<Coordinator<T>>,
+pub struct ZoneFileWatcher<T: FollowsServerList> {
+    coordinator: Rc<Coordinator<T>>,
     servers: Rc<T>,
     zones: Vec<String>,
     source: Source,
@@ -132,17 +133,18 @@
     log: Logger,
 }
 
-impl<T: Follows> Watch<T> {
+impl<T: FollowsServerList> ZoneFileWatcher<T> {
     /// Begin with the records as they are: bad ones at the start end it there.
-    pub fn begin(
+    pub fn start(
         core: Rc<Coordinator<T>>,
         servers: Rc<T>,
         zones: Vec<String>,
         source: Source,
         front: &'static str,
         log: Logger,
-    ) -> Result<Watch<T>, SourceError> {
-        let mut watch = Watch { core, servers, zones, source, front, seen: Vec::new(), log };
+    ) -> Result<ZoneFileWatcher<T>, SourceError> {
+        let mut watch =
+            ZoneFileWatcher { coordinator: core, servers, zones, source, front, seen: Vec::new(), log };
         watch.look()?;
         Ok(watch)
     }
@@ -154,10 +156,10 @@
         if text == self.seen {
             return Ok(());
         }
-        let servers = zone_file::parse(&text, &self.source.service).map_err(SourceError::Records)?;
-        let entries = self.servers.list(&servers, &self.zones, &self.core.clock());
+        let servers = zone_file::parse(&text, &self.source.service).map_err(SourceError::ZoneFile)?;
+        let entries = self.servers.apply_list(&servers, &self.zones, &self.coordinator.clock());
         info!(self.log, "list of servers"; "front" => self.front, "entries" => entries.len());
-        self.core.update_endpoints(EndpointUpdate::Full, entries);
+        self.coordinator.update_endpoints(EndpointUpdate::Full, entries);
         self.seen = text;
         Ok(())
     }
--- a/src/net/dns_sd/zone_file.rs
+++ b/src/net/dns_sd/zone_file.rs
@@ -15,7 +15,7 @@
 pub const MOST_BYTES: usize = 1 << 20;
 
 #[derive(Debug, PartialEq)]
-pub enum RecordsError {
+pub enum ZoneFileError {
     TooLarge,
     Syntax(String),
     Include,
@@ -23,31 +23,31 @@
     Txt { instance: String, key: &'static str },
 }
 
-impl fmt::Display for RecordsError {
+impl fmt::Display for ZoneFileError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            RecordsError::TooLarge => write!(f, "records of over {MOST_BYTES} bytes"),
-            RecordsError::Syntax(e) => write!(f, "records: {e}"),
-            RecordsError::Include => f.write_str("records: $INCLUDE is not supported"),
-            RecordsError::Service(name) => write!(f, "'{name}' is not the name of a service"),
-            RecordsError::Txt { instance, key } => write!(f, "TXT of {instance}: {key} cannot be used"),
+            ZoneFileError::TooLarge => write!(f, "records of over {MOST_BYTES} bytes"),
+            ZoneFileError::Syntax(e) => write!(f, "records: {e}"),
+            ZoneFileError::Include => f.write_str("records: $INCLUDE is not supported"),
+            ZoneFileError::Service(name) => write!(f, "'{name}' is not the name of a service"),
+            ZoneFileError::Txt { instance, key } => write!(f, "TXT of {instance}: {key} cannot be used"),
         }
     }
 }
 
-impl std::error::Error for RecordsError {}
+impl std::error::Error for ZoneFileError {}
 
 /// A server as its records describe it.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Server {
     pub name: String,
     pub address: SocketAddr,
-    pub phase: EndpointState,
+    pub state: EndpointState,
     pub cell: u16,
     pub zone: String,
     pub weight: f64,
     /// Unix time in milliseconds of its last start; 0 means long ago.
-    pub born: u64,
+    pub start_unix_ms: u64,
 }
 
 #[derive(Default)]
@@ -58,11 +58,11 @@
 
 /// The servers that offer a service. One without SRV, or whose host has no address, is left out: it is not
 /// there yet, or no more.
-pub fn parse(text: &[u8], service: &str) -> Result<Vec<Server>, RecordsError> {
+pub fn parse(text: &[u8], service: &str) -> Result<Vec<Server>, ZoneFileError> {
     if text.len() > MOST_BYTES {
-        return Err(RecordsError::TooLarge);
+        return Err(ZoneFileError::TooLarge);
     }
-    let wanted: Name<Vec<u8>> = service.parse().map_err(|_| RecordsError::Service(service.to_owned()))?;
+    let wanted: Name<Vec<u8>> = service.parse().map_err(|_| ZoneFileError::Service(service.to_owned()))?;
     let mut file = Zonefile::with_capacity(text.len() + 1);
     file.extend_from_slice(text);
     // The parser wants the last line ended.
@@ -70,8 +70,8 @@
     let mut offered: BTreeSet<String> = BTreeSet::new();
     let mut instances: BTreeMap<String, Instance> = BTreeMap::new();
     let mut hosts: BTreeMap<String, Vec<IpAddr>> = BTreeMap::new();
-    while let Some(entry) = file.next_entry().map_err(|e| RecordsError::Syntax(e.to_string()))? {
-        let Entry::Record(record) = entry else { return Err(RecordsError::Include) };
+    while let Some(entry) = file.next_entry().map_err(|e| ZoneFileError::Syntax(e.to_string()))? {
+        let Entry::Record(record) = entry else { return Err(ZoneFileError::Include) };
         let owner = key(record.owner());
         match record.data() {
             ZoneRecordData::Ptr(ptr) if record.owner().name_eq(&wanted) => {
@@ -107,8 +107,12 @@
     Ok(servers)
 }
 
-fn server(name: String, address: SocketAddr, txt: &BTreeMap<String, String>) -> Result<Server, RecordsError> {
-    let bad = |key| RecordsError::Txt { instance: name.clone(), key };
+fn server(
+    name: String,
+    address: SocketAddr,
+    txt: &BTreeMap<String, String>,
+) -> Result<Server, ZoneFileError> {
+    let bad = |key| ZoneFileError::Txt { instance: name.clone(), key };
     let cell = txt.get("cell").and_then(|v| v.parse().ok()).ok_or(bad("cell"))?;
     let phase = match txt.get("state").map(String::as_str) {
         None | Some("up") => EndpointState::Ready,
@@ -121,7 +125,7 @@
     }
     let born = txt.get("born_ms").map_or(Ok(0), |v| v.parse()).map_err(|_| bad("born_ms"))?;
     let zone = txt.get("zone").cloned().unwrap_or_default();
-    Ok(Server { name, address, phase, cell, zone, weight, born })
+    Ok(Server { name, address, state: phase, cell, zone, weight, start_unix_ms: born })
 }
 
 fn key(name: &impl ToName) -> String {
--- a/src/net/grpc/attempt.rs
+++ b/src/net/grpc/attempt.rs
@@ -88,7 +88,7 @@
             window_over: stop.too_late(now),
         };
         let (Some((address, _)), Ok(permit)) =
-            (ready, conditions.permit().inspect_err(|denied| invariants::denied(*denied)))
+            (ready, conditions.permit().inspect_err(|denied| invariants::record_denial(*denied)))
         else {
             return Err(Broken::new(Code::Unavailable, "not sent", Outcome::NeverSent));
         };
--- a/src/net/grpc/mod.rs
+++ b/src/net/grpc/mod.rs
@@ -24,7 +24,7 @@
 use self::front::Table;
 use self::replay::Budget;
 use self::servers::Servers;
-use super::dns_sd::watcher::Watch;
+use super::dns_sd::watcher::ZoneFileWatcher;
 use super::http_server::GracefulShutdown;
 use super::StartError;
 use crate::config::operator::Grpc;
@@ -47,7 +47,7 @@
     let core = Coordinator::new(settings, seed, deployment.max_open, executor.clone(), servers.clone())
         .map_err(StartError::Settings)?;
     let (core_of, servers_of, zones) = (core.clone(), servers.clone(), deployment.zones.clone());
-    let watch = Watch::begin(core_of, servers_of, zones, source, "gRPC", log.clone());
+    let watch = ZoneFileWatcher::start(core_of, servers_of, zones, source, "gRPC", log.clone());
     executor.spawn(core.clone().run()).detach();
     executor.spawn(servers.clone().keep()).detach();
     executor.spawn(watch.map_err(StartError::Source)?.run()).detach();
--- a/src/net/grpc/servers.rs
+++ b/src/net/grpc/servers.rs
@@ -24,7 +24,7 @@
 use crate::config::settings::ConnectionSettings;
 use crate::connection_pool::{Assign, ConnectionId, Do, Limits, Pool, Why};
 use crate::coordinator::{AttemptResult, Call, CancellationToken, Clock, Transport};
-use crate::net::dns_sd::watcher::{Book, Change, Follows};
+use crate::net::dns_sd::watcher::{FollowsServerList, ServerChange, ServerRegistry};
 use crate::net::dns_sd::zone_file::Server;
 use crate::net::socket::{self, Stream};
 use crate::net::{timeout_at, LogRateLimiter};
@@ -55,7 +55,7 @@
 }
 
 pub struct Servers {
-    book: RefCell<Book>,
+    book: RefCell<ServerRegistry>,
     pub(super) pool: RefCell<Pool>,
     links: RefCell<BTreeMap<ConnectionId, Rc<Link>>>,
     /// Calls that wait for a place, by server.
@@ -71,16 +71,16 @@
     log_limiter: LogRateLimiter,
 }
 
-impl Follows for Servers {
-    fn list(&self, servers: &[Server], zones: &[String], clock: &Clock) -> Vec<Endpoint> {
+impl FollowsServerList for Servers {
+    fn apply_list(&self, servers: &[Server], zones: &[String], clock: &Clock) -> Vec<Endpoint> {
         let now = Instant::now();
-        let (listed, changes) = self.book.borrow_mut().list(servers, zones, clock);
+        let (listed, changes) = self.book.borrow_mut().apply_list(servers, zones, clock);
         for (replica, change) in changes {
             let mut pool = self.pool.borrow_mut();
             let (acts, phase) = match change {
-                Change::Listed(phase) => (Vec::new(), phase),
-                Change::Moved(phase) => (pool.moved(replica), phase),
-                Change::Gone => (Vec::new(), EndpointState::Removed),
+                ServerChange::Listed(phase) => (Vec::new(), phase),
+                ServerChange::Replaced(phase) => (pool.moved(replica), phase),
+                ServerChange::Removed => (Vec::new(), EndpointState::Removed),
             };
             pool.phase(now, replica, phase);
             pool.remove(replica);
@@ -160,7 +160,7 @@
     }
 
     pub(super) fn ready(&self, replica: ReplicaId) -> Option<(SocketAddr, u64)> {
-        self.book.borrow().ready(replica)
+        self.book.borrow().ready_address(replica)
     }
 
     pub(super) fn name(&self, replica: ReplicaId) -> String {
--- a/src/net/http_server/acceptor.rs
+++ b/src/net/http_server/acceptor.rs
@@ -13,7 +13,7 @@
 use slog::{warn, Logger};
 
 use super::{Client, GracefulShutdown};
-use crate::net::descriptors::Descriptors;
+use crate::net::descriptors::DescriptorBudget;
 use crate::net::socket::{self, Accepted, Stream};
 use crate::net::{timeout_at, LogRateLimiter};
 
@@ -125,7 +125,7 @@
     /// Connections that were accepted so far.
     accepted: Cell<u64>,
     pub freed: Wake,
-    descriptors: Rc<Descriptors>,
+    descriptors: Rc<DescriptorBudget>,
     /// Three quarters of the room are taken.
     crowded: Rc<Cell<bool>>,
     log: Logger,
@@ -136,7 +136,7 @@
     pub fn new(
         executor: Rc<LocalExecutor<'static>>,
         closing: Rc<GracefulShutdown>,
-        descriptors: Rc<Descriptors>,
+        descriptors: Rc<DescriptorBudget>,
         log: Logger,
     ) -> Rc<Self> {
         let (seats, accepted, freed, crowded, said) = Default::default();
@@ -159,8 +159,8 @@
     }
 
     fn count(&self) {
-        self.descriptors.hold(self.held());
-        self.crowded.set(4 * self.held() >= 3 * self.descriptors.most_clients());
+        self.descriptors.set_client_connections(self.held());
+        self.crowded.set(4 * self.held() >= 3 * self.descriptors.max_client_connections());
     }
 
     /// Tell one to make way, the longest first, or to be drained no longer; for how long to wait for it then. While
@@ -179,7 +179,7 @@
     }
 
     fn full(&self) -> bool {
-        self.held() >= self.descriptors.most_clients() && !self.closing.is_idle()
+        self.held() >= self.descriptors.max_client_connections() && !self.closing.is_idle()
     }
 
     /// Wait for room, and make it. Guards against clients that keep their connections and ask no more, or
@@ -209,24 +209,24 @@
             match socket::accept(&listener) {
                 Accepted::Stream(stream, _) => self.seat(stream, unseen, &serve),
                 // What the machine took for us by the end is served too.
-                Accepted::Nobody if self.closing.is_idle() => return,
-                Accepted::Nobody => {
+                Accepted::NonePending if self.closing.is_idle() => return,
+                Accepted::NonePending => {
                     unseen = None;
-                    socket::somebody(&listener).or(self.closing.idle()).await;
+                    socket::wait_for_connection(&listener).or(self.closing.idle()).await;
                 }
                 // Its client is gone. It punishes nobody else, and the next one is taken at once.
-                Accepted::Gone => {
+                Accepted::Aborted => {
                     gone += 1;
-                    socket::pass_over(gone).await;
+                    socket::yield_after_aborted(gone).await;
                     continue;
                 }
-                Accepted::Local(e) => {
+                Accepted::LocalFailure(e) => {
                     if let Some(suppressed) = self.log_limiter.permit() {
                         warn!(self.log, "could not accept a connection"; "error" => %e, "suppressed" => suppressed);
                     }
                     let now = Instant::now();
                     unseen.get_or_insert(now);
-                    if socket::no_descriptor(&e) {
+                    if socket::is_process_out_of_descriptors(&e) {
                         self.make_way(now);
                     }
                     Timer::at(now + PAUSE).await;
--- a/src/net/http_server/mod.rs
+++ b/src/net/http_server/mod.rs
@@ -220,7 +220,7 @@
     /// still comes is dropped, in bounds, and never served: its client has been told by then.
     async fn leave(&mut self, owed: bool) {
         if owed && self.input.begins_another() {
-            invariants::check(send_policy::end_of_connection(self.input.buffer.unread().len()));
+            invariants::check_invariant(send_policy::end_of_connection(self.input.buffer.unread().len()));
         }
         let Client { stream, input: Input { buffer, .. }, seat, .. } = self;
         seat.set(Doing::Leaving);
--- a/src/net/invariants.rs
+++ b/src/net/invariants.rs
@@ -9,11 +9,11 @@
 
 /// The process's counts so far.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Counts {
-    pub called_off: u64,
-    pub out_of_time: u64,
+pub struct InvariantCounts {
+    pub cancelled: u64,
+    pub deadline_exceeded: u64,
     pub replica_not_ready: u64,
-    pub window_over: u64,
+    pub retry_window_closed: u64,
     /// Frames that were not written whole in their time.
     pub stalled: u64,
     /// Failures of our own machine to connect.
@@ -39,7 +39,7 @@
     count.fetch_add(1, Ordering::Relaxed);
 }
 
-pub fn denied(why: Denied) {
+pub fn record_denial(why: Denied) {
     add(match why {
         Denied::CalledOff => &CALLED_OFF,
         Denied::OutOfTime => &OUT_OF_TIME,
@@ -49,17 +49,17 @@
 }
 
 /// A frame was not written whole in its time, and its connection is given up.
-pub fn stalled() {
+pub fn record_stalled_frame() {
     add(&STALLED);
 }
 
 /// Our own machine failed to connect.
-pub fn local_failure() {
+pub fn record_local_failure() {
     add(&LOCAL_FAILURES);
 }
 
 /// Look at a check of something that was done: a broken invariant is counted.
-pub fn check(checked: Result<(), Violation>) {
+pub fn check_invariant(checked: Result<(), Violation>) {
     let Err(violation) = checked else { return };
     add(&VIOLATIONS);
     if let Some(log) = LOG.get() {
@@ -68,13 +68,13 @@
     debug_assert!(false, "invariant broken: {violation:?}");
 }
 
-pub fn counts() -> Counts {
+pub fn counts() -> InvariantCounts {
     let read = |count: &AtomicU64| count.load(Ordering::Relaxed);
-    Counts {
-        called_off: read(&CALLED_OFF),
-        out_of_time: read(&OUT_OF_TIME),
+    InvariantCounts {
+        cancelled: read(&CALLED_OFF),
+        deadline_exceeded: read(&OUT_OF_TIME),
         replica_not_ready: read(&REPLICA_NOT_READY),
-        window_over: read(&WINDOW_OVER),
+        retry_window_closed: read(&WINDOW_OVER),
         stalled: read(&STALLED),
         local_failures: read(&LOCAL_FAILURES),
         violations: read(&VIOLATIONS),
--- a/src/net/opensearch/mod.rs
+++ b/src/net/opensearch/mod.rs
@@ -14,7 +14,7 @@
 
 use self::query_api::Front;
 use self::servers::Servers;
-use super::dns_sd::watcher::Watch;
+use super::dns_sd::watcher::ZoneFileWatcher;
 use super::http_server::GracefulShutdown;
 use super::StartError;
 use crate::config::operator::QueryApi;
@@ -35,7 +35,7 @@
     let core = Coordinator::new(settings, seed, deployment.max_open, executor.clone(), servers.clone())
         .map_err(StartError::Settings)?;
     let (core_of, zones) = (core.clone(), deployment.zones.clone());
-    let watch = Watch::begin(core_of, servers, zones, source, "query API", log.clone());
+    let watch = ZoneFileWatcher::start(core_of, servers, zones, source, "query API", log.clone());
     executor.spawn(core.clone().run()).detach();
     executor.spawn(watch.map_err(StartError::Source)?.run()).detach();
     let (closing, log, (log_limiter, joined)) = (closing.clone(), log.clone(), Default::default());
--- a/src/net/opensearch/servers.rs
+++ b/src/net/opensearch/servers.rs
@@ -15,7 +15,7 @@
 use crate::config::settings::ConnectionSettings;
 use crate::coordinator::{AttemptResult, Call, CancellationToken, Clock, Step, Transport};
 use crate::net::buffer::Buffer;
-use crate::net::dns_sd::watcher::{Book, Change, Follows};
+use crate::net::dns_sd::watcher::{FollowsServerList, ServerChange, ServerRegistry};
 use crate::net::dns_sd::zone_file::Server;
 use crate::net::http::{self, HttpError, Kind, Message};
 use crate::net::invariants;
@@ -50,18 +50,18 @@
 type Idle = Vec<(Stream, Instant)>;
 
 pub struct Servers {
-    book: RefCell<Book>,
+    book: RefCell<ServerRegistry>,
     idle: RefCell<BTreeMap<ReplicaId, Idle>>,
     sockets: ConnectionSettings,
     room: Cell<usize>,
     log: Logger,
 }
 
-impl Follows for Servers {
-    fn list(&self, servers: &[Server], zones: &[String], clock: &Clock) -> Vec<Endpoint> {
-        let (listed, changes) = self.book.borrow_mut().list(servers, zones, clock);
+impl FollowsServerList for Servers {
+    fn apply_list(&self, servers: &[Server], zones: &[String], clock: &Clock) -> Vec<Endpoint> {
+        let (listed, changes) = self.book.borrow_mut().apply_list(servers, zones, clock);
         for (replica, change) in changes {
-            if !matches!(change, Change::Listed(_)) {
+            if !matches!(change, ServerChange::Listed(_)) {
                 self.close(replica);
             }
         }
@@ -97,8 +97,8 @@
         // Counted before it is up: many may be coming up at once.
         let mut place = Place::reserve(self);
         let stream = socket::connect(address, latest).await.map_err(|e| match e {
-            ConnectError::Local(_) => Outcome::NeverSent,
-            ConnectError::Refused(_) | ConnectError::Late => Outcome::ConnectFailed,
+            ConnectError::LocalFailure(_) => Outcome::NeverSent,
+            ConnectError::Refused(_) | ConnectError::TimedOut => Outcome::ConnectFailed,
         })?;
         stream.set_nodelay();
         place.stream = Some(stream);
@@ -110,7 +110,7 @@
     }
 
     fn ready(&self, replica: ReplicaId) -> Option<(SocketAddr, u64)> {
-        self.book.borrow().ready(replica)
+        self.book.borrow().ready_address(replica)
     }
 
     /// One request on one connection, from its place to the last byte of its answer.
@@ -131,7 +131,7 @@
             replica_ready: self.ready(call.replica) == Some((address, life)),
             window_over: stop.too_late(now),
         };
-        let Ok(permit) = conditions.permit().inspect_err(|denied| invariants::denied(*denied)) else {
+        let Ok(permit) = conditions.permit().inspect_err(|denied| invariants::record_denial(*denied)) else {
             return Outcome::NeverSent.into();
         };
         let request = request(call, address, permit);
@@ -188,7 +188,7 @@
     }
 
     fn keep(&self, replica: ReplicaId, life: u64, mut place: Place) {
-        if self.book.borrow().get(replica).is_some_and(|k| k.life == life) {
+        if self.book.borrow().get(replica).is_some_and(|k| k.incarnation == life) {
             if let Some(stream) = place.stream.take() {
                 // It goes on holding its room.
                 place.holds.set(false);
--- a/src/net/socket.rs
+++ b/src/net/socket.rs
@@ -22,10 +22,10 @@
 /// Interrupted calls in a row before others have their turn.
 const MOST_INTERRUPTED: usize = 64;
 /// Between two tries of what our own machine refused.
-const RETRY: Duration = Duration::from_millis(5);
+const RETRY_INTERVAL: Duration = Duration::from_millis(5);
 /// For how long what the start needs is tried for: clients come 30 s after it at the latest, and nine in ten processes
 /// are to be ready within 10 s.
-pub const START: Duration = Duration::from_secs(8);
+pub const STARTUP_RETRY_TIME: Duration = Duration::from_secs(8);
 
 /// A TCP connection.
 #[derive(Debug)]
@@ -35,18 +35,18 @@
 #[derive(Debug)]
 pub enum ConnectError {
     /// Our own machine had no means for it, up to the end of its time. It says nothing of the other side.
-    Local(io::Error),
+    LocalFailure(io::Error),
     /// The other side refused it, or broke it off.
     Refused(io::Error),
     /// It did not come up in time.
-    Late,
+    TimedOut,
 }
 
 impl From<ConnectError> for io::Error {
     fn from(e: ConnectError) -> io::Error {
         match e {
-            ConnectError::Local(e) | ConnectError::Refused(e) => e,
-            ConnectError::Late => ErrorKind::TimedOut.into(),
+            ConnectError::LocalFailure(e) | ConnectError::Refused(e) => e,
+            ConnectError::TimedOut => ErrorKind::TimedOut.into(),
         }
     }
 }
@@ -54,9 +54,9 @@
 impl std::fmt::Display for ConnectError {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         match self {
-            ConnectError::Local(e) => write!(f, "our own machine: {e}"),
+            ConnectError::LocalFailure(e) => write!(f, "our own machine: {e}"),
             ConnectError::Refused(e) => write!(f, "{e}"),
-            ConnectError::Late => f.write_str("no connection in time"),
+            ConnectError::TimedOut => f.write_str("no connection in time"),
         }
     }
 }
@@ -64,7 +64,7 @@
 impl std::error::Error for ConnectError {}
 
 /// Whether a call failed for want of something of our own machine, which may have it a moment later.
-pub fn is_local(e: &io::Error) -> bool {
+pub fn is_local_failure(e: &io::Error) -> bool {
     let local = [
         Errno::INTR,
         Errno::AGAIN,
@@ -82,11 +82,11 @@
 
 /// Connect by `latest`. Failures of our own machine are tried again until then.
 pub async fn connect(address: SocketAddr, latest: Instant) -> Result<Stream, ConnectError> {
-    connect_noting(address, latest, || {}).await
+    connect_observed(address, latest, || {}).await
 }
 
 /// The same; `local_failure` hears of each failure of our own machine as it happens.
-pub async fn connect_noting(
+pub async fn connect_observed(
     address: SocketAddr,
     latest: Instant,
     local_failure: impl Fn(),
@@ -96,23 +96,23 @@
         loop {
             match Async::<TcpStream>::connect(address).await {
                 Ok(stream) => return Ok(Stream(stream)),
-                Err(e) if is_local(&e) => last = Some(e),
+                Err(e) if is_local_failure(&e) => last = Some(e),
                 Err(e) => return Err(ConnectError::Refused(e)),
             }
             local_failure();
-            Timer::at(Instant::now() + RETRY).await;
+            Timer::at(Instant::now() + RETRY_INTERVAL).await;
         }
     };
     let connected = timeout_at(latest, connected).await;
-    connected.unwrap_or_else(|| Err(last.map_or(ConnectError::Late, lasting)))
+    connected.unwrap_or_else(|| Err(last.map_or(ConnectError::TimedOut, persistent_failure)))
 }
 
 /// What a failure comes to that has lasted for all of a connect's time. A way there that is missing for so long is one
 /// of the other side's: guards against taking a zone that is cut off for ever new moments of our own machine.
-pub fn lasting(e: io::Error) -> ConnectError {
+pub fn persistent_failure(e: io::Error) -> ConnectError {
     match Errno::from_io_error(&e) {
         Some(Errno::NETUNREACH) => ConnectError::Refused(e),
-        _ => ConnectError::Local(e),
+        _ => ConnectError::LocalFailure(e),
     }
 }
 
@@ -126,14 +126,19 @@
 /// A listener at `address`. What our own machine refuses for a moment is tried again; an address that another one uses
 /// or that we may not use is an error at once.
 pub async fn listen(address: SocketAddr) -> io::Result<Async<TcpListener>> {
-    retried(Instant::now() + START, || bind(address)).await
+    retry_local_failures(Instant::now() + STARTUP_RETRY_TIME, || bind(address)).await
 }
 
 /// What `make` gives; failures of our own machine are tried again until `latest`.
-pub async fn retried<T>(latest: Instant, mut make: impl FnMut() -> io::Result<T>) -> io::Result<T> {
+pub async fn retry_local_failures<T>(
+    latest: Instant,
+    mut make: impl FnMut() -> io::Result<T>,
+) -> io::Result<T> {
     loop {
         match make() {
-            Err(e) if is_local(&e) && Instant::now() < latest => Timer::at(Instant::now() + RETRY).await,
+            Err(e) if is_local_failure(&e) && Instant::now() < latest => {
+                Timer::at(Instant::now() + RETRY_INTERVAL).await
+            }
             made => return made,
         };
     }
@@ -143,11 +148,11 @@
 pub enum Accepted {
     Stream(Stream, SocketAddr),
     /// Nobody waits.
-    Nobody,
+    NonePending,
     /// This connection was gone before we took it, or the call was interrupted: the next one may be there.
-    Gone,
+    Aborted,
     /// Our own machine has no means for it: it stays in the backlog.
-    Local(io::Error),
+    LocalFailure(io::Error),
 }
 
 /// Take the next connection that waits, if one does.
@@ -155,14 +160,14 @@
     match listener.get_ref().accept() {
         Ok((stream, from)) => match Async::new(stream) {
             Ok(stream) => Accepted::Stream(Stream(stream), from),
-            Err(e) => Accepted::Local(e),
+            Err(e) => Accepted::LocalFailure(e),
         },
-        Err(e) if e.kind() == ErrorKind::WouldBlock => Accepted::Nobody,
+        Err(e) if e.kind() == ErrorKind::WouldBlock => Accepted::NonePending,
         Err(e) => {
             let ours = [Errno::MFILE, Errno::NFILE, Errno::NOBUFS, Errno::NOMEM];
             match Errno::from_io_error(&e) {
-                Some(errno) if ours.contains(&errno) => Accepted::Local(e),
-                _ => Accepted::Gone,
+                Some(errno) if ours.contains(&errno) => Accepted::LocalFailure(e),
+                _ => Accepted::Aborted,
             }
         }
     }
@@ -170,16 +175,16 @@
 
 /// Lets others have their turn behind a connection that was gone, the `gone`th in a row. Guards the processor against an
 /// error that lasts.
-pub async fn pass_over(gone: usize) {
+pub async fn yield_after_aborted(gone: usize) {
     if gone.is_multiple_of(MOST_INTERRUPTED) {
-        Timer::at(Instant::now() + RETRY).await;
+        Timer::at(Instant::now() + RETRY_INTERVAL).await;
     } else {
         futures_lite::future::yield_now().await;
     }
 }
 
 /// Whether the process itself has no descriptor left, not its machine.
-pub fn no_descriptor(e: &io::Error) -> bool {
+pub fn is_process_out_of_descriptors(e: &io::Error) -> bool {
     Errno::from_io_error(e) == Some(Errno::MFILE)
 }
 
@@ -261,7 +266,7 @@
 }
 
 /// Wait until somebody waits at the listener.
-pub async fn somebody(listener: &Async<TcpListener>) {
+pub async fn wait_for_connection(listener: &Async<TcpListener>) {
     // An error is one that the next accept tells too.
     let _ = listener.readable().await;
 }
--- a/tests/clients_order.rs
+++ b/tests/clients_order.rs
@@ -6,7 +6,7 @@
 
 use async_executor::LocalExecutor;
 use futures_lite::future::yield_now;
-use marlgap::net::descriptors::Descriptors;
+use marlgap::net::descriptors::DescriptorBudget;
 use marlgap::net::http_server::{self, Acceptor, GracefulShutdown};
 use marlgap::net::socket;
 
@@ -19,7 +19,7 @@
     let listener = socket::bind(SocketAddr::from(([127, 0, 0, 1], 0))).expect("bound");
     let address = listener.get_ref().local_addr().expect("bound");
     let log = slog::Logger::root(slog::Discard, slog::o!());
-    let descriptors = Rc::new(Descriptors::new(16));
+    let descriptors = Rc::new(DescriptorBudget::new(16));
     let acceptor = Acceptor::new(executor.clone(), closing.clone(), descriptors, log);
     let (noted, held) = (read.clone(), acceptor.clone());
     let serve = move |mut client: http_server::Client| {
--- a/tests/formats.rs
+++ b/tests/formats.rs
@@ -37,13 +37,16 @@
     assert_eq!(length, bytes.len());
     let frames::Frame::Answer { id, report, value, .. } = found else { panic!("{found:?}") };
     assert_eq!((id, value), ("a1.3.b", &b"V"[..]));
-    assert_eq!((frames::reported(report, "load_share"), frames::reported(report, "concurrent")), (0.61, 7.0));
-    assert!(frames::reported(report, "tps").is_nan());
-    assert_eq!(frames::parse(&[0, 0, 0, 0]), Err(FrameError::Length(0)));
-    assert_eq!(frames::parse(&[255; 4]), Err(FrameError::Length(u32::MAX as usize)));
-    assert_eq!(frames::parse(&frame("x y")), Err(FrameError::Letter(b'x')));
+    assert_eq!(
+        (frames::report_value(report, "load_share"), frames::report_value(report, "concurrent")),
+        (0.61, 7.0)
+    );
+    assert!(frames::report_value(report, "tps").is_nan());
+    assert_eq!(frames::parse(&[0, 0, 0, 0]), Err(FrameError::InvalidLength(0)));
+    assert_eq!(frames::parse(&[255; 4]), Err(FrameError::InvalidLength(u32::MAX as usize)));
+    assert_eq!(frames::parse(&frame("x y")), Err(FrameError::UnknownType(b'x')));
     for bad in ["a a1.3 served", "a a1.3 served 1 -", "a a1.3 gone 1 -\n", "a a1.3 served nan -\n"] {
-        assert_eq!(frames::parse(&frame(bad)), Err(FrameError::Line), "{bad}");
+        assert_eq!(frames::parse(&frame(bad)), Err(FrameError::MalformedHeader), "{bad}");
     }
 }
 
@@ -80,7 +83,7 @@
     let server = &servers[0];
     assert_eq!(server.address, SocketAddr::from(([127, 0, 0, 1], 9201)), "the better priority");
     assert_eq!(
-        (server.cell, server.phase, &server.zone[..], server.born),
+        (server.cell, server.state, &server.zone[..], server.start_unix_ms),
         (3, EndpointState::Draining, "tema", 9)
     );
     for (from, to) in
--- a/tests/golden_wire/data_nodes.rs
+++ b/tests/golden_wire/data_nodes.rs
@@ -1,5 +1,7 @@
 //! The frames of data nodes: each kind that comes from them as stored bytes, and the envelope of those to them.
-use marlgap::net::data_nodes::frames::{named, open, parse, reported, seal, End, Frame};
+use marlgap::net::data_nodes::frames::{
+    begin_frame, finish_frame, malformed_answer_id, parse, report_value, AnswerStatus, Frame,
+};
 
 use crate::fixtures::{assert_same_bytes, records};
 
@@ -8,9 +10,9 @@
 /// A frame with a letter and what follows it.
 fn sealed(letter: u8, rest: &str) -> Vec<u8> {
     let mut bytes = Vec::new();
-    let at = open(&mut bytes, letter);
+    let at = begin_frame(&mut bytes, letter);
     bytes.extend_from_slice(rest.as_bytes());
-    seal(&mut bytes, at);
+    finish_frame(&mut bytes, at);
     bytes
 }
 
@@ -18,13 +20,15 @@
 fn frames() -> Vec<(&'static str, Vec<u8>, Frame<'static>)> {
     let served = Frame::Answer {
         id: "q7.31",
-        end: End::Served,
+        status: AnswerStatus::Served,
         score: 2.75,
         report: REPORT,
         value: b"value\nof a part",
     };
-    let broke = Frame::Answer { id: "q7.32", end: End::Broke, score: 0.0, report: "-", value: b"" };
-    let skipped = Frame::Answer { id: "q7.33x", end: End::Skipped, score: 0.0, report: "-", value: b"" };
+    let broke =
+        Frame::Answer { id: "q7.32", status: AnswerStatus::Failed, score: 0.0, report: "-", value: b"" };
+    let skipped =
+        Frame::Answer { id: "q7.33x", status: AnswerStatus::Rejected, score: 0.0, report: "-", value: b"" };
     vec![
         ("answer_served", sealed(b'a', &format!("q7.31 served 2.75 {REPORT}\nvalue\nof a part")), served),
         ("answer_broke", sealed(b'a', "q7.32 broke - -\n"), broke),
@@ -33,7 +37,7 @@
         ("probe_broke", sealed(b'p', "broke"), Frame::Probe { served: false }),
         ("load", sealed(b'l', REPORT), Frame::Load { report: Some(REPORT) }),
         ("load_broke", sealed(b'l', "broke"), Frame::Load { report: None }),
-        ("error", sealed(b'e', "what was wrong"), Frame::Error { words: "what was wrong" }),
+        ("error", sealed(b'e', "what was wrong"), Frame::Error { message: "what was wrong" }),
     ]
 }
 
@@ -48,17 +52,17 @@
         assert_eq!(read, Some((frame, bytes.len())), "{name}: read (left) and meant (right)");
         assert_same_bytes(name, &sealed, bytes);
     }
-    assert_eq!(named(&stored["answer_served"]), Some("q7.31"));
+    assert_eq!(malformed_answer_id(&stored["answer_served"]), Some("q7.31"));
 }
 
 /// Guards the names under which data nodes send what the settings call otherwise.
 #[test]
 fn values_of_a_report_are_found_under_the_names_that_data_nodes_send() {
-    assert_eq!(reported(REPORT, "concurrent"), 7.0);
-    assert_eq!(reported(REPORT, "depth"), 8.0);
-    assert_eq!(reported(REPORT, "load_share"), 0.61);
-    assert_eq!(reported(REPORT, "mean_ms"), 9.5);
-    assert_eq!(reported(REPORT, "tps"), 10.0);
-    assert_eq!(reported(REPORT, "err_ps"), 0.25);
-    assert_eq!(reported(REPORT, "own"), 3.0);
+    assert_eq!(report_value(REPORT, "concurrent"), 7.0);
+    assert_eq!(report_value(REPORT, "depth"), 8.0);
+    assert_eq!(report_value(REPORT, "load_share"), 0.61);
+    assert_eq!(report_value(REPORT, "mean_ms"), 9.5);
+    assert_eq!(report_value(REPORT, "tps"), 10.0);
+    assert_eq!(report_value(REPORT, "err_ps"), 0.25);
+    assert_eq!(report_value(REPORT, "own"), 3.0);
 }
--- a/tests/golden_wire/data_nodes_lines.rs
+++ b/tests/golden_wire/data_nodes_lines.rs
@@ -9,7 +9,7 @@
 use marlgap::balancer::interface::{EndpointState, ShardId};
 use marlgap::coordinator::{Call, CancellationToken, Step, Transport};
 use marlgap::net::data_nodes::{DataNodes, ListedDataNode, RequestContext};
-use marlgap::net::descriptors::Descriptors;
+use marlgap::net::descriptors::DescriptorBudget;
 
 use crate::common::{configure, PATIENCE};
 use crate::fixtures::{assert_same_bytes, records};
@@ -47,9 +47,13 @@
     let told = marlgap::config::settings::parse(config["settings"].to_string().as_bytes()).expect("settings");
     let executor = Rc::new(LocalExecutor::new());
     let log = slog::Logger::root(slog::Discard, slog::o!());
-    let nodes = DataNodes::new(told, Rc::new(Descriptors::new(64)), executor.clone(), log);
-    let replica =
-        nodes.list(&ListedDataNode { name: "n0".to_owned(), address, phase: EndpointState::Ready, born: 0 });
+    let nodes = DataNodes::new(told, Rc::new(DescriptorBudget::new(64)), executor.clone(), log);
+    let replica = nodes.register(&ListedDataNode {
+        name: "n0".to_owned(),
+        address,
+        state: EndpointState::Ready,
+        start_unix_ms: 0,
+    });
     let carried = Rc::new(RequestContext::new("query-id".to_owned(), b"the statement".to_vec()));
     let call = Call::alone(replica, carried, ShardId(shard), step, Instant::now() + DEADLINE);
     let (hold, stop) = CancellationToken::new();
--- a/tests/nodes.rs
+++ b/tests/nodes.rs
@@ -13,7 +13,7 @@
 use marlgap::balancer::interface::{EndpointState, Outcome, ReplicaId, ShardId};
 use marlgap::coordinator::{AttemptResult, Call, CancellationToken, Step, Transport};
 use marlgap::net::data_nodes::{DataNodes, ListedDataNode, RequestContext};
-use marlgap::net::descriptors::Descriptors;
+use marlgap::net::descriptors::DescriptorBudget;
 
 /// A statement that no socket's buffers hold.
 const ENDLESS: usize = 64 * 1024 * 1024;
@@ -41,8 +41,8 @@
         change(&mut told);
         let executor = Rc::new(LocalExecutor::new());
         let log = slog::Logger::root(slog::Discard, slog::o!());
-        let nodes = DataNodes::new(told, Rc::new(Descriptors::new(64)), executor.clone(), log);
-        let replica = nodes.list(&entry(address));
+        let nodes = DataNodes::new(told, Rc::new(DescriptorBudget::new(64)), executor.clone(), log);
+        let replica = nodes.register(&entry(address));
         let carried = Rc::new(RequestContext::new("a1".to_owned(), b"hi".to_vec()));
         World { executor, nodes, replica, listener, carried }
     }
@@ -90,7 +90,7 @@
 }
 
 fn entry(address: SocketAddr) -> ListedDataNode {
-    ListedDataNode { name: "n0".to_owned(), address, phase: EndpointState::Ready, born: 0 }
+    ListedDataNode { name: "n0".to_owned(), address, state: EndpointState::Ready, start_unix_ms: 0 }
 }
 
 fn send(mut stream: &TcpStream, text: &str) {
--- a/tests/parts.rs
+++ b/tests/parts.rs
@@ -11,7 +11,7 @@
 use marlgap::balancer::interface::{EndpointState, Outcome, ReplicaId, ShardId};
 use marlgap::coordinator::{Call, CancellationToken, Step, Transport};
 use marlgap::net::data_nodes::{DataNodes, ListedDataNode, RequestContext};
-use marlgap::net::descriptors::Descriptors;
+use marlgap::net::descriptors::DescriptorBudget;
 
 fn deployment(node: SocketAddr) -> marlgap::config::settings::Deployment {
     // A folder each: tests run side by side.
@@ -22,8 +22,8 @@
 }
 
 /// Descriptors of which so many are for connections to data nodes.
-fn descriptors(connections: usize) -> Rc<Descriptors> {
-    Rc::new(Descriptors::new(2 * connections))
+fn descriptors(connections: usize) -> Rc<DescriptorBudget> {
+    Rc::new(DescriptorBudget::new(2 * connections))
 }
 
 /// Two parts on one connection to a data node that does as told; how they ended.
@@ -36,8 +36,12 @@
     let executor = Rc::new(LocalExecutor::new());
     let log = slog::Logger::root(slog::Discard, slog::o!());
     let nodes = DataNodes::new(deployment(address), descriptors(8), executor.clone(), log);
-    let replica =
-        nodes.list(&ListedDataNode { name: "n0".to_owned(), address, phase: EndpointState::Ready, born: 0 });
+    let replica = nodes.register(&ListedDataNode {
+        name: "n0".to_owned(),
+        address,
+        state: EndpointState::Ready,
+        start_unix_ms: 0,
+    });
     let carried = Rc::new(RequestContext::new("a1".to_owned(), b"hi".to_vec()));
     let deadline = Instant::now() + PATIENCE;
     let begin = |shard| {
@@ -70,8 +74,12 @@
         executor.clone(),
         slog::Logger::root(slog::Discard, slog::o!()),
     );
-    let replica =
-        nodes.list(&ListedDataNode { name: "n0".to_owned(), address, phase: EndpointState::Ready, born: 0 });
+    let replica = nodes.register(&ListedDataNode {
+        name: "n0".to_owned(),
+        address,
+        state: EndpointState::Ready,
+        start_unix_ms: 0,
+    });
     let carried = Rc::new(RequestContext::new("a1".to_owned(), b"hi".to_vec()));
     let deadline = Instant::now() + PATIENCE;
     let begin = |shard| {
@@ -126,8 +134,12 @@
         executor.clone(),
         slog::Logger::root(slog::Discard, slog::o!()),
     );
-    let replica =
-        nodes.list(&ListedDataNode { name: "n0".to_owned(), address, phase: EndpointState::Ready, born: 0 });
+    let replica = nodes.register(&ListedDataNode {
+        name: "n0".to_owned(),
+        address,
+        state: EndpointState::Ready,
+        start_unix_ms: 0,
+    });
     let carried = Rc::new(RequestContext::new("a1".to_owned(), b"hi".to_vec()));
     let deadline = Instant::now() + PATIENCE;
     let begin = |shard| {
@@ -175,9 +187,13 @@
     });
     let servers: Vec<_> = servers.collect();
     for (n, address) in addresses.iter().enumerate() {
-        let entry =
-            ListedDataNode { name: format!("n{n}"), address: *address, phase: EndpointState::Ready, born: 0 };
-        let replica = nodes.list(&entry);
+        let entry = ListedDataNode {
+            name: format!("n{n}"),
+            address: *address,
+            state: EndpointState::Ready,
+            start_unix_ms: 0,
+        };
+        let replica = nodes.register(&entry);
         let carried = Rc::new(RequestContext::new("a1".to_owned(), b"hi".to_vec()));
         let call = Call::alone(replica, carried, ShardId(0), Step::First, Instant::now() + PATIENCE);
         let (_hold, stop) = CancellationToken::new();
@@ -191,14 +207,18 @@
 /// Guards the clients' share: connections to data nodes never take it, and take what clients leave.
 #[test]
 fn each_side_has_descriptors_that_the_other_cannot_take() {
-    let shared = Descriptors::new(16);
-    assert_eq!(shared.most_clients(), 12);
-    assert_eq!((0..16).filter(|_| shared.take()).count(), 8, "half, while clients hold few");
-    assert_eq!(shared.most_clients(), 8);
-    (0..8).for_each(|_| shared.give_back());
-    shared.hold(12);
-    assert_eq!((0..16).filter(|_| shared.take()).count(), 4, "a quarter, when clients hold all the rest");
-    assert_eq!(shared.most_clients(), 12);
+    let shared = DescriptorBudget::new(16);
+    assert_eq!(shared.max_client_connections(), 12);
+    assert_eq!((0..16).filter(|_| shared.try_acquire_backend()).count(), 8, "half, while clients hold few");
+    assert_eq!(shared.max_client_connections(), 8);
+    (0..8).for_each(|_| shared.release_backend());
+    shared.set_client_connections(12);
+    assert_eq!(
+        (0..16).filter(|_| shared.try_acquire_backend()).count(),
+        4,
+        "a quarter, when clients hold all the rest"
+    );
+    assert_eq!(shared.max_client_connections(), 12);
 }
 
 /// Guards against parts that wait unread at a data node: given-up ones hold their places until they are answered.
@@ -213,8 +233,12 @@
         executor.clone(),
         slog::Logger::root(slog::Discard, slog::o!()),
     );
-    let replica =
-        nodes.list(&ListedDataNode { name: "n0".to_owned(), address, phase: EndpointState::Ready, born: 0 });
+    let replica = nodes.register(&ListedDataNode {
+        name: "n0".to_owned(),
+        address,
+        state: EndpointState::Ready,
+        start_unix_ms: 0,
+    });
     let carried = Rc::new(RequestContext::new("a1".to_owned(), b"hi".to_vec()));
     let deadline = Instant::now() + PATIENCE;
     let begin = |shard| {
@@ -254,8 +278,12 @@
         executor.clone(),
         slog::Logger::root(slog::Discard, slog::o!()),
     );
-    let replica =
-        nodes.list(&ListedDataNode { name: "n0".to_owned(), address, phase: EndpointState::Ready, born: 0 });
+    let replica = nodes.register(&ListedDataNode {
+        name: "n0".to_owned(),
+        address,
+        state: EndpointState::Ready,
+        start_unix_ms: 0,
+    });
     let carried = Rc::new(RequestContext::new("a1".to_owned(), b"hi".to_vec()));
     let ask = |shard, wait| {
         let (carried, deadline) = (carried.clone(), Instant::now() + Duration::from_millis(wait));
@@ -314,14 +342,16 @@
     let address = SocketAddr::from(([127, 0, 0, 1], 9));
     let log = slog::Logger::root(slog::Discard, slog::o!());
     let nodes = DataNodes::new(deployment(address), descriptors(8), Rc::new(LocalExecutor::new()), log);
-    let list = |n: u32, phase| nodes.list(&ListedDataNode { name: format!("n{n}"), address, phase, born: 0 });
+    let list = |n: u32, phase| {
+        nodes.register(&ListedDataNode { name: format!("n{n}"), address, state: phase, start_unix_ms: 0 })
+    };
     let first: Vec<_> = (0..3).map(|n| list(n, EndpointState::Ready)).collect();
-    nodes.keep_only(&first[1..].iter().copied().collect());
+    nodes.retain_listed(&first[1..].iter().copied().collect());
     let now = Instant::now();
-    nodes.forget(now + Duration::from_secs(10));
-    assert_eq!((nodes.known(), list(0, EndpointState::Removed)), (3, first[0]), "it may come back");
-    nodes.forget(now + Duration::from_secs(60));
-    assert_eq!(nodes.known(), 2);
+    nodes.forget_removed(now + Duration::from_secs(10));
+    assert_eq!((nodes.known_count(), list(0, EndpointState::Removed)), (3, first[0]), "it may come back");
+    nodes.forget_removed(now + Duration::from_secs(60));
+    assert_eq!(nodes.known_count(), 2);
     assert_eq!(list(1, EndpointState::Ready), first[1]);
     assert!(!first.contains(&list(0, EndpointState::Ready)), "a new one by now");
 }
@@ -339,8 +369,13 @@
         let executor = Rc::new(LocalExecutor::new());
         let log = slog::Logger::root(slog::Discard, slog::o!());
         let nodes = DataNodes::new(deployment.clone(), descriptors(8), executor.clone(), log);
-        let entry = |phase, born| ListedDataNode { name: "n0".to_owned(), address, phase, born };
-        let replica = nodes.list(&entry(EndpointState::Ready, 0));
+        let entry = |phase, born| ListedDataNode {
+            name: "n0".to_owned(),
+            address,
+            state: phase,
+            start_unix_ms: born,
+        };
+        let replica = nodes.register(&entry(EndpointState::Ready, 0));
         assert_eq!(replica, ReplicaId(1));
         let carried = Rc::new(RequestContext::new("a1".to_owned(), b"hi".to_vec()));
         let deadline = Instant::now() + Duration::from_secs(5);
@@ -349,7 +384,7 @@
         let attempt = executor.spawn(nodes.clone().call(call, stop));
         // Begun, and queued on a connection that is not up yet.
         assert!(executor.try_tick());
-        nodes.list(&entry(phase, born));
+        nodes.register(&entry(phase, born));
         let ended = async_io::block_on(executor.run(attempt));
         // A new life ends its old connections: nothing was written there either, and the new process refused nothing.
         assert_eq!(ended.outcome, Outcome::NeverSent, "{phase:?} {born}");
--- a/tests/scale_control/version.rs
+++ b/tests/scale_control/version.rs
@@ -1,7 +1,7 @@
 //! What an answer of discovery means against the version that is held.
 use marlgap::balancer::interface::EndpointUpdate;
-use marlgap::net::discovery::version::{call, taken, Taken};
-use marlgap::net::discovery::{DiscoveryError, List};
+use marlgap::net::discovery::version::{interpret, poll_request, VersionedListUpdate};
+use marlgap::net::discovery::{DiscoveryError, EndpointList};
 
 fn list(seq: u64, whole: bool, hosts: usize) -> String {
     let host = r#"{"host":"s","dial":"10.0.0.1:1","health":"up"}"#;
@@ -13,8 +13,10 @@
 type Meaning = (Option<u64>, Option<EndpointUpdate>, bool, bool);
 
 fn meaning(text: &str, ours: Option<u64>, pushed: bool) -> Result<Meaning, DiscoveryError> {
-    let list: List = serde_json::from_str(text).expect("a list");
-    taken(&list, ours, pushed).map(|Taken { seq, news, newer, back }| (seq, news, newer, back))
+    let list: EndpointList = serde_json::from_str(text).expect("a list");
+    interpret(&list, ours, pushed).map(|VersionedListUpdate { seq, update, is_new_version, went_back }| {
+        (seq, update, is_new_version, went_back)
+    })
 }
 
 #[test]
@@ -33,14 +35,14 @@
     for (text, ours, pushed, expected) in cases {
         assert_eq!(meaning(&text, ours, pushed).expect("taken"), expected, "{text} over {ours:?}");
     }
-    assert!(matches!(meaning(&list(5, false, 1), None, false), Err(DiscoveryError::Part)));
+    assert!(matches!(meaning(&list(5, false, 1), None, false), Err(DiscoveryError::UnexpectedChanges)));
 }
 
 #[test]
 fn a_call_asks_for_the_whole_list_or_for_what_came_after_a_version() {
     let address = ([10, 0, 0, 2], 8500).into();
     let whole = "GET /catalog/members HTTP/1.1\r\nHost: 10.0.0.2:8500\r\n\r\n";
-    assert_eq!(call(address, None, 2000), whole);
+    assert_eq!(poll_request(address, None, 2000), whole);
     let changes = "GET /catalog/members?index=41&wait=2000 HTTP/1.1\r\nHost: 10.0.0.2:8500\r\n\r\n";
-    assert_eq!(call(address, Some(41), 2000), changes);
+    assert_eq!(poll_request(address, Some(41), 2000), changes);
 }
--- a/tests/settings_effects.rs
+++ b/tests/settings_effects.rs
@@ -8,7 +8,7 @@
 use marlgap::balancer::interface::*;
 use marlgap::coordinator::*;
 use marlgap::net::data_nodes::{DataNodes, ListedDataNode, RequestContext};
-use marlgap::net::descriptors::Descriptors;
+use marlgap::net::descriptors::DescriptorBudget;
 
 mod common;
 
@@ -139,9 +139,13 @@
         Class { idempotency: Idempotency::Keyed { window: WINDOW }, ..common::class() };
     told.settings.reach = 1;
     let (executor, log) = (Rc::new(LocalExecutor::new()), slog::Logger::root(slog::Discard, slog::o!()));
-    let nodes = DataNodes::new(told.clone(), Rc::new(Descriptors::new(2)), executor.clone(), log);
-    let replica =
-        nodes.list(&ListedDataNode { name: "n0".to_owned(), address, phase: EndpointState::Ready, born: 0 });
+    let nodes = DataNodes::new(told.clone(), Rc::new(DescriptorBudget::new(2)), executor.clone(), log);
+    let replica = nodes.register(&ListedDataNode {
+        name: "n0".to_owned(),
+        address,
+        state: EndpointState::Ready,
+        start_unix_ms: 0,
+    });
     let transport = Rc::new(Second(nodes.clone(), Default::default(), replica));
     let core = Coordinator::new(told.settings, 1, 100, executor.clone(), transport.clone()).expect("served");
     let listed = |n| Endpoint {
--- a/tests/single_copy.rs
+++ b/tests/single_copy.rs
@@ -12,7 +12,7 @@
 use marlgap::balancer::interface::{EndpointState, Outcome, ReplicaId, ShardId};
 use marlgap::coordinator::{AttemptResult, Call, CancellationToken, Step, Transport};
 use marlgap::net::data_nodes::{DataNodes, ListedDataNode, RequestContext};
-use marlgap::net::descriptors::Descriptors;
+use marlgap::net::descriptors::DescriptorBudget;
 
 struct World {
     executor: Rc<LocalExecutor<'static>>,
@@ -34,12 +34,12 @@
         told.settings.hedging = copies;
         let executor = Rc::new(LocalExecutor::new());
         let log = slog::Logger::root(slog::Discard, slog::o!());
-        let nodes = DataNodes::new(told, Rc::new(Descriptors::new(64)), executor.clone(), log);
-        let replica = nodes.list(&ListedDataNode {
+        let nodes = DataNodes::new(told, Rc::new(DescriptorBudget::new(64)), executor.clone(), log);
+        let replica = nodes.register(&ListedDataNode {
             name: "n0".to_owned(),
             address,
-            phase: EndpointState::Ready,
-            born: 0,
+            state: EndpointState::Ready,
+            start_unix_ms: 0,
         });
         std::thread::spawn(move || node(listener));
         World { executor, nodes, replica, held: Vec::new() }
--- a/tests/system_calls.rs
+++ b/tests/system_calls.rs
@@ -136,11 +136,11 @@
 /// A zone that is cut off must not look like one bad moment of ours after the other.
 #[test]
 fn only_what_our_own_machine_lacks_is_its_own_fault_when_it_lasts() {
-    let lasting = |errno: i32| socket::lasting(std::io::Error::from_raw_os_error(errno));
+    let lasting = |errno: i32| socket::persistent_failure(std::io::Error::from_raw_os_error(errno));
     let (unreachable, no_address, no_file) = (101, 99, 23);
     assert!(matches!(lasting(unreachable), ConnectError::Refused(_)));
-    assert!(matches!(lasting(no_address), ConnectError::Local(_)));
-    assert!(matches!(lasting(no_file), ConnectError::Local(_)));
+    assert!(matches!(lasting(no_address), ConnectError::LocalFailure(_)));
+    assert!(matches!(lasting(no_file), ConnectError::LocalFailure(_)));
 }
 
 /// The signal's handler writes to a socket that wakes the program, and that write may fail.
