--- a/src/net/data_nodes/mod.rs
+++ b/src/net/data_nodes/mod.rs
@@ -1,7 +1,24 @@
-//! The client side of the data nodes: who they are, and which connection a part goes to.
+//! The client side of the data nodes: which ones are known, and which connection an attempt goes to.
+//!
+//! Owns the known data nodes, their incarnations and their connections. Never decides which replica an
+//! attempt goes to, or whether there is one: the balancer does. One thread uses it.
+//!
+//! - this file: the known data nodes and the choice of a connection
+//! - `transport`: attempts and probes as the coordinator sees them
+//! - `connection`: the bookkeeping of one connection
+//! - `exchange`, `writer`, `reader`: its life on the socket
+//! - [`frames`]: the form on the wire
+//!
+//! Invariants: at most `MAX_CONNECTIONS_PER_NODE` open connections to a data node, each with a descriptor
+//! of the shared [`DescriptorBudget`]; a replica id names one data node for as long as it is known.
+#![warn(missing_docs)]
 mod connection;
 mod exchange;
 pub mod frames;
+mod reader;
+mod request_context;
+mod transport;
+mod writer;
 
 use std::cell::{Cell, RefCell};
 use std::collections::{BTreeMap, BTreeSet};
@@ -10,92 +27,79 @@
 use std::time::{Duration, Instant};
 
 use async_executor::LocalExecutor;
-use futures_lite::FutureExt;
-use slog::{debug, Logger};
+use slog::Logger;
 
 use super::descriptors::DescriptorBudget;
 use super::timeout_at;
 use super::LogRateLimiter;
-use crate::balancer::interface::*;
+use crate::balancer::interface::{EndpointState, ReplicaId};
 use crate::config::settings::Deployment;
-use crate::coordinator::{AttemptResult, Call, CancellationToken, Step, Transport};
 use crate::send_policy;
-use connection::{Connection, Item, Out};
+use connection::Connection;
+pub use request_context::RequestContext;
 
 /// Connections to one data node at most.
-const MOST_CONNECTIONS: usize = 4;
-/// For how long a connection may owe answers and bring none before further parts go to another one, and before it
-/// is given up in any case.
-const QUIET: Duration = Duration::from_millis(150);
-const DEAD: Duration = Duration::from_secs(1);
-/// How long a data node may take to take a new connection after one broke, to count as living.
-const LIVES: Duration = Duration::from_millis(50);
-/// How long a data node stays known that is gone. Its restarts are told from its last life for so long; any
-/// list says within seconds that it is back.
-const FORGET: Duration = Duration::from_secs(30);
-/// How long a probe may take where nothing says.
-const PROBE_WAIT: Duration = Duration::from_millis(250);
-
-/// What a data node needs of a query.
-pub struct RequestContext {
-    pub id: String,
-    pub statement: Vec<u8>,
-    /// Parts that were turned away, and on which connection. At most as many as attempts.
-    turned_away: RefCell<Vec<(String, u64)>>,
-}
-
-impl RequestContext {
-    pub fn new(id: String, statement: Vec<u8>) -> RequestContext {
-        RequestContext { id, statement, turned_away: RefCell::default() }
-    }
-
-    /// Note that a part was turned away there; `false` if it was so before. Guards parts that must not run twice: an
-    /// answer may come doubled, and one that turned an earlier attempt away proves nothing about a later one.
-    fn turned_away(&self, id: &str, connection: &Connection) -> bool {
-        let at = connection.number;
-        let mut noted = self.turned_away.borrow_mut();
-        let new = !noted.iter().any(|(other, there)| other == id && *there == at);
-        noted.push((id.to_owned(), at));
-        new
-    }
-}
+const MAX_CONNECTIONS_PER_NODE: usize = 4;
+/// For how long a connection may owe answers and bring none before further attempts go to another one.
+const UNRESPONSIVE_AFTER: Duration = Duration::from_millis(150);
+/// The same before it is closed in any case.
+const CLOSE_AFTER: Duration = Duration::from_secs(1);
+/// How long a data node may take to accept a new connection after one broke, to count as alive.
+const LIVENESS_TIMEOUT: Duration = Duration::from_millis(50);
+/// How long a removed data node stays known: for so long a restart is recognized against its last
+/// incarnation. Any list says within seconds that it is back.
+const REMOVED_RETENTION: Duration = Duration::from_secs(30);
 
+/// A known data node.
 struct DataNode {
     address: SocketAddr,
     state: EndpointState,
-    /// Since when it is gone, if it is.
-    gone: Option<Instant>,
-    /// Counts its starts, as far as we were told of them.
-    life: u64,
-    /// When its machine's clock said that it started, in Unix ms, and when that was on ours.
+    /// Since when it is removed, if it is.
+    removed_since: Option<Instant>,
+    /// Counts its starts, as far as they were listed.
+    incarnation: u64,
+    /// When its process started, in Unix milliseconds on its machine's wall clock; 0 means long ago.
     start_unix_ms: u64,
+    /// When that was on the coordinator's own clock, in seconds.
     started: Option<f64>,
     connections: Vec<Rc<Connection>>,
 }
 
 impl DataNode {
-    /// Note since when it is gone.
-    fn leave(&mut self) {
-        let since = self.gone.unwrap_or_else(Instant::now);
-        self.gone = (self.state == EndpointState::Removed).then_some(since);
+    /// Set since when it is removed, by its state.
+    fn update_removal(&mut self) {
+        let since = self.removed_since.unwrap_or_else(Instant::now);
+        self.removed_since = (self.state == EndpointState::Removed).then_some(since);
+    }
+
+    fn close_idle_connections(&self) {
+        self.connections
+            .iter()
+            .filter(|connection| connection.is_idle())
+            .for_each(|connection| connection.close());
     }
 }
 
 /// A data node as discovery lists it, in this coordinator's terms.
 pub struct ListedDataNode {
+    /// Identity; it outlasts restarts and moves.
     pub name: String,
+    /// Where it listens; without meaning where nothing new is sent to it.
     pub address: SocketAddr,
+    /// Whether it takes attempts.
     pub state: EndpointState,
+    /// When its process started, in Unix milliseconds on its machine's wall clock; 0 means long ago.
     pub start_unix_ms: u64,
 }
 
+/// The known data nodes and the connections to them.
 pub struct DataNodes {
     nodes: RefCell<BTreeMap<ReplicaId, DataNode>>,
     names: RefCell<BTreeMap<String, ReplicaId>>,
-    /// The last number given; none is given twice.
-    last: Cell<u64>,
-    /// Connections that were opened so far: the number of the last one.
-    opened: Cell<u64>,
+    /// The last one given; none is given twice.
+    last_replica_id: Cell<u64>,
+    /// That of the connection opened last.
+    last_connection_id: Cell<u64>,
     deployment: Deployment,
     executor: Rc<LocalExecutor<'static>>,
     log: Logger,
@@ -104,62 +108,66 @@
 }
 
 impl DataNodes {
+    /// No data node is known yet. Connections are served by tasks on `executor`.
     pub fn new(
-        told: Deployment,
+        deployment: Deployment,
         descriptors: Rc<DescriptorBudget>,
         executor: Rc<LocalExecutor<'static>>,
         log: Logger,
     ) -> Rc<Self> {
-        let (nodes, names, last, opened, said) = Default::default();
         Rc::new(DataNodes {
-            nodes,
-            names,
-            last,
-            opened,
-            deployment: told,
+            nodes: RefCell::default(),
+            names: RefCell::default(),
+            last_replica_id: Cell::default(),
+            last_connection_id: Cell::default(),
+            deployment,
             executor,
             log,
-            log_limiter: said,
+            log_limiter: LogRateLimiter::default(),
             descriptors,
         })
     }
 
-    /// The number under which a data node is known to the module; the same for as long as it is known.
+    /// The id of a data node within this process; the same for as long as it is known.
     pub fn replica_id(&self, name: &str) -> ReplicaId {
         let mut names = self.names.borrow_mut();
         if let Some(id) = names.get(name) {
             return *id;
         }
-        self.last.set(self.last.get() + 1);
-        names.insert(name.to_owned(), ReplicaId(self.last.get()));
-        ReplicaId(self.last.get())
+        let id = self.last_replica_id.get() + 1;
+        self.last_replica_id.set(id);
+        names.insert(name.to_owned(), ReplicaId(id));
+        ReplicaId(id)
     }
 
-    /// Data nodes that are known, gone ones among them.
+    /// Number of known data nodes, removed ones among them.
     pub fn known_count(&self) -> usize {
         self.nodes.borrow().len()
     }
 
-    /// Close what carries nothing to data nodes that want nothing, and forget those long gone. Guards a long
-    /// run, in which data nodes are replaced for good, against growing.
+    /// Close idle connections to data nodes that take no attempts, and forget those that were removed long
+    /// ago. Bounds the memory of a long run in which data nodes are replaced for good.
     pub fn forget_removed(&self, now: Instant) {
         let mut nodes = self.nodes.borrow_mut();
         nodes.retain(|_, node| {
             if node.state != EndpointState::Ready {
-                node.connections.iter().filter(|c| c.idle()).for_each(|c| c.close());
-                node.connections.retain(|c| !c.closed.get());
+                node.close_idle_connections();
+                node.connections.retain(|connection| !connection.closed.get());
             }
-            node.gone.is_none_or(|since| now < since + FORGET) || !node.connections.is_empty()
+            node.removed_since.is_none_or(|since| now < since + REMOVED_RETENTION)
+                || !node.connections.is_empty()
         });
         self.names.borrow_mut().retain(|_, id| nodes.contains_key(id));
     }
 
-    /// Take over what discovery says of one data node. A drain counts from here on for whatever is queued.
+    /// Take over what discovery lists of one data node, and return its id. A drain is in force from here on
+    /// for whatever is queued.
     pub fn register(&self, entry: &ListedDataNode) -> ReplicaId {
         self.register_with_start(entry, || None).0
     }
 
-    /// The same; `started` says when a start that is told first was, on our own clock. It stays as it was told then.
+    /// The same. `started` is called when a start is listed for the first time, and says when it was on the
+    /// coordinator's own clock, in seconds; that stays until the next start, and is returned with the id.
     pub fn register_with_start(
         &self,
         entry: &ListedDataNode,
@@ -167,166 +175,118 @@
     ) -> (ReplicaId, Option<f64>) {
         let id = self.replica_id(&entry.name);
         let mut nodes = self.nodes.borrow_mut();
-        let (address, phase, connections) = (entry.address, entry.state, Vec::new());
-        let new = || DataNode {
-            address,
-            state: phase,
-            gone: None,
-            life: 0,
+        let node = nodes.entry(id).or_insert_with(|| DataNode {
+            address: entry.address,
+            state: entry.state,
+            removed_since: None,
+            incarnation: 0,
             start_unix_ms: 0,
             started: None,
-            connections,
-        };
-        let node = nodes.entry(id).or_insert_with(new);
+            connections: Vec::new(),
+        });
         let restarted = send_policy::is_another_start(entry.start_unix_ms, node.start_unix_ms);
-        // Guards against waiting on connections to a process that is no more: its machine may have
-        // vanished without a word, and they stay open and silent.
-        if (restarted || entry.address != node.address) && !node.connections.is_empty() {
-            node.connections.drain(..).for_each(|c| c.close());
+        // Prevents waiting on connections to a process that no longer runs: its machine may have vanished
+        // without a reset, and they stay open and silent.
+        if restarted || entry.address != node.address {
+            node.connections.drain(..).for_each(|connection| connection.close());
         }
         if restarted {
-            node.life += 1;
+            node.incarnation += 1;
             node.start_unix_ms = entry.start_unix_ms;
             node.started = started();
         }
-        (node.address, node.state) = (entry.address, entry.state);
-        node.leave();
+        node.address = entry.address;
+        node.state = entry.state;
+        node.update_removal();
         (id, node.started)
     }
 
-    /// A whole list names all there are; the others are gone.
+    /// A complete list names all data nodes that there are: the others are removed.
     pub fn retain_listed(&self, listed: &BTreeSet<ReplicaId>) {
         for (id, node) in self.nodes.borrow_mut().iter_mut() {
             if !listed.contains(id) {
                 node.state = EndpointState::Removed;
-                node.leave();
+                node.update_removal();
             }
         }
     }
 
-    /// A connection with a free place, up or coming up, else a new one; where none may be opened, the one
-    /// that carries least.
-    fn connection(self: &Rc<Self>, replica: ReplicaId) -> Option<(Rc<Connection>, u64)> {
+    /// The connection for the next attempt, and the data node's incarnation; `None` if it takes no attempts
+    /// or there is no descriptor for a first connection.
+    ///
+    /// A connection with a free stream, up or coming up, else a new one; where none may be opened, the least
+    /// loaded.
+    fn choose_connection(self: &Rc<Self>, replica: ReplicaId) -> Option<(Rc<Connection>, u64)> {
         let mut nodes = self.nodes.borrow_mut();
-        let node = nodes.get_mut(&replica).filter(|n| n.state == EndpointState::Ready)?;
+        let node = nodes.get_mut(&replica).filter(|node| node.state == EndpointState::Ready)?;
         let now = Instant::now();
-        node.connections.iter().for_each(|c| c.hush(now, DEAD));
-        node.connections.retain(|c| !c.closed.get());
-        let order = |c: &&Rc<Connection>| (c.quiet(now, QUIET), c.load(), !c.up.get());
-        let least = node.connections.iter().min_by_key(order).cloned();
-        let good =
-            |c: &Rc<Connection>| !c.quiet(now, QUIET) && c.load() < self.deployment.connections.max_streams;
-        let free = least.as_ref().is_some_and(good);
-        let life = node.life;
-        if free || (least.is_some() && node.connections.len() >= MOST_CONNECTIONS) {
-            return least.map(|c| (c, life));
-        }
-        self.open(&mut nodes, replica).or(least).map(|c| (c, life))
+        node.connections.iter().for_each(|connection| connection.close_if_unresponsive(now, CLOSE_AFTER));
+        node.connections.retain(|connection| !connection.closed.get());
+        let preference = |connection: &&Rc<Connection>| {
+            let unresponsive = connection.is_unresponsive(now, UNRESPONSIVE_AFTER);
+            (unresponsive, connection.load(), !connection.established.get())
+        };
+        let least_loaded = node.connections.iter().min_by_key(preference).cloned();
+        let max_streams = self.deployment.connections.max_streams;
+        let has_capacity = |connection: &Rc<Connection>| {
+            !connection.is_unresponsive(now, UNRESPONSIVE_AFTER) && connection.load() < max_streams
+        };
+        let has_free_stream = least_loaded.as_ref().is_some_and(has_capacity);
+        let may_open = node.connections.len() < MAX_CONNECTIONS_PER_NODE;
+        let incarnation = node.incarnation;
+        let chosen = if has_free_stream || (least_loaded.is_some() && !may_open) {
+            least_loaded
+        } else {
+            self.open_connection(&mut nodes, replica).or(least_loaded)
+        };
+        chosen.map(|connection| (connection, incarnation))
     }
 
-    /// A new connection. Where there is no room for one more, the longest idle one makes way, of whichever data
-    /// node. Guards a fleet of more data nodes than there is room for: those met last would get no part at all.
-    fn open(
+    /// Open a connection. Where no descriptor is left, the one that has been idle for longest is evicted, of
+    /// whichever data node. Prevents that in a fleet of more data nodes than descriptors those met last get
+    /// no attempt at all.
+    fn open_connection(
         self: &Rc<Self>,
         nodes: &mut BTreeMap<ReplicaId, DataNode>,
         replica: ReplicaId,
     ) -> Option<Rc<Connection>> {
         if !self.descriptors.try_acquire_backend() {
-            let open = nodes.values().flat_map(|n| &n.connections).filter(|c| c.idle() && !c.closed.get());
-            let longest = open.min_by_key(|c| c.used.get())?;
-            longest.close();
-            // Its place goes to the new one.
-            longest.counted.set(false);
+            let connections = nodes.values().flat_map(|node| &node.connections);
+            let idle = connections.filter(|connection| connection.is_idle() && !connection.closed.get());
+            let evicted = idle.min_by_key(|connection| connection.last_used.get())?;
+            evicted.close();
+            // Its descriptor goes to the new one.
+            evicted.holds_descriptor.set(false);
         }
         let node = nodes.get_mut(&replica)?;
-        self.opened.set(self.opened.get() + 1);
-        let connection = Rc::new(Connection::new(self.opened.get()));
+        let id = self.last_connection_id.get() + 1;
+        self.last_connection_id.set(id);
+        let connection = Rc::new(Connection::new(id));
         node.connections.push(connection.clone());
-        let life = self.clone().serve(replica, node.address, connection.clone());
-        self.executor.spawn(life).detach();
+        let served = self.clone().serve(replica, node.address, connection.clone());
+        self.executor.spawn(served).detach();
         Some(connection)
     }
 
-    /// Whether a data node whose connection broke takes a new one, which the next parts need anyway. Guards
-    /// sound data nodes: they may close a connection right behind an answer, just when more was written to it.
-    /// One that leaves takes none and is not asked; what becomes of it is known. Where our own machine has no
-    /// connection to give, nothing is known against it.
-    async fn lives(self: &Rc<Self>, replica: ReplicaId) -> bool {
-        let latest = Instant::now() + LIVES;
-        let fresh = {
+    /// Whether a data node whose connection broke accepts a new one, which the next attempts need anyway.
+    /// Protects sound data nodes: they may close a connection right after an answer, just when more was
+    /// written to it.
+    ///
+    /// One that takes no attempts gets none and counts as alive; what becomes of it is known. Where this
+    /// machine can't open a connection, nothing is known against the data node.
+    async fn is_process_alive(self: &Rc<Self>, replica: ReplicaId) -> bool {
+        let deadline = Instant::now() + LIVENESS_TIMEOUT;
+        let connection = {
             let mut nodes = self.nodes.borrow_mut();
-            let Some(node) = nodes.get_mut(&replica).filter(|n| n.state == EndpointState::Ready) else {
+            let Some(node) = nodes.get_mut(&replica).filter(|node| node.state == EndpointState::Ready) else {
                 return true;
             };
-            node.connections.retain(|c| !c.closed.get());
-            self.open(&mut nodes, replica)
-        };
-        let Some(fresh) = fresh else { return true };
-        timeout_at(latest, fresh.wait(|| fresh.up.get() || fresh.closed.get())).await;
-        fresh.up.get() || fresh.local_failure.get()
-    }
-}
-
-impl Transport for DataNodes {
-    type RequestContext = RequestContext;
-
-    /// The life of one attempt: a place on a connection, the write, and the one thing that ends it.
-    async fn call(self: Rc<Self>, call: Call<Self>, stop: CancellationToken) -> AttemptResult {
-        let Some((connection, life)) = self.connection(call.replica) else {
-            return Outcome::NeverSent.into();
+            node.connections.retain(|connection| !connection.closed.get());
+            self.open_connection(&mut nodes, replica)
         };
-        let second = if call.step == Step::First { "" } else { ".b" };
-        let item = Rc::new(Item {
-            id: format!("{}.{}{second}", call.context.id, call.shard.0),
-            shard: call.shard,
-            extra: listed(&call.step),
-            carried: call.context,
-            deadline: call.deadline,
-            life,
-            stop: stop.clone(),
-            end: async_channel::bounded(1),
-            permit: Cell::new(None),
-        });
-        connection.push(Out::Part(item.clone()));
-        let ended = async { item.end.1.recv().await.unwrap_or(Outcome::Reset.into()) };
-        let stopped = async {
-            stop.wait().await;
-            Outcome::Cancelled.into()
-        };
-        let ended = timeout_at(call.deadline, ended.or(stopped)).await;
-        let ended = ended.unwrap_or(Outcome::TimedOut.into());
-        if matches!(ended.outcome, Outcome::Cancelled | Outcome::TimedOut) {
-            connection.give_up(&item, self.deployment.settings.cancellation);
-        }
-        debug!(self.log, "attempt ended"; "id" => &item.id, "replica" => call.replica.0,
-            "outcome" => ?ended.outcome, "connection" => connection.number, "written" => item.permit.get().is_some());
-        ended
-    }
-
-    async fn probe(self: Rc<Self>, replica: ReplicaId) -> (bool, Option<LoadReport>) {
-        let latest = Instant::now() + PROBE_WAIT;
-        let Some((connection, _)) = self.connection(replica) else { return (false, None) };
-        let letter =
-            if self.deployment.settings.load_reporting == LoadReporting::OnHealthCheck { b'l' } else { b'p' };
-        let (send, done) = async_channel::bounded(1);
-        connection.push(Out::Probe(letter, send));
-        timeout_at(latest, done.recv()).await.and_then(Result::ok).unwrap_or((false, None))
-    }
-
-    fn close_idle(&self, replica: ReplicaId) {
-        if let Some(node) = self.nodes.borrow().get(&replica) {
-            node.connections.iter().filter(|c| c.idle()).for_each(|c| c.close());
-        }
-    }
-}
-
-/// What the list of a part holds beside its time.
-fn listed(step: &Step) -> String {
-    match step {
-        Step::First => String::new(),
-        Step::Second { from, whole } => {
-            let from: Vec<String> = from.iter().map(|s| s.0.to_string()).collect();
-            format!(",from={},whole={}", from.join("+"), u8::from(*whole))
-        }
+        let Some(connection) = connection else { return true };
+        let decided = connection.wait_until(|| connection.established.get() || connection.closed.get());
+        timeout_at(deadline, decided).await;
+        connection.established.get() || connection.local_failure.get()
     }
 }
