--- a/benches/scale/control/plane/sweeps/discovery.rs
+++ b/benches/scale/control/plane/sweeps/discovery.rs
@@ -46,7 +46,7 @@
     target: COORDINATORS,
     bound: None,
     carried_by: WATCH,
-    note: "a call every 2 s from each (HOLD in terms.rs)",
+    note: "a call every 2 s from each (POLL_WAIT in watch_policy.rs)",
 };
 const CALLS: Spec = Spec { figure: "idle, calls", unit: "1/s", ..SERVED };
 const IDLE: Spec =
--- a/benches/scale/control/plane/watches.rs
+++ b/benches/scale/control/plane/watches.rs
@@ -1,5 +1,5 @@
 //! Coordinators' watches on discovery: each call is the program's own text, each answer is read by its own HTTP and list
-//! readers and means what its own [`version::taken`] says, under its own terms. The loop round these is asynchronous over
+//! readers and means what its own [`version::interpret`] says, under its own terms. The loop round these is asynchronous over
 //! a socket in the program and can't be called here: it is played with the program's constants. What the connections and
 //! the decision module do with a list is not played.
 mod calls;
--- a/src/net/discovery/list.rs
+++ b/src/net/discovery/list.rs
@@ -1,6 +1,6 @@
-//! The form of discovery's lists, and what may be wrong with a call for one.
+//! The form of discovery's answers, and why a call may fail. No I/O.
+#![warn(missing_docs)]
 use std::borrow::Cow;
-use std::fmt;
 
 use serde::Deserialize;
 
@@ -49,34 +49,29 @@
     1.0
 }
 
-#[derive(Debug)]
+/// Why a call to discovery brought no list.
+#[derive(Debug, thiserror::Error)]
 pub enum DiscoveryError {
+    /// The connection failed, or what came on it is not HTTP.
+    #[error("{0}")]
     Http(HttpError),
+    /// An answer with this status in place of 200.
+    #[error("status {0}")]
     Status(u16),
+    /// An answer whose body is not a list.
+    #[error("unusable list: {0}")]
     MalformedList(serde_json::Error),
     /// No connection came up in time.
+    #[error("no connection in time")]
     ConnectTimeout,
-    /// The watch brought nothing, not even the end of its wait.
+    /// The call brought nothing, not even the end of its wait.
+    #[error("no answer in time")]
     NoAnswer,
-    /// Changes, where the whole list was asked for.
+    /// Changes, where the complete list was asked for.
+    #[error("changes where the whole list was asked for")]
     UnexpectedChanges,
 }
 
-impl fmt::Display for DiscoveryError {
-    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        match self {
-            DiscoveryError::Http(e) => write!(f, "{e}"),
-            DiscoveryError::Status(s) => write!(f, "status {s}"),
-            DiscoveryError::MalformedList(e) => write!(f, "unusable list: {e}"),
-            DiscoveryError::ConnectTimeout => f.write_str("no connection in time"),
-            DiscoveryError::NoAnswer => f.write_str("no answer in time"),
-            DiscoveryError::UnexpectedChanges => f.write_str("changes where the whole list was asked for"),
-        }
-    }
-}
-
-impl std::error::Error for DiscoveryError {}
-
 impl<E: Into<HttpError>> From<E> for DiscoveryError {
     fn from(e: E) -> Self {
         DiscoveryError::Http(e.into())
--- a/src/net/discovery/mod.rs
+++ b/src/net/discovery/mod.rs
@@ -1,313 +1,147 @@
-//! The list of data nodes, as discovery tells it: the whole list, then a watch on changes.
+//! The data nodes that exist, as discovery lists them: the complete list first, then a watch on its changes.
+//!
+//! Owns the watch, its version and the address that is asked. Never decides what a data node's state means
+//! for queries: it hands endpoints to the connections and to the balancer.
+//!
+//! - this file: from a list to endpoints
+//! - `watch`: the calls, their failures and the moves to another address
+//! - [`version`]: what a call says and what its answer means
+//! - [`watch_policy`]: times, and the bounds that they follow from
+//!
+//! Invariants: a drain reaches the connections before the balancer; changes are applied only to the version
+//! that they build on; a silent watch is restarted before what it may have missed counts as notified.
+#![warn(missing_docs)]
 mod list;
 pub mod version;
+mod watch;
 pub mod watch_policy;
 
 use std::cell::{Cell, RefCell};
-use std::convert::Infallible;
-use std::io;
 use std::net::SocketAddr;
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
 use async_channel::Receiver;
-use async_io::Timer;
-use futures_lite::{AsyncWriteExt, FutureExt};
 use slog::{info, warn, Logger};
 
-use super::buffer::Buffer;
 use super::data_nodes::{DataNodes, ListedDataNode};
-use super::http::{self, HttpError, Kind};
-use super::socket::{self, ConnectError, Stream};
-use super::{timeout_at, LogRateLimiter};
+use super::LogRateLimiter;
 use crate::balancer::interface::{self, CellId, Endpoint, EndpointState, EndpointUpdate, ZoneId};
 use crate::coordinator::{Clock, Coordinator};
 use crate::send_policy::{self, StartNotice};
 use crate::subsetting::{self, Subset};
 pub use list::{DiscoveryError, EndpointList, ListedEndpoint};
-use watch_policy::{
-    WatchPolicy, CONNECT_TIMEOUT, FIRST_LIST_TIMEOUT, MAX_BACKOFF, MAX_SLOW_ANSWER_SLACK, MIN_CALL_INTERVAL,
-    WATCH_CONTINUES_WITHIN,
-};
+use watch_policy::WatchPolicy;
 
-/// The largest list: some ten thousand data nodes with long names. Only what comes is held in memory, and not for
-/// longer than it is read; the bound guards that memory against an answer that never ends.
+/// The largest list, in bytes: some ten thousand data nodes with long names. Only what arrives is held in
+/// memory, and not for longer than it is read; the limit bounds that memory against an answer that never
+/// ends.
 pub const MAX_LIST_BYTES: usize = 4 << 20;
 
+/// Stands for the address of a data node that nobody connects to.
+const UNUSED_ADDRESS: ([u8; 4], u16) = ([0, 0, 0, 0], 0);
+
+/// The client of discovery, for one coordinator.
 pub struct Discovery {
     address: Cell<SocketAddr>,
-    /// Where it is from now on, each time a new configuration says so.
-    moves: Receiver<SocketAddr>,
+    /// Its new address, each time a new configuration names one.
+    address_changes: Receiver<SocketAddr>,
     coordinator: Rc<Coordinator<DataNodes>>,
-    nodes: Rc<DataNodes>,
+    data_nodes: Rc<DataNodes>,
+    /// Names of the zones; a zone's id is its place.
     zones: Vec<String>,
-    terms: WatchPolicy,
-    /// When the last call began.
-    called: Cell<Instant>,
-    /// When the place that is asked last answered with a list, or that nothing changed.
+    policy: WatchPolicy,
+    /// When the last call started, its connect included.
+    last_call_started: Cell<Instant>,
+    /// When the current address last answered with a list, or that nothing changed.
     last_list: Cell<Option<Instant>>,
-    /// What an agent's answer that had begun was cut off by, the last times.
-    slow: Cell<Duration>,
-    /// Those of the listed ones that this coordinator works with.
+    /// Additional time for an agent's answer, after one that had begun was cut off.
+    slow_answer_slack: Cell<Duration>,
+    /// Those of the listed data nodes that this coordinator works with.
     subset: RefCell<Subset>,
     log_limiter: LogRateLimiter,
     log: Logger,
 }
 
 impl Discovery {
+    /// A client of the discovery at `address`, or wherever `address_changes` moves it. The settings say how
+    /// lists come and what zones are called; `seed` chooses this coordinator's subset of data nodes.
     pub fn new(
         address: SocketAddr,
-        moves: Receiver<SocketAddr>,
-        core: Rc<Coordinator<DataNodes>>,
-        nodes: Rc<DataNodes>,
-        told: (interface::Discovery, Vec<String>),
+        address_changes: Receiver<SocketAddr>,
+        coordinator: Rc<Coordinator<DataNodes>>,
+        data_nodes: Rc<DataNodes>,
+        (mode, zones): (interface::Discovery, Vec<String>),
         seed: u64,
         log: Logger,
     ) -> Discovery {
-        let (address, called, slow) = (Cell::new(address), Cell::new(Instant::now()), Cell::default());
-        let (terms, zones, said) = (WatchPolicy::for_discovery(told.0), told.1, LogRateLimiter::default());
-        let (last_list, subset) = (Cell::new(None), RefCell::new(Subset::new(seed, subsetting::MOST)));
         Discovery {
-            address,
-            moves,
-            coordinator: core,
-            nodes,
+            address: Cell::new(address),
+            address_changes,
+            coordinator,
+            data_nodes,
             zones,
-            terms,
-            called,
-            last_list,
-            slow,
-            subset,
-            log_limiter: said,
+            policy: WatchPolicy::for_discovery(mode),
+            last_call_started: Cell::new(Instant::now()),
+            last_list: Cell::new(None),
+            slow_answer_slack: Cell::default(),
+            subset: RefCell::new(Subset::new(seed, subsetting::MOST)),
+            log_limiter: LogRateLimiter::default(),
             log,
         }
     }
 
-    /// Hand a list on: to the connections first, whose writes it may stop, then to the module.
-    pub fn apply(&self, list: &EndpointList, news: EndpointUpdate) {
+    /// Apply a list: to the connections first, whose writes it may stop, then to the balancer.
+    pub fn apply(&self, list: &EndpointList, update: EndpointUpdate) {
         let clock = self.coordinator.clock();
-        let entries: Vec<Endpoint> = list.endpoints.iter().filter_map(|h| self.entry(h, &clock)).collect();
-        if news != EndpointUpdate::Delta {
-            self.nodes.retain_listed(&entries.iter().map(|e| e.replica).collect());
+        let endpoints: Vec<Endpoint> =
+            list.endpoints.iter().filter_map(|listed| self.endpoint(listed, &clock)).collect();
+        let complete = update != EndpointUpdate::Delta;
+        if complete {
+            self.data_nodes.retain_listed(&endpoints.iter().map(|endpoint| endpoint.replica).collect());
         }
-        info!(self.log, "list of data nodes"; "seq" => list.seq, "whole" => news != EndpointUpdate::Delta,
-            "entries" => entries.len());
-        self.nodes.forget_removed(Instant::now());
-        let entries = self.subset.borrow_mut().update(news, entries);
-        self.coordinator.update_endpoints(news, entries);
+        info!(self.log, "list of data nodes"; "seq" => list.seq, "whole" => complete,
+            "entries" => endpoints.len());
+        self.data_nodes.forget_removed(Instant::now());
+        let endpoints = self.subset.borrow_mut().update(update, endpoints);
+        self.coordinator.update_endpoints(update, endpoints);
     }
 
-    fn entry(&self, host: &ListedEndpoint, clock: &Clock) -> Option<Endpoint> {
-        let phase = match &*host.health {
+    /// Register a listed data node, and what the balancer gets of it; `None` where its address is unusable
+    /// and needed.
+    fn endpoint(&self, listed: &ListedEndpoint, clock: &Clock) -> Option<Endpoint> {
+        let state = match &*listed.health {
             "up" => EndpointState::Ready,
             "draining" => EndpointState::Draining,
             _ => EndpointState::Removed,
         };
-        // Nobody dials what wants nothing new: guards against a drain that goes unheard for want of an address.
-        let unused = (phase != EndpointState::Ready).then_some(SocketAddr::from(([0, 0, 0, 0], 0)));
-        let address = host.address.parse().ok();
+        let address = listed.address.parse().ok();
         if address.is_none() {
-            warn!(self.log, "unusable address of a data node"; "host" => &*host.name, "dial" => &*host.address);
+            warn!(self.log, "unusable address of a data node"; "host" => &*listed.name,
+                "dial" => &*listed.address);
         }
-        let address = address.or(unused)?;
+        // Nobody connects to one that takes nothing new: a drain counts also without an address.
+        let unused = (state != EndpointState::Ready).then_some(SocketAddr::from(UNUSED_ADDRESS));
         let entry = ListedDataNode {
-            name: host.name.to_string(),
-            address,
-            state: phase,
-            start_unix_ms: host.start_unix_ms,
+            name: listed.name.to_string(),
+            address: address.or(unused)?,
+            state,
+            start_unix_ms: listed.start_unix_ms,
         };
-        let (replica, started) = self.nodes.register_with_start(&entry, || {
-            let by_wall_clock = clock.born(host.start_unix_ms)?;
+        let (replica, started) = self.data_nodes.register_with_start(&entry, || {
+            let by_wall_clock = clock.born(listed.start_unix_ms)?;
             let now = clock.at(Instant::now());
             let last_list_without = self.last_list.get().map(|at| clock.at(at));
             Some(send_policy::started(StartNotice { by_wall_clock, now, last_list_without }))
         });
-        let zone = self.zones.iter().position(|z| *z == host.zone).map_or(u8::MAX, |n| n as u8);
-        let (cell, weight) = (CellId(host.cell), host.weight);
-        Some(Endpoint { replica, zone: ZoneId(zone), cell, state: phase, weight, started })
-    }
-
-    /// Follow the list for as long as the program runs. `known` is the list as we last had it, maybe old. Where lists
-    /// are pushed, all that the agent has counts as told from our first moment on: nothing is sent by `known` until the
-    /// agent has had its time.
-    pub async fn run(self, known: Option<&EndpointList<'_>>) {
-        let mut seq = None;
-        if let Some(known) = known.filter(|_| !self.terms.is_push) {
-            self.apply(known, EndpointUpdate::Cached);
-            seq = Some(known.seq);
-        }
-        let late = async {
-            Timer::at(Instant::now() + FIRST_LIST_TIMEOUT).await;
-            if !self.coordinator.ready() {
-                warn!(self.log, "no list from discovery yet"; "known" => known.map(|k| k.endpoints.len()));
-                known.iter().for_each(|k| self.apply(k, EndpointUpdate::Cached));
-                self.coordinator.stop_waiting_for_endpoints();
-            }
-            std::future::pending().await
-        };
-        self.watch(seq).or(late).await
-    }
-
-    /// The module says when a watch that is asked for begins (anew), an agent's begins by itself; a move acts at
-    /// once, whether a watch runs, has failed or was never begun. Guards against a drain that only the new
-    /// place tells, while we wait for the old one to close.
-    async fn watch(&self, mut seq: Option<u64>) {
-        let subscriptions = self.coordinator.subscriptions();
-        let (mut to, mut latest) = (None, self.terms.is_push.then(Instant::now));
-        loop {
-            if to.is_none() {
-                let asked = async {
-                    let due = async {
-                        match latest {
-                            Some(at) => drop(Timer::at(at).await),
-                            None => std::future::pending().await,
-                        }
-                    };
-                    let told = async {
-                        let _ = subscriptions.recv().await;
-                    };
-                    due.or(told).await;
-                    None
-                };
-                to = async { Some(self.moved().await) }.or(asked).await;
-            }
-            if let Some(address) = to.take().filter(|a| *a != self.address.get()) {
-                // Versions of another place say nothing about ours: its list is asked for whole.
-                self.address.set(address);
-                self.last_list.set(None);
-                seq = None;
-            }
-            let moved = async {
-                loop {
-                    let address = self.moved().await;
-                    if address != self.address.get() {
-                        return Ok(address);
-                    }
-                }
-            };
-            // What has come on the watch is taken over before it is left.
-            match async { Err(self.renew(&mut seq).await) }.or(moved).await {
-                Ok(address) => to = Some(address),
-                Err(e) => {
-                    warn!(self.log, "watch on discovery ended"; "error" => %e, "address" => %self.address.get(),
-                        "seq" => seq);
-                    // Asked for before this end: it was begun already.
-                    while subscriptions.try_recv().is_ok() {}
-                    self.coordinator.update_endpoints(EndpointUpdate::Failed, Vec::new());
-                    latest = Some(Instant::now() + MAX_BACKOFF);
-                }
-            }
-        }
-    }
-
-    async fn moved(&self) -> SocketAddr {
-        match self.moves.recv().await {
-            Ok(address) => address,
-            Err(_) => std::future::pending().await,
-        }
-    }
-
-    /// Watch after watch, until one fails that is to wait for its renewal. A silent one is broken, and what it misses
-    /// will count as told: it is begun anew at once. An agent's always is, as its calls are free.
-    async fn renew(&self, seq: &mut Option<u64>) -> DiscoveryError {
-        loop {
-            let e = match self.follow(seq).await {
-                Err(e) => e,
-                Ok(never) => match never {},
-            };
-            if !self.terms.is_push && !matches!(e, DiscoveryError::NoAnswer) {
-                return e;
-            }
-            if let Some(suppressed) = self.log_limiter.permit() {
-                warn!(self.log, "watch on discovery begun anew"; "error" => %e, "address" => %self.address.get(),
-                    "seq" => *seq, "suppressed" => suppressed);
-            }
-            Timer::at(self.called.get() + MIN_CALL_INTERVAL).await;
-        }
-    }
-
-    /// One watch: each call follows the last answer at once, or at a pace where that brought nothing new. Ends when a
-    /// call fails.
-    async fn follow(&self, seq: &mut Option<u64>) -> Result<Infallible, DiscoveryError> {
-        let mut buffer = Buffer::default();
-        let mut stream = self.connect().await?;
-        let mut continues: Option<Instant> = None;
-        loop {
-            // Connecting counts, and is taken off the wait in tenths of a second.
-            let connecting = self.called.get().elapsed().as_millis() as u64 / 100 * 100;
-            let hold = (self.terms.poll_wait.as_millis() as u64).saturating_sub(connecting);
-            let call = version::poll_request(self.address.get(), *seq, hold);
-            let answer = async {
-                stream.write_all(call.as_bytes()).await?;
-                http::read(&mut stream, &mut buffer, Kind::Answer, MAX_LIST_BYTES).await
-            };
-            let latest = self.called.get() + self.terms.poll_wait + self.terms.answer_slack + self.slow.get();
-            let answer = match timeout_at(latest, answer).await {
-                Some(Ok(answer)) => answer,
-                // Closed between two calls, just as we wrote the next one: no failure, and the watch goes on if that
-                // comes in time.
-                Some(Err(HttpError::Ended | HttpError::Io(_)))
-                    if buffer.unread().is_empty() && continues.is_some_and(|at| Instant::now() < at) =>
-                {
-                    (buffer, continues) = (Buffer::default(), None);
-                    stream = self.connect().await?;
-                    continue;
-                }
-                Some(Err(e)) => return Err(e.into()),
-                None => {
-                    if self.terms.is_push && !buffer.unread().is_empty() {
-                        self.slow
-                            .set((2 * self.slow.get()).clamp(self.terms.answer_slack, MAX_SLOW_ANSWER_SLACK));
-                    }
-                    return Err(DiscoveryError::NoAnswer);
-                }
-            };
-            if answer.status != 200 {
-                return Err(DiscoveryError::Status(answer.status));
-            }
-            let body = answer.body(&buffer);
-            let list: EndpointList = serde_json::from_slice(&body).map_err(DiscoveryError::MalformedList)?;
-            let newer = self.take(&list, seq)?;
-            drop(body);
-            buffer.consume(answer.length);
-            // Guards against taking what nobody asked for as the answer to the next call.
-            if buffer.unread().iter().any(|b| !b.is_ascii_whitespace()) {
-                return Err(HttpError::Malformed("more than one answer").into());
-            }
-            self.slow.set(Duration::ZERO);
-            continues = Some(Instant::now() + WATCH_CONTINUES_WITHIN);
-            if !newer {
-                Timer::at(self.called.get() + MIN_CALL_INTERVAL).await;
-            }
-            self.called.set(Instant::now());
-            if !answer.keep_alive {
-                (buffer, continues) = (Buffer::default(), None);
-                stream = self.connect().await?;
-            }
-        }
-    }
-
-    /// Take over an answer's list; whether it was newer than ours.
-    fn take(&self, list: &EndpointList, seq: &mut Option<u64>) -> Result<bool, DiscoveryError> {
-        let taken = version::interpret(list, *seq, self.terms.is_push)?;
-        if taken.went_back {
-            warn!(self.log, "versions of the list went back"; "seq" => list.seq, "ours" => *seq);
-        }
-        if let Some(news) = taken.update {
-            self.apply(list, news);
-        }
-        *seq = taken.seq;
-        self.last_list.set(Some(Instant::now()));
-        Ok(taken.is_new_version)
-    }
-
-    async fn connect(&self) -> Result<Stream, DiscoveryError> {
-        let begun = Instant::now();
-        self.called.set(begun);
-        let latest = begun + CONNECT_TIMEOUT.min(self.terms.poll_wait + self.terms.answer_slack);
-        socket::connect(self.address.get(), latest).await.map_err(|e| match e {
-            ConnectError::TimedOut => DiscoveryError::ConnectTimeout,
-            e => io::Error::from(e).into(),
+        let zone = self.zones.iter().position(|zone| *zone == listed.zone);
+        Some(Endpoint {
+            replica,
+            zone: ZoneId(zone.map_or(u8::MAX, |n| n as u8)),
+            cell: CellId(listed.cell),
+            state,
+            weight: listed.weight,
+            started,
         })
     }
 }
