--- a/src/net/descriptors.rs
+++ b/src/net/descriptors.rs
@@ -1,9 +1,12 @@
-//! How a front's descriptors are shared between its clients and the connections to what is behind it. No I/O.
+//! How a front's file descriptors are shared between its clients and the connections to what is behind it. No I/O.
+//!
+//! Invariant: the two sides together never get more than the total, and each can always get its own share.
+#![warn(missing_docs)]
 use std::cell::Cell;
 
-/// Each side has a share that the other one cannot take: a quarter for what is behind, half for clients. The
-/// quarter between goes to whoever takes it first. Guards against a fleet of more data nodes than a fixed share
-/// holds connections, while clients leave most of theirs unused.
+/// A budget of descriptors with two sides, clients and backends. Each has a share that the other one cannot take: a
+/// quarter for backends, half for clients. The quarter between goes to whichever side takes it first. Prevents that in a
+/// fleet of more data nodes than a fixed share holds connections go without, while clients leave most of theirs unused.
 pub struct DescriptorBudget {
     total: usize,
     client_connections: Cell<usize>,
@@ -11,35 +14,40 @@
 }
 
 impl DescriptorBudget {
-    pub fn new(all: usize) -> DescriptorBudget {
-        DescriptorBudget { total: all, client_connections: Cell::new(0), backend_connections: Cell::new(0) }
+    /// A budget of `total` descriptors, all free.
+    pub fn new(total: usize) -> DescriptorBudget {
+        DescriptorBudget { total, client_connections: Cell::new(0), backend_connections: Cell::new(0) }
     }
 
-    /// What is kept for connections to what is behind.
+    /// The share that clients cannot take.
     pub fn backend_reserve(&self) -> usize {
         self.total / 4
     }
 
-    /// Connections that clients may hold at present.
+    /// Connections that clients may have at present.
     pub fn max_client_connections(&self) -> usize {
-        self.total - self.backend_connections.get().max(self.backend_reserve()).min(self.total)
+        let backends = self.backend_connections.get().max(self.backend_reserve());
+        self.total - backends.min(self.total)
     }
 
-    /// Clients hold so many now.
-    pub fn set_client_connections(&self, clients: usize) {
-        self.client_connections.set(clients);
+    /// Set how many connections clients have now.
+    pub fn set_client_connections(&self, connections: usize) {
+        self.client_connections.set(connections);
     }
 
-    /// Take one for a connection to what is behind, if there is room.
+    /// Take a descriptor for a connection to a backend; `false` if there is none for that side. A taken one is given back
+    /// by [`DescriptorBudget::release_backend`].
     pub fn try_acquire_backend(&self) -> bool {
-        let held = self.backend_connections.get();
-        let spare = held < self.total / 2 && held + self.client_connections.get() < self.total;
-        let room = spare || held < self.backend_reserve();
-        self.backend_connections.set(held + usize::from(room));
-        room
+        let backends = self.backend_connections.get();
+        let from_shared = backends < self.total / 2 && backends + self.client_connections.get() < self.total;
+        let acquired = from_shared || backends < self.backend_reserve();
+        if acquired {
+            self.backend_connections.set(backends + 1);
+        }
+        acquired
     }
 
-    /// One of those is closed.
+    /// Give back the descriptor of a closed connection to a backend.
     pub fn release_backend(&self) {
         self.backend_connections.set(self.backend_connections.get().saturating_sub(1));
     }
--- a/src/net/mod.rs
+++ b/src/net/mod.rs
@@ -1,4 +1,7 @@
-//! Everything that touches a socket.
+//! Everything that touches a socket: the fronts that clients speak to, the backends behind them, and what both share.
+//!
+//! Never decides what happens to a query: fronts hand it to the coordinator and write the outcome; backends carry out
+//! the attempts that they are given.
 pub mod buffer;
 pub mod cluster;
 pub mod data_nodes;
@@ -23,24 +26,17 @@
 use crate::balancer::interface::SettingsError;
 
 /// Why a front could not be started.
-#[derive(Debug)]
+#[derive(Debug, thiserror::Error)]
 pub enum StartError {
+    /// Its settings contradict each other.
+    #[error("{0}")]
     Settings(SettingsError),
+    /// The servers that its zone file lists could not be read.
+    #[error("{0}")]
     Source(dns_sd::watcher::SourceError),
 }
 
-impl std::fmt::Display for StartError {
-    fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
-        match self {
-            StartError::Settings(e) => write!(f, "{e}"),
-            StartError::Source(e) => write!(f, "{e}"),
-        }
-    }
-}
-
-impl std::error::Error for StartError {}
-
-/// What `work` gives, or `None` if `deadline` comes first.
+/// What `work` gives, or `None` if `deadline` comes first; `work` is looked at first, and dropped at the deadline.
 pub async fn timeout_at<T>(deadline: Instant, work: impl Future<Output = T>) -> Option<T> {
     let work = async { Some(work.await) };
     let late = async {
@@ -50,30 +46,32 @@
     work.or(late).await
 }
 
-/// Bounds how many log lines of one sort are written. Guards the little processor time that there is against a
-/// flood of one cause: a line for each costs more than what it tells of.
+/// Limits the log lines of one kind. Saves the little processor time that there is from a flood with one cause: a line
+/// for each costs more than what it reports.
 #[derive(Default)]
 pub struct LogRateLimiter {
-    second: Cell<Option<Instant>>,
-    written: Cell<u32>,
+    /// When the current second began, if a line was ever written.
+    second_started: Cell<Option<Instant>>,
+    written_in_second: Cell<u32>,
     suppressed: Cell<u64>,
 }
 
 impl LogRateLimiter {
-    const A_SECOND: u32 = 5;
+    const MAX_LINES_PER_SECOND: u32 = 5;
 
-    /// Whether a line may be written now, and how many were suppressed since the last one.
+    /// Whether a line may be written now: the number of lines suppressed since the last one, or `None` if this one is
+    /// suppressed too.
     pub fn permit(&self) -> Option<u64> {
         let now = Instant::now();
-        if self.second.get().is_none_or(|s| now >= s + Duration::from_secs(1)) {
-            self.second.set(Some(now));
-            self.written.set(0);
+        if self.second_started.get().is_none_or(|started| now >= started + Duration::from_secs(1)) {
+            self.second_started.set(Some(now));
+            self.written_in_second.set(0);
         }
-        if self.written.get() == Self::A_SECOND {
+        if self.written_in_second.get() == Self::MAX_LINES_PER_SECOND {
             self.suppressed.set(self.suppressed.get() + 1);
             return None;
         }
-        self.written.set(self.written.get() + 1);
+        self.written_in_second.set(self.written_in_second.get() + 1);
         Some(self.suppressed.take())
     }
 }
--- a/src/net/socket.rs
+++ b/src/net/socket.rs
@@ -1,9 +1,12 @@
 //! TCP sockets: the one place that knows which failure of a system call ends something, and which one does not.
 //!
 //! - A call that a signal interrupted (EINTR) is made again. It never ends a connection.
-//! - A connect that fails for want of something of our own machine (descriptors, buffers, ports, a route) says nothing
-//!   of the other side. It is tried again until its time is over, and is then told apart from a refusal.
-//! - An accept that fails with an error of the connection that it would have given says nothing of the next one.
+//! - A connect that fails for want of something on this machine (descriptors, buffers, ports, a route) says nothing about
+//!   the other side. It is retried until its deadline, and is then distinguished from a refusal.
+//! - An accept that fails with an error of the connection that it would have given says nothing about the next one.
+//!
+//! Errors are those of accept(2), connect(2), listen(2) and socket(2) on Linux.
+#![warn(missing_docs)]
 use std::io::{self, ErrorKind, Read};
 use std::net::{Shutdown, SocketAddr, TcpListener, TcpStream};
 use std::pin::Pin;
@@ -16,29 +19,32 @@
 
 use super::timeout_at;
 
-/// Connections that the machine may take for us before we accept them. Guards a client's against being dropped,
-/// and tried again by its machine a second later, when hundreds come at once.
+/// Connections that the kernel may complete before we accept them. Prevents that, when hundreds come at once, clients'
+/// are dropped, which their machines retry a second later.
 const BACKLOG: i32 = 1024;
-/// Interrupted calls in a row before others have their turn.
+/// Interrupted calls in a row before other tasks have their turn.
 const MOST_INTERRUPTED: usize = 64;
-/// Between two tries of what our own machine refused.
+/// Time between two attempts at what this machine refused.
 const RETRY_INTERVAL: Duration = Duration::from_millis(5);
-/// For how long what the start needs is tried for: clients come 30 s after it at the latest, and nine in ten processes
-/// are to be ready within 10 s.
+/// For how long what the start needs is retried: clients come 30 s after it at the latest, and nine in ten processes have
+/// to be ready within 10 s.
 pub const STARTUP_RETRY_TIME: Duration = Duration::from_secs(8);
 
-/// A TCP connection.
+/// A TCP connection that interrupted calls do not end.
 #[derive(Debug)]
 pub struct Stream(Async<TcpStream>);
 
 /// Why no connection came up.
-#[derive(Debug)]
+#[derive(Debug, thiserror::Error)]
 pub enum ConnectError {
-    /// Our own machine had no means for it, up to the end of its time. It says nothing of the other side.
+    /// This machine lacked something for it, up to the deadline. That says nothing about the other side.
+    #[error("our own machine: {0}")]
     LocalFailure(io::Error),
     /// The other side refused it, or broke it off.
+    #[error("{0}")]
     Refused(io::Error),
-    /// It did not come up in time.
+    /// It did not come up by the deadline.
+    #[error("no connection in time")]
     TimedOut,
 }
 
@@ -51,21 +57,9 @@
     }
 }
 
-impl std::fmt::Display for ConnectError {
-    fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
-        match self {
-            ConnectError::LocalFailure(e) => write!(f, "our own machine: {e}"),
-            ConnectError::Refused(e) => write!(f, "{e}"),
-            ConnectError::TimedOut => f.write_str("no connection in time"),
-        }
-    }
-}
-
-impl std::error::Error for ConnectError {}
-
-/// Whether a call failed for want of something of our own machine, which may have it a moment later.
+/// Whether a call failed for want of something on this machine, which may have it a moment later.
 pub fn is_local_failure(e: &io::Error) -> bool {
-    let local = [
+    let local_failures = [
         Errno::INTR,
         Errno::AGAIN,
         Errno::MFILE,
@@ -77,38 +71,44 @@
         Errno::NETUNREACH,
         Errno::NETDOWN,
     ];
-    Errno::from_io_error(e).is_some_and(|e| local.contains(&e))
+    Errno::from_io_error(e).is_some_and(|errno| local_failures.contains(&errno))
 }
 
-/// Connect by `latest`. Failures of our own machine are tried again until then.
-pub async fn connect(address: SocketAddr, latest: Instant) -> Result<Stream, ConnectError> {
-    connect_observed(address, latest, || {}).await
+/// Connect by `deadline`. Failures of this machine are retried until then. Cancel safe: dropped, it leaves no connection.
+///
+/// # Errors
+/// See [`ConnectError`].
+pub async fn connect(address: SocketAddr, deadline: Instant) -> Result<Stream, ConnectError> {
+    connect_observed(address, deadline, || {}).await
 }
 
-/// The same; `local_failure` hears of each failure of our own machine as it happens.
+/// The same; `on_local_failure` is called at each failure of this machine, as it happens.
+///
+/// # Errors
+/// See [`ConnectError`].
 pub async fn connect_observed(
     address: SocketAddr,
-    latest: Instant,
-    local_failure: impl Fn(),
+    deadline: Instant,
+    on_local_failure: impl Fn(),
 ) -> Result<Stream, ConnectError> {
-    let mut last = None;
+    let mut last_failure = None;
     let connected = async {
         loop {
             match Async::<TcpStream>::connect(address).await {
                 Ok(stream) => return Ok(Stream(stream)),
-                Err(e) if is_local_failure(&e) => last = Some(e),
+                Err(e) if is_local_failure(&e) => last_failure = Some(e),
                 Err(e) => return Err(ConnectError::Refused(e)),
             }
-            local_failure();
+            on_local_failure();
             Timer::at(Instant::now() + RETRY_INTERVAL).await;
         }
     };
-    let connected = timeout_at(latest, connected).await;
-    connected.unwrap_or_else(|| Err(last.map_or(ConnectError::TimedOut, persistent_failure)))
+    let connected = timeout_at(deadline, connected).await;
+    connected.unwrap_or_else(|| Err(last_failure.map_or(ConnectError::TimedOut, persistent_failure)))
 }
 
-/// What a failure comes to that has lasted for all of a connect's time. A way there that is missing for so long is one
-/// of the other side's: guards against taking a zone that is cut off for ever new moments of our own machine.
+/// What a local failure counts as that has lasted for all of a connect's time. A route that is missing for so long is the
+/// other side's failure: prevents taking a zone that is cut off for a series of short failures of this machine.
 pub fn persistent_failure(e: io::Error) -> ConnectError {
     match Errno::from_io_error(&e) {
         Some(Errno::NETUNREACH) => ConnectError::Refused(e),
@@ -117,45 +117,54 @@
 }
 
 /// A listener at `address`.
+///
+/// # Errors
+/// That of the system call that failed; it is not retried.
 pub fn bind(address: SocketAddr) -> io::Result<Async<TcpListener>> {
     let listener = Async::<TcpListener>::bind(address)?;
     rustix::net::listen(&listener, BACKLOG)?;
     Ok(listener)
 }
 
-/// A listener at `address`. What our own machine refuses for a moment is tried again; an address that another one uses
-/// or that we may not use is an error at once.
+/// A listener at `address`. What this machine refuses for a moment is retried for [`STARTUP_RETRY_TIME`].
+///
+/// # Errors
+/// The last failure; at once for an address that is in use or not permitted.
 pub async fn listen(address: SocketAddr) -> io::Result<Async<TcpListener>> {
     retry_local_failures(Instant::now() + STARTUP_RETRY_TIME, || bind(address)).await
 }
 
-/// What `make` gives; failures of our own machine are tried again until `latest`.
+/// What `operation` gives; failures of this machine are retried until `deadline`.
+///
+/// # Errors
+/// The first failure of another kind, or the last one at the deadline.
 pub async fn retry_local_failures<T>(
-    latest: Instant,
-    mut make: impl FnMut() -> io::Result<T>,
+    deadline: Instant,
+    mut operation: impl FnMut() -> io::Result<T>,
 ) -> io::Result<T> {
     loop {
-        match make() {
-            Err(e) if is_local_failure(&e) && Instant::now() < latest => {
+        match operation() {
+            Err(e) if is_local_failure(&e) && Instant::now() < deadline => {
                 Timer::at(Instant::now() + RETRY_INTERVAL).await
             }
-            made => return made,
+            done => return done,
         };
     }
 }
 
-/// What a look at a listener gave.
+/// What accept(2) on a listener gave.
 pub enum Accepted {
+    /// A connection, and the address of its other side.
     Stream(Stream, SocketAddr),
-    /// Nobody waits.
+    /// No connection waits.
     NonePending,
-    /// This connection was gone before we took it, or the call was interrupted: the next one may be there.
+    /// This connection was aborted before we accepted it, or the call was interrupted: another one may be waiting.
     Aborted,
-    /// Our own machine has no means for it: it stays in the backlog.
+    /// This machine lacks something for it: it stays in the backlog.
     LocalFailure(io::Error),
 }
 
-/// Take the next connection that waits, if one does.
+/// Accept the next connection that waits, if one does; never blocks.
 pub fn accept(listener: &Async<TcpListener>) -> Accepted {
     match listener.get_ref().accept() {
         Ok((stream, from)) => match Async::new(stream) {
@@ -173,33 +182,33 @@
     }
 }
 
-/// Lets others have their turn behind a connection that was gone, the `gone`th in a row. Guards the processor against an
-/// error that lasts.
-pub async fn yield_after_aborted(gone: usize) {
-    if gone.is_multiple_of(MOST_INTERRUPTED) {
+/// Let other tasks have their turn after an aborted connection, the `aborted`th in a row. Saves the processor from an
+/// error that persists.
+pub async fn yield_after_aborted(aborted: usize) {
+    if aborted.is_multiple_of(MOST_INTERRUPTED) {
         Timer::at(Instant::now() + RETRY_INTERVAL).await;
     } else {
         futures_lite::future::yield_now().await;
     }
 }
 
-/// Whether the process itself has no descriptor left, not its machine.
+/// Whether the process itself has no descriptor left (EMFILE), not its machine (ENFILE).
 pub fn is_process_out_of_descriptors(e: &io::Error) -> bool {
     Errno::from_io_error(e) == Some(Errno::MFILE)
 }
 
 impl Stream {
-    /// Send small writes at once. Where that fails they are merely held back.
+    /// Send small writes at once (TCP_NODELAY); whether that succeeded. Otherwise they are merely delayed.
     pub fn set_nodelay(&self) -> bool {
         self.0.get_ref().set_nodelay(true).is_ok()
     }
 
-    /// Nothing more is written to it.
+    /// Close the writing side. An error says that the connection has ended already.
     pub fn shut_down_writing(&self) {
-        drop(self.0.get_ref().shutdown(Shutdown::Write));
+        let _ = self.0.get_ref().shutdown(Shutdown::Write);
     }
 
-    /// Whether it is open with nothing to read.
+    /// Whether it is open with nothing to read; a byte that is there is lost.
     pub fn is_idle(&self) -> bool {
         loop {
             match self.0.get_ref().read(&mut [0]) {
@@ -265,8 +274,8 @@
     }
 }
 
-/// Wait until somebody waits at the listener.
+/// Wait until a connection may be waiting at the listener. Cancel safe.
 pub async fn wait_for_connection(listener: &Async<TcpListener>) {
-    // An error is one that the next accept tells too.
+    // The next accept meets the same error.
     let _ = listener.readable().await;
 }
