--- a/src/net/descriptors.rs
+++ b/src/net/descriptors.rs
@@ -1,12 +1,14 @@
-//! How a front's file descriptors are shared between its clients and the connections to what is behind it. No I/O.
+//! How a front's file descriptors are shared between its clients and the connections to what is behind it. No
+//! I/O.
 //!
 //! Invariant: the two sides together never get more than the total, and each can always get its own share.
 #![warn(missing_docs)]
 use std::cell::Cell;
 
-/// A budget of descriptors with two sides, clients and backends. Each has a share that the other one cannot take: a
-/// quarter for backends, half for clients. The quarter between goes to whichever side takes it first. Prevents that in a
-/// fleet of more data nodes than a fixed share holds connections go without, while clients leave most of theirs unused.
+/// A budget of descriptors with two sides, clients and backends. Each has a share that the other one cannot
+/// take: a quarter for backends, half for clients. The quarter between goes to whichever side takes it first.
+/// Prevents that in a fleet of more data nodes than a fixed share holds connections go without, while clients
+/// leave most of theirs unused.
 pub struct DescriptorBudget {
     total: usize,
     client_connections: Cell<usize>,
@@ -35,8 +37,8 @@
         self.client_connections.set(connections);
     }
 
-    /// Take a descriptor for a connection to a backend; `false` if there is none for that side. A taken one is given back
-    /// by [`DescriptorBudget::release_backend`].
+    /// Take a descriptor for a connection to a backend; `false` if there is none for that side. A taken one
+    /// is given back by [`DescriptorBudget::release_backend`].
     pub fn try_acquire_backend(&self) -> bool {
         let backends = self.backend_connections.get();
         let from_shared = backends < self.total / 2 && backends + self.client_connections.get() < self.total;
--- /dev/null
+++ b/src/net/dns_sd/registry.rs
@@ -0,0 +1,108 @@
+//! The servers that a front's transport knows: ids that stay, incarnations, and what each list changes. No
+//! I/O.
+//!
+//! Invariant: a name keeps its replica id for as long as the process runs.
+use std::collections::BTreeMap;
+use std::net::SocketAddr;
+use std::time::Instant;
+
+use super::zone_file::Server;
+use crate::balancer::interface::{CellId, Endpoint, EndpointState, ReplicaId, ZoneId};
+use crate::coordinator::Clock;
+
+/// A server that was listed at some time.
+pub struct KnownServer {
+    /// The server as it was listed last.
+    pub server: Server,
+    /// Counts its restarts and moves, as far as they were listed.
+    pub incarnation: u64,
+}
+
+/// What a list changed of one server.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum ServerChange {
+    /// It is on the list, with the same process, in this state.
+    Listed(EndpointState),
+    /// It is on the list with another process or address, in this state: connections to the old one are of no
+    /// more use.
+    Replaced(EndpointState),
+    /// It is not on the list any more, which counts as a drain.
+    Removed,
+}
+
+/// The servers that a transport knows.
+#[derive(Default)]
+pub struct ServerRegistry {
+    servers: BTreeMap<ReplicaId, KnownServer>,
+    ids: BTreeMap<String, ReplicaId>,
+}
+
+impl ServerRegistry {
+    /// Apply a complete list. Returns its servers as the balancer gets them, and what changed of each known
+    /// one. A zone's id is its place in `zones`.
+    pub fn apply_list(
+        &mut self,
+        servers: &[Server],
+        zones: &[String],
+        clock: &Clock,
+    ) -> (Vec<Endpoint>, Vec<(ReplicaId, ServerChange)>) {
+        let mut changes = self.remove_unlisted(servers);
+        let now = clock.at(Instant::now());
+        let mut endpoints = Vec::new();
+        for server in servers {
+            let (replica, change) = self.update(server);
+            changes.push((replica, change));
+            let zone = zones.iter().position(|zone| *zone == server.zone);
+            endpoints.push(Endpoint {
+                replica,
+                zone: ZoneId(zone.map_or(u8::MAX, |n| n as u8)),
+                cell: CellId(server.cell),
+                state: server.state,
+                weight: server.weight,
+                // A start in the future is that of a wall clock that disagrees with ours.
+                started: clock.born(server.start_unix_ms).map(|at| at.min(now)),
+            });
+        }
+        (endpoints, changes)
+    }
+
+    fn remove_unlisted(&mut self, listed: &[Server]) -> Vec<(ReplicaId, ServerChange)> {
+        let mut changes = Vec::new();
+        for (replica, known) in &mut self.servers {
+            if !listed.iter().any(|server| server.name == known.server.name) {
+                known.server.state = EndpointState::Removed;
+                changes.push((*replica, ServerChange::Removed));
+            }
+        }
+        changes
+    }
+
+    fn update(&mut self, server: &Server) -> (ReplicaId, ServerChange) {
+        let next_id = ReplicaId(self.ids.len() as u64 + 1);
+        let replica = *self.ids.entry(server.name.clone()).or_insert(next_id);
+        let known = self
+            .servers
+            .entry(replica)
+            .or_insert_with(|| KnownServer { server: server.clone(), incarnation: 0 });
+        let replaced =
+            known.server.start_unix_ms != server.start_unix_ms || known.server.address != server.address;
+        known.server = server.clone();
+        if replaced {
+            known.incarnation += 1;
+            (replica, ServerChange::Replaced(server.state))
+        } else {
+            (replica, ServerChange::Listed(server.state))
+        }
+    }
+
+    /// A known server, removed or not.
+    pub fn get(&self, replica: ReplicaId) -> Option<&KnownServer> {
+        self.servers.get(&replica)
+    }
+
+    /// A server's address and incarnation, if it takes attempts.
+    pub fn ready_address(&self, replica: ReplicaId) -> Option<(SocketAddr, u64)> {
+        let known = self.servers.get(&replica).filter(|known| known.server.state == EndpointState::Ready)?;
+        Some((known.server.address, known.incarnation))
+    }
+}
--- a/src/net/dns_sd/watcher.rs
+++ b/src/net/dns_sd/watcher.rs
@@ -1,6 +1,6 @@
-//! Servers from a source, as a front's transport and core follow them: numbers that stay, lives, and the watch.
-use std::collections::BTreeMap;
-use std::fmt;
+//! The watch on a zone file: its servers go to a front's transport and balancer whenever its text changes.
+//!
+//! Invariant: a file that cannot be used changes nothing; the last servers stay.
 use std::io;
 use std::path::PathBuf;
 use std::rc::Rc;
@@ -10,170 +10,103 @@
 use slog::{info, warn, Logger};
 
 use super::zone_file::{self, Server, ZoneFileError};
-use crate::balancer::interface::*;
+use crate::balancer::interface::{Endpoint, EndpointUpdate};
 use crate::config::operator::Source;
 use crate::coordinator::{Clock, Coordinator, Transport};
 
-/// Time between looks at the records: well under the time that a drain may take to be kept.
-const LOOK: Duration = Duration::from_millis(100);
+/// Time between reads of the file: well below the grace of a drain.
+const READ_INTERVAL: Duration = Duration::from_millis(100);
 
-#[derive(Debug)]
+/// Why the servers of a source cannot be had.
+#[derive(Debug, thiserror::Error)]
 pub enum SourceError {
+    /// The file cannot be read.
+    #[error("cannot read {path}: {error}", path = .0.display(), error = .1)]
     Read(PathBuf, io::Error),
+    /// Its records cannot be used.
+    #[error("{0}")]
     ZoneFile(ZoneFileError),
 }
 
-impl fmt::Display for SourceError {
-    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        match self {
-            SourceError::Read(path, e) => write!(f, "cannot read {}: {e}", path.display()),
-            SourceError::ZoneFile(e) => write!(f, "{e}"),
-        }
-    }
-}
-
-impl std::error::Error for SourceError {}
-
 /// The servers of a source as it is now.
+///
+/// # Errors
+/// See [`SourceError`].
 pub fn read(source: &Source) -> Result<Vec<Server>, SourceError> {
-    let text = std::fs::read(&source.records).map_err(|e| SourceError::Read(source.records.clone(), e))?;
-    zone_file::parse(&text, &source.service).map_err(SourceError::ZoneFile)
-}
-
-/// A server that was listed, and how many lives of it are known.
-pub struct KnownServer {
-    pub server: Server,
-    pub incarnation: u64,
-}
-
-/// What a list changed of one server.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum ServerChange {
-    /// It is on the list, as it was or in another phase.
-    Listed(EndpointState),
-    /// It is another process now, or at another place: what leads to the old one is of no more use.
-    Replaced(EndpointState),
-    /// It is on the list no more: a drain.
-    Removed,
+    parse(source, &read_text(source)?)
 }
 
-/// The servers that a transport knows.
-#[derive(Default)]
-pub struct ServerRegistry {
-    members: BTreeMap<ReplicaId, KnownServer>,
-    names: BTreeMap<String, ReplicaId>,
+fn read_text(source: &Source) -> Result<Vec<u8>, SourceError> {
+    std::fs::read(&source.records).map_err(|e| SourceError::Read(source.records.clone(), e))
 }
 
-impl ServerRegistry {
-    /// Take over a whole list: what the module is to be told, and what changed.
-    pub fn apply_list(
-        &mut self,
-        servers: &[Server],
-        zones: &[String],
-        clock: &Clock,
-    ) -> (Vec<Endpoint>, Vec<(ReplicaId, ServerChange)>) {
-        let mut changes = Vec::new();
-        for (id, old) in &mut self.members {
-            if !servers.iter().any(|s| s.name == old.server.name) {
-                old.server.state = EndpointState::Removed;
-                changes.push((*id, ServerChange::Removed));
-            }
-        }
-        let (mut listed, now) = (Vec::new(), clock.at(Instant::now()));
-        for server in servers {
-            let next = ReplicaId(self.names.len() as u64 + 1);
-            let replica = *self.names.entry(server.name.clone()).or_insert(next);
-            let new = || KnownServer { server: server.clone(), incarnation: 0 };
-            let held = self.members.entry(replica).or_insert_with(new);
-            let moved =
-                held.server.start_unix_ms != server.start_unix_ms || held.server.address != server.address;
-            held.incarnation += u64::from(moved);
-            held.server = server.clone();
-            let change = if moved { ServerChange::Replaced } else { ServerChange::Listed };
-            changes.push((replica, change(server.state)));
-            let zone = zones.iter().position(|z| *z == server.zone).map_or(u8::MAX, |n| n as u8);
-            listed.push(Endpoint {
-                replica,
-                zone: ZoneId(zone),
-                cell: CellId(server.cell),
-                state: server.state,
-                weight: server.weight,
-                // A start that is still to come is one of a clock that disagrees with ours.
-                started: clock.born(server.start_unix_ms).map(|at| at.min(now)),
-            });
-        }
-        (listed, changes)
-    }
-
-    pub fn get(&self, replica: ReplicaId) -> Option<&KnownServer> {
-        self.members.get(&replica)
-    }
-
-    /// Where a server is and which life of it, if it wants anything new.
-    pub fn ready_address(&self, replica: ReplicaId) -> Option<(std::net::SocketAddr, u64)> {
-        let held = self.members.get(&replica).filter(|m| m.server.state == EndpointState::Ready)?;
-        Some((held.server.address, held.incarnation))
-    }
+fn parse(source: &Source, text: &[u8]) -> Result<Vec<Server>, SourceError> {
+    zone_file::parse(text, &source.service).map_err(SourceError::ZoneFile)
 }
 
 /// A transport that follows a list of servers.
 pub trait FollowsServerList: Transport {
-    /// Take over a whole list; what the module is to be told of it.
+    /// Apply a complete list. Returns its servers as the balancer gets them.
     fn apply_list(&self, servers: &[Server], zones: &[String], clock: &Clock) -> Vec<Endpoint>;
 }
 
-/// The records, read again whenever they change.
+/// Reads a zone file again and again, and applies what changed.
 pub struct ZoneFileWatcher<T: FollowsServerList> {
     coordinator: Rc<Coordinator<T>>,
     servers: Rc<T>,
     zones: Vec<String>,
     source: Source,
+    /// The front's name in log lines.
     front: &'static str,
-    seen: Vec<u8>,
+    /// The text that was applied last.
+    applied_text: Vec<u8>,
     log: Logger,
 }
 
 impl<T: FollowsServerList> ZoneFileWatcher<T> {
-    /// Begin with the records as they are: bad ones at the start end it there.
+    /// Apply the file as it is now, and return the watch that [`ZoneFileWatcher::run`] goes on with.
+    ///
+    /// # Errors
+    /// See [`SourceError`]: a file that is unusable at the start ends it.
     pub fn start(
-        core: Rc<Coordinator<T>>,
+        coordinator: Rc<Coordinator<T>>,
         servers: Rc<T>,
         zones: Vec<String>,
         source: Source,
         front: &'static str,
         log: Logger,
     ) -> Result<ZoneFileWatcher<T>, SourceError> {
-        let mut watch =
-            ZoneFileWatcher { coordinator: core, servers, zones, source, front, seen: Vec::new(), log };
-        watch.look()?;
-        Ok(watch)
+        let applied_text = Vec::new();
+        let mut watcher = ZoneFileWatcher { coordinator, servers, zones, source, front, applied_text, log };
+        watcher.apply_if_changed()?;
+        Ok(watcher)
     }
 
-    /// Compares the text itself: guards against a change within one tick of the file's clock.
-    fn look(&mut self) -> Result<(), SourceError> {
-        let path = &self.source.records;
-        let text = std::fs::read(path).map_err(|e| SourceError::Read(path.clone(), e))?;
-        if text == self.seen {
+    /// Compares the text itself: a change within one tick of the file's clock counts too.
+    fn apply_if_changed(&mut self) -> Result<(), SourceError> {
+        let text = read_text(&self.source)?;
+        if text == self.applied_text {
             return Ok(());
         }
-        let servers = zone_file::parse(&text, &self.source.service).map_err(SourceError::ZoneFile)?;
-        let entries = self.servers.apply_list(&servers, &self.zones, &self.coordinator.clock());
-        info!(self.log, "list of servers"; "front" => self.front, "entries" => entries.len());
-        self.coordinator.update_endpoints(EndpointUpdate::Full, entries);
-        self.seen = text;
+        let servers = parse(&self.source, &text)?;
+        let endpoints = self.servers.apply_list(&servers, &self.zones, &self.coordinator.clock());
+        info!(self.log, "list of servers"; "front" => self.front, "entries" => endpoints.len());
+        self.coordinator.update_endpoints(EndpointUpdate::Full, endpoints);
+        self.applied_text = text;
         Ok(())
     }
 
+    /// Follow the file; never ends. Each error is logged once, until another one or none follows.
     pub async fn run(mut self) {
-        let mut said = String::new();
+        let mut logged_error = String::new();
         loop {
-            Timer::at(Instant::now() + LOOK).await;
-            // Records that cannot be read change nothing: a file that is being written is whole soon.
-            let fault = self.look().err().map(|e| e.to_string()).unwrap_or_default();
-            if fault != said && !fault.is_empty() {
-                warn!(self.log, "records not taken over"; "front" => self.front, "error" => &fault);
+            Timer::at(Instant::now() + READ_INTERVAL).await;
+            // A file that is being written is complete soon.
+            let error = self.apply_if_changed().err().map(|e| e.to_string()).unwrap_or_default();
+            if error != logged_error && !error.is_empty() {
+                warn!(self.log, "records not taken over"; "front" => self.front, "error" => &error);
             }
-            said = fault;
+            logged_error = error;
         }
     }
 }
--- a/src/net/dns_sd/zone_file.rs
+++ b/src/net/dns_sd/zone_file.rs
@@ -1,7 +1,6 @@
-//! Servers from DNS-SD records (RFC 6763) in a master file: PTR names the instances, SRV their places, TXT
-//! what else is to be known of them.
+//! Servers from DNS-SD records (RFC 6763) in a master file (RFC 1035): PTR names the instances, SRV where
+//! they listen, TXT the rest. No I/O.
 use std::collections::{BTreeMap, BTreeSet};
-use std::fmt;
 use std::net::{IpAddr, SocketAddr};
 
 use domain::base::name::ToName;
@@ -11,100 +10,134 @@
 
 use crate::balancer::interface::EndpointState;
 
-/// A master file larger than this is taken for a mistake.
-pub const MOST_BYTES: usize = 1 << 20;
+/// A master file with more bytes than this is taken for a mistake.
+pub const MAX_BYTES: usize = 1 << 20;
 
-#[derive(Debug, PartialEq)]
+/// Why a zone file cannot be used.
+#[derive(Debug, PartialEq, thiserror::Error)]
 pub enum ZoneFileError {
+    /// It is larger than [`MAX_BYTES`].
+    #[error("records of over {MAX_BYTES} bytes")]
     TooLarge,
+    /// It is no master file (RFC 1035, section 5).
+    #[error("records: {0}")]
     Syntax(String),
+    /// It includes another file.
+    #[error("records: $INCLUDE is not supported")]
     Include,
+    /// The configured service is no domain name.
+    #[error("'{0}' is not the name of a service")]
     Service(String),
-    Txt { instance: String, key: &'static str },
+    /// A TXT record of an offered instance lacks a key, or its value cannot be read.
+    #[error("TXT of {instance}: {key} cannot be used")]
+    Txt {
+        /// The instance's domain name.
+        instance: String,
+        /// The key.
+        key: &'static str,
+    },
 }
 
-impl fmt::Display for ZoneFileError {
-    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        match self {
-            ZoneFileError::TooLarge => write!(f, "records of over {MOST_BYTES} bytes"),
-            ZoneFileError::Syntax(e) => write!(f, "records: {e}"),
-            ZoneFileError::Include => f.write_str("records: $INCLUDE is not supported"),
-            ZoneFileError::Service(name) => write!(f, "'{name}' is not the name of a service"),
-            ZoneFileError::Txt { instance, key } => write!(f, "TXT of {instance}: {key} cannot be used"),
-        }
-    }
-}
-
-impl std::error::Error for ZoneFileError {}
-
 /// A server as its records describe it.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Server {
+    /// The instance's domain name, in lower case.
     pub name: String,
+    /// Where it listens: the smallest address of its best SRV target.
     pub address: SocketAddr,
+    /// Whether it takes attempts.
     pub state: EndpointState,
+    /// Its cell: the position on the ring of shards.
     pub cell: u16,
+    /// Name of its zone; empty if it has none.
     pub zone: String,
+    /// Its capacity in relation to the others; finite.
     pub weight: f64,
     /// Unix time in milliseconds of its last start; 0 means long ago.
     pub start_unix_ms: u64,
 }
 
+/// Where an instance listens; the best one is the least.
+#[derive(PartialEq, PartialOrd)]
+struct Location {
+    priority: u16,
+    host: String,
+    port: u16,
+}
+
+/// What records say of one owner name.
 #[derive(Default)]
 struct Instance {
-    place: Option<(u16, String, u16)>,
+    location: Option<Location>,
     txt: BTreeMap<String, String>,
 }
 
-/// The servers that offer a service. One without SRV, or whose host has no address, is left out: it is not
-/// there yet, or no more.
+/// All that is read of a file.
+#[derive(Default)]
+struct Records {
+    offered: BTreeSet<String>,
+    instances: BTreeMap<String, Instance>,
+    hosts: BTreeMap<String, Vec<IpAddr>>,
+}
+
+/// The servers that offer `service`, by name. One without SRV, or whose host has no address, is left out: it
+/// is not there yet, or not any more.
+///
+/// # Errors
+/// See [`ZoneFileError`].
 pub fn parse(text: &[u8], service: &str) -> Result<Vec<Server>, ZoneFileError> {
-    if text.len() > MOST_BYTES {
+    if text.len() > MAX_BYTES {
         return Err(ZoneFileError::TooLarge);
     }
-    let wanted: Name<Vec<u8>> = service.parse().map_err(|_| ZoneFileError::Service(service.to_owned()))?;
+    let service: Name<Vec<u8>> = service.parse().map_err(|_| ZoneFileError::Service(service.to_owned()))?;
+    let Records { offered, mut instances, hosts } = read_records(text, &service)?;
+    let mut servers = Vec::new();
+    for name in offered {
+        let Some(Instance { location: Some(location), txt }) = instances.remove(&name) else { continue };
+        let Some(address) = hosts.get(&location.host).and_then(|addresses| addresses.iter().min()) else {
+            continue;
+        };
+        servers.push(server(name, SocketAddr::new(*address, location.port), &txt)?);
+    }
+    Ok(servers)
+}
+
+fn read_records(text: &[u8], service: &Name<Vec<u8>>) -> Result<Records, ZoneFileError> {
     let mut file = Zonefile::with_capacity(text.len() + 1);
     file.extend_from_slice(text);
     // The parser wants the last line ended.
     file.extend_from_slice(b"\n");
-    let mut offered: BTreeSet<String> = BTreeSet::new();
-    let mut instances: BTreeMap<String, Instance> = BTreeMap::new();
-    let mut hosts: BTreeMap<String, Vec<IpAddr>> = BTreeMap::new();
+    let mut records = Records::default();
     while let Some(entry) = file.next_entry().map_err(|e| ZoneFileError::Syntax(e.to_string()))? {
         let Entry::Record(record) = entry else { return Err(ZoneFileError::Include) };
-        let owner = key(record.owner());
+        let owner = normalized(record.owner());
         match record.data() {
-            ZoneRecordData::Ptr(ptr) if record.owner().name_eq(&wanted) => {
-                offered.insert(key(ptr.ptrdname()));
+            ZoneRecordData::Ptr(ptr) if record.owner().name_eq(service) => {
+                records.offered.insert(normalized(ptr.ptrdname()));
             }
             ZoneRecordData::Srv(srv) => {
-                let place = (srv.priority(), key(srv.target()), srv.port());
-                let held = &mut instances.entry(owner).or_default().place;
-                if held.as_ref().is_none_or(|p| place < *p) {
-                    *held = Some(place);
+                let host = normalized(srv.target());
+                let location = Location { priority: srv.priority(), host, port: srv.port() };
+                let best = &mut records.instances.entry(owner).or_default().location;
+                if best.as_ref().is_none_or(|best| location < *best) {
+                    *best = Some(location);
                 }
             }
             ZoneRecordData::Txt(txt) => {
-                let pairs = &mut instances.entry(owner).or_default().txt;
+                let pairs = &mut records.instances.entry(owner).or_default().txt;
                 for string in txt.iter_charstrs() {
                     let string = String::from_utf8_lossy(string.as_slice()).into_owned();
-                    let (name, value) = string.split_once('=').unwrap_or((&string, ""));
-                    // RFC 6763, 6.4: names are compared without case and the first one counts.
-                    pairs.entry(name.to_ascii_lowercase()).or_insert_with(|| value.to_owned());
+                    let (key, value) = string.split_once('=').unwrap_or((&string, ""));
+                    // RFC 6763, section 6.4: keys are compared without case and the first one counts.
+                    pairs.entry(key.to_ascii_lowercase()).or_insert_with(|| value.to_owned());
                 }
             }
-            ZoneRecordData::A(a) => hosts.entry(owner).or_default().push(a.addr().into()),
-            ZoneRecordData::Aaaa(a) => hosts.entry(owner).or_default().push(a.addr().into()),
+            ZoneRecordData::A(a) => records.hosts.entry(owner).or_default().push(a.addr().into()),
+            ZoneRecordData::Aaaa(a) => records.hosts.entry(owner).or_default().push(a.addr().into()),
             _ => {}
         }
     }
-    let mut servers = Vec::new();
-    for name in offered {
-        let Some(Instance { place: Some((_, host, port)), txt }) = instances.remove(&name) else { continue };
-        let Some(address) = hosts.get(&host).and_then(|a| a.iter().min()) else { continue };
-        servers.push(server(name, SocketAddr::new(*address, port), &txt)?);
-    }
-    Ok(servers)
+    Ok(records)
 }
 
 fn server(
@@ -112,22 +145,23 @@
     address: SocketAddr,
     txt: &BTreeMap<String, String>,
 ) -> Result<Server, ZoneFileError> {
-    let bad = |key| ZoneFileError::Txt { instance: name.clone(), key };
-    let cell = txt.get("cell").and_then(|v| v.parse().ok()).ok_or(bad("cell"))?;
-    let phase = match txt.get("state").map(String::as_str) {
+    let unusable = |key| ZoneFileError::Txt { instance: name.clone(), key };
+    let cell = txt.get("cell").and_then(|v| v.parse().ok()).ok_or_else(|| unusable("cell"))?;
+    let state = match txt.get("state").map(String::as_str) {
         None | Some("up") => EndpointState::Ready,
         Some("draining") => EndpointState::Draining,
-        Some(_) => return Err(bad("state")),
+        Some(_) => return Err(unusable("state")),
     };
-    let weight: f64 = txt.get("weight").map_or(Ok(1.0), |v| v.parse()).map_err(|_| bad("weight"))?;
+    let weight: f64 = txt.get("weight").map_or(Ok(1.0), |v| v.parse()).map_err(|_| unusable("weight"))?;
     if !weight.is_finite() {
-        return Err(bad("weight"));
+        return Err(unusable("weight"));
     }
-    let born = txt.get("born_ms").map_or(Ok(0), |v| v.parse()).map_err(|_| bad("born_ms"))?;
+    let start_unix_ms = txt.get("born_ms").map_or(Ok(0), |v| v.parse()).map_err(|_| unusable("born_ms"))?;
     let zone = txt.get("zone").cloned().unwrap_or_default();
-    Ok(Server { name, address, state: phase, cell, zone, weight, start_unix_ms: born })
+    Ok(Server { name, address, state, cell, zone, weight, start_unix_ms })
 }
 
-fn key(name: &impl ToName) -> String {
+/// A domain name as a key: names are compared without case.
+fn normalized(name: &impl ToName) -> String {
     name.to_name::<Vec<u8>>().to_string().to_ascii_lowercase()
 }
--- a/src/net/invariants.rs
+++ b/src/net/invariants.rs
@@ -1,7 +1,9 @@
-//! Counts of what [`crate::send_policy`] denied, and of invariants that were broken, for the whole process. A broken
-//! invariant asserts in a build with debug assertions, as the tests run, and is counted and logged in any other.
+//! Counts of what [`crate::send_policy`] denied, and of invariants that were broken, for the whole process. A
+//! broken invariant asserts in a build with debug assertions, as the tests run, and is counted and logged in
+//! any other.
 //!
-//! Owns the counts; they start at zero with the process and only grow. Never changes what happens to a request.
+//! Owns the counts; they start at zero with the process and only grow. Never changes what happens to a
+//! request.
 #![warn(missing_docs)]
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::sync::OnceLock;
--- a/src/net/mod.rs
+++ b/src/net/mod.rs
@@ -1,7 +1,8 @@
-//! Everything that touches a socket: the fronts that clients speak to, the backends behind them, and what both share.
+//! Everything that touches a socket: the fronts that clients speak to, the backends behind them, and what
+//! both share.
 //!
-//! Never decides what happens to a query: fronts hand it to the coordinator and write the outcome; backends carry out
-//! the attempts that they are given.
+//! Never decides what happens to a query: fronts hand it to the coordinator and write the outcome; backends
+//! carry out the attempts that they are given.
 pub mod buffer;
 pub mod cluster;
 pub mod data_nodes;
@@ -36,7 +37,8 @@
     Source(dns_sd::watcher::SourceError),
 }
 
-/// What `work` gives, or `None` if `deadline` comes first; `work` is looked at first, and dropped at the deadline.
+/// What `work` gives, or `None` if `deadline` comes first; `work` is looked at first, and dropped at the
+/// deadline.
 pub async fn timeout_at<T>(deadline: Instant, work: impl Future<Output = T>) -> Option<T> {
     let work = async { Some(work.await) };
     let late = async {
@@ -46,8 +48,8 @@
     work.or(late).await
 }
 
-/// Limits the log lines of one kind. Saves the little processor time that there is from a flood with one cause: a line
-/// for each costs more than what it reports.
+/// Limits the log lines of one kind. Saves the little processor time that there is from a flood with one
+/// cause: a line for each costs more than what it reports.
 #[derive(Default)]
 pub struct LogRateLimiter {
     /// When the current second began, if a line was ever written.
@@ -59,8 +61,8 @@
 impl LogRateLimiter {
     const MAX_LINES_PER_SECOND: u32 = 5;
 
-    /// Whether a line may be written now: the number of lines suppressed since the last one, or `None` if this one is
-    /// suppressed too.
+    /// Whether a line may be written now: the number of lines suppressed since the last one, or `None` if
+    /// this one is suppressed too.
     pub fn permit(&self) -> Option<u64> {
         let now = Instant::now();
         if self.second_started.get().is_none_or(|started| now >= started + Duration::from_secs(1)) {
--- a/src/net/socket.rs
+++ b/src/net/socket.rs
@@ -1,9 +1,11 @@
-//! TCP sockets: the one place that knows which failure of a system call ends something, and which one does not.
+//! TCP sockets: the one place that knows which failure of a system call ends something, and which does not.
 //!
-//! - A call that a signal interrupted (EINTR) is made again. It never ends a connection.
-//! - A connect that fails for want of something on this machine (descriptors, buffers, ports, a route) says nothing about
-//!   the other side. It is retried until its deadline, and is then distinguished from a refusal.
-//! - An accept that fails with an error of the connection that it would have given says nothing about the next one.
+//! A call that a signal interrupted (EINTR) is made again. It never ends a connection.
+//!
+//! A connect that fails for want of something on this machine (descriptors, buffers, ports, a route) says
+//! nothing about the other side. It is retried until its deadline, and then distinguished from a refusal.
+//!
+//! An accept that fails with an error of the connection that it would have given says nothing about the next.
 //!
 //! Errors are those of accept(2), connect(2), listen(2) and socket(2) on Linux.
 #![warn(missing_docs)]
@@ -19,15 +21,15 @@
 
 use super::timeout_at;
 
-/// Connections that the kernel may complete before we accept them. Prevents that, when hundreds come at once, clients'
-/// are dropped, which their machines retry a second later.
+/// Connections that the kernel may complete before we accept them. Prevents that, when hundreds come at once,
+/// clients' are dropped, which their machines retry a second later.
 const BACKLOG: i32 = 1024;
 /// Interrupted calls in a row before other tasks have their turn.
 const MOST_INTERRUPTED: usize = 64;
 /// Time between two attempts at what this machine refused.
 const RETRY_INTERVAL: Duration = Duration::from_millis(5);
-/// For how long what the start needs is retried: clients come 30 s after it at the latest, and nine in ten processes have
-/// to be ready within 10 s.
+/// For how long what the start needs is retried: clients come 30 s after it at the latest, and nine in ten
+/// processes have to be ready within 10 s.
 pub const STARTUP_RETRY_TIME: Duration = Duration::from_secs(8);
 
 /// A TCP connection that interrupted calls do not end.
@@ -74,7 +76,8 @@
     Errno::from_io_error(e).is_some_and(|errno| local_failures.contains(&errno))
 }
 
-/// Connect by `deadline`. Failures of this machine are retried until then. Cancel safe: dropped, it leaves no connection.
+/// Connect by `deadline`. Failures of this machine are retried until then. Cancel safe: dropped, it leaves no
+/// connection.
 ///
 /// # Errors
 /// See [`ConnectError`].
@@ -107,8 +110,9 @@
     connected.unwrap_or_else(|| Err(last_failure.map_or(ConnectError::TimedOut, persistent_failure)))
 }
 
-/// What a local failure counts as that has lasted for all of a connect's time. A route that is missing for so long is the
-/// other side's failure: prevents taking a zone that is cut off for a series of short failures of this machine.
+/// What a local failure counts as that has lasted for all of a connect's time. A route that is missing for so
+/// long is the other side's failure: prevents taking a zone that is cut off for a series of short failures of
+/// this machine.
 pub fn persistent_failure(e: io::Error) -> ConnectError {
     match Errno::from_io_error(&e) {
         Some(Errno::NETUNREACH) => ConnectError::Refused(e),
@@ -158,7 +162,8 @@
     Stream(Stream, SocketAddr),
     /// No connection waits.
     NonePending,
-    /// This connection was aborted before we accepted it, or the call was interrupted: another one may be waiting.
+    /// This connection was aborted before we accepted it, or the call was interrupted: another one may be
+    /// waiting.
     Aborted,
     /// This machine lacks something for it: it stays in the backlog.
     LocalFailure(io::Error),
@@ -182,8 +187,8 @@
     }
 }
 
-/// Let other tasks have their turn after an aborted connection, the `aborted`th in a row. Saves the processor from an
-/// error that persists.
+/// Let other tasks have their turn after an aborted connection, the `aborted`th in a row. Saves the processor
+/// from an error that persists.
 pub async fn yield_after_aborted(aborted: usize) {
     if aborted.is_multiple_of(MOST_INTERRUPTED) {
         Timer::at(Instant::now() + RETRY_INTERVAL).await;
