--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -231,6 +231,13 @@
     folder
 }
 
+/// The deployment that the configuration in `folder` names.
+pub fn deployment(folder: &Path) -> marlgap::config::settings::Deployment {
+    let config = std::fs::read_to_string(folder.join("config.json")).expect("read");
+    let config: serde_json::Value = serde_json::from_str(&config).expect("JSON");
+    marlgap::config::settings::parse(config["settings"].to_string().as_bytes()).expect("settings")
+}
+
 /// Change the platform's configuration in `folder`.
 pub fn reconfigure(folder: &Path, from: &str, to: &str) {
     let path = folder.join("config.json");
--- a/tests/discovery.rs
+++ b/tests/discovery.rs
@@ -41,13 +41,13 @@
     }
 }
 
-struct Standin {
+struct DiscoveryStub {
     at: SocketAddr,
     calls: Receiver<Call>,
 }
 
-impl Standin {
-    fn begin() -> Standin {
+impl DiscoveryStub {
+    fn start() -> DiscoveryStub {
         let listener = TcpListener::bind("127.0.0.1:0").expect("bound");
         let (at, (send, calls)) = (listener.local_addr().expect("bound"), channel());
         std::thread::spawn(move || {
@@ -63,7 +63,7 @@
                 });
             }
         });
-        Standin { at, calls }
+        DiscoveryStub { at, calls }
     }
 
     fn next(&self) -> Call {
@@ -75,7 +75,7 @@
     format!("{{\n  \"seq\": {seq},\n  \"whole\": {whole},\n  \"hosts\": [\n    {hosts}\n  ]\n}}\n")
 }
 
-fn folder(name: &str, discovery: &Standin, pushed: bool) -> PathBuf {
+fn folder(name: &str, discovery: &DiscoveryStub, pushed: bool) -> PathBuf {
     let nowhere = SocketAddr::from(([127, 0, 0, 1], 9));
     let folder = configure(&format!("discovery-{name}"), &[nowhere], discovery.at, 1, 75);
     if pushed {
@@ -96,10 +96,10 @@
     host(0, &SocketAddr::from(([127, 0, 0, 1], 9)), health)
 }
 
-/// Guards against sending by an old list what the agent has told of at once.
+/// Prevents sending by an outdated list: all that the agent has counts as notified at once.
 #[test]
 fn an_agent_is_asked_from_the_start_and_we_are_ready_once_its_list_is_in() {
-    let agent = Standin::begin();
+    let agent = DiscoveryStub::start();
     let program = Program::start(&folder("agent", &agent, true), false);
     let first = agent.next();
     assert!(first.whole_list(), "{}", first.head);
@@ -119,7 +119,7 @@
 
 #[test]
 fn an_agent_that_answers_before_its_wait_is_over_is_asked_at_a_pace() {
-    let agent = Standin::begin();
+    let agent = DiscoveryStub::start();
     let _program = Program::start(&folder("pace", &agent, true), false);
     agent.next().answer(&list(5, true, &node("up")));
     let first = agent.next();
@@ -137,8 +137,8 @@
 
 /// Whatever the agent hears at discovery's return counts at once.
 #[test]
-fn an_agent_that_is_silent_or_fails_is_asked_anew_within_the_grace() {
-    let agent = Standin::begin();
+fn an_agent_that_is_silent_or_fails_is_polled_again_within_the_grace() {
+    let agent = DiscoveryStub::start();
     let program = Program::start(&folder("hush", &agent, true), false);
     agent.next().answer(&list(5, true, &node("up")));
     let mut held = vec![agent.next()];
@@ -164,11 +164,11 @@
     program.log("entries: 1, whole: false, seq: 6");
 }
 
-/// A change counts as told six seconds after discovery had it and could be reached, also where settings give any time
+/// A change counts as notified six seconds after discovery had it and could be reached, also where settings give any time
 /// for asking.
 #[test]
-fn the_pause_behind_failed_calls_stays_within_what_counts_as_told() {
-    let discovery = Standin::begin();
+fn the_backoff_after_failed_calls_stays_within_what_counts_as_notified() {
+    let discovery = DiscoveryStub::start();
     let folder = folder("pauses", &discovery, false);
     reconfigure(&folder, "\"AskWithinS\":10.0", "\"Other\":1");
     let _program = Program::start(&folder, false);
@@ -182,14 +182,14 @@
         }
         last = discovery.next();
         assert!(last.at - failed < Duration::from_millis(1100), "{turn}: {:?}", last.at - failed);
-        assert!(last.head.contains("?index=1&"), "a list that is spoilt changes nothing: {}", last.head);
+        assert!(last.head.contains("?index=1&"), "a malformed list changes nothing: {}", last.head);
     }
 }
 
 /// A watch goes on only while its next call comes within 200 ms.
 #[test]
 fn a_connection_closed_between_two_calls_is_followed_by_a_new_one_at_once() {
-    let discovery = Standin::begin();
+    let discovery = DiscoveryStub::start();
     let _program = Program::start(&folder("between", &discovery, false), false);
     let mut gaps = Vec::new();
     for seq in 2..7 {
@@ -213,7 +213,7 @@
 
 #[test]
 fn changes_of_an_older_version_are_not_taken_over_and_the_whole_list_is_asked_for() {
-    let discovery = Standin::begin();
+    let discovery = DiscoveryStub::start();
     let program = Program::start(&folder("back", &discovery, false), false);
     program.log("entries: 1, whole: true, seq: 1");
     discovery.next().answer(&list(9, false, &node("draining")));
@@ -228,20 +228,20 @@
 }
 
 #[test]
-fn a_drain_is_heard_also_where_the_address_cannot_be_used() {
-    let discovery = Standin::begin();
+fn a_drain_counts_also_where_the_address_cannot_be_used() {
+    let discovery = DiscoveryStub::start();
     let program = Program::start(&folder("address", &discovery, false), false);
     program.log("entries: 1, whole: true, seq: 1");
-    let spoilt = |health: &str| node(health).replace("127.0.0.1:9", "nowhere");
-    discovery.next().answer(&list(2, false, &spoilt("up")));
+    let unusable = |health: &str| node(health).replace("127.0.0.1:9", "nowhere");
+    discovery.next().answer(&list(2, false, &unusable("up")));
     program.log("entries: 0, whole: false, seq: 2");
-    discovery.next().answer(&list(3, false, &spoilt("draining")));
+    discovery.next().answer(&list(3, false, &unusable("draining")));
     program.log("entries: 1, whole: false, seq: 3");
 }
 
 #[test]
 fn a_configuration_that_names_the_same_place_disturbs_no_watch() {
-    let discovery = Standin::begin();
+    let discovery = DiscoveryStub::start();
     let program = Program::start(&folder("same", &discovery, false), false);
     let call = discovery.next();
     for _ in 0..2 {
@@ -257,7 +257,7 @@
 /// has been had by then, and a later failure waits for its own.
 #[test]
 fn a_move_while_a_failed_watch_waits_leaves_no_renewal_behind() {
-    let (old, new) = (Standin::begin(), Standin::begin());
+    let (old, new) = (DiscoveryStub::start(), DiscoveryStub::start());
     let folder = folder("moves", &old, false);
     let program = Program::start(&folder, false);
     old.next().refuse();
@@ -286,7 +286,7 @@
 /// Nine in ten restarted processes have to be ready within ten seconds, also with discovery down.
 #[test]
 fn without_any_list_we_are_ready_in_time_and_refuse_until_one_is_in() {
-    let discovery = Standin::begin();
+    let discovery = DiscoveryStub::start();
     let folder = folder("empty", &discovery, false);
     no_known(&folder);
     let begun = Instant::now();
@@ -314,7 +314,7 @@
 
 #[test]
 fn an_agent_silent_from_the_start_leaves_us_with_what_we_know_in_time() {
-    let agent = Standin::begin();
+    let agent = DiscoveryStub::start();
     let begun = Instant::now();
     let program = Program::start(&folder("known", &agent, true), false);
     assert_eq!(health(&program), 503);
@@ -330,7 +330,7 @@
 /// configuration.
 #[test]
 fn with_all_descriptors_held_by_clients_discovery_is_reached_and_moved() {
-    let (old, new) = (Standin::begin(), Standin::begin());
+    let (old, new) = (DiscoveryStub::start(), DiscoveryStub::start());
     let folder = folder("descriptors", &old, false);
     reconfigure(&folder, "\"sockets\":1024", "\"sockets\":64");
     let program = Program::limited(&folder, 64);
--- a/tests/formats.rs
+++ b/tests/formats.rs
@@ -28,7 +28,7 @@
 }
 
 #[test]
-fn frames_are_read_whole_or_not_at_all() {
+fn frames_are_read_completely_or_not_at_all() {
     let bytes = frame("a a1.3.b served 17 inflight=7,util=0.61\nV");
     for n in 0..bytes.len() {
         assert_eq!(frames::parse(&bytes[..n]), Ok(None));
--- a/tests/golden_wire/data_nodes_lines.rs
+++ b/tests/golden_wire/data_nodes_lines.rs
@@ -11,7 +11,7 @@
 use marlgap::net::data_nodes::{DataNodes, ListedDataNode, RequestContext};
 use marlgap::net::descriptors::DescriptorBudget;
 
-use crate::common::{configure, PATIENCE};
+use crate::common::{configure, deployment, PATIENCE};
 use crate::fixtures::{assert_same_bytes, records};
 
 /// Far enough that the time that is told keeps its five digits however slow the machine is.
@@ -42,12 +42,10 @@
     let listener = TcpListener::bind("127.0.0.1:0").expect("bound");
     let address = listener.local_addr().expect("bound");
     let folder = configure(&format!("golden_lines_{shard}"), &[address], address, 1, 75);
-    let config = std::fs::read_to_string(folder.join("config.json")).expect("read");
-    let config: serde_json::Value = serde_json::from_str(&config).expect("JSON");
-    let told = marlgap::config::settings::parse(config["settings"].to_string().as_bytes()).expect("settings");
     let executor = Rc::new(LocalExecutor::new());
     let log = slog::Logger::root(slog::Discard, slog::o!());
-    let nodes = DataNodes::new(told, Rc::new(DescriptorBudget::new(64)), executor.clone(), log);
+    let nodes =
+        DataNodes::new(deployment(&folder), Rc::new(DescriptorBudget::new(64)), executor.clone(), log);
     let replica = nodes.register(&ListedDataNode {
         name: "n0".to_owned(),
         address,
--- a/tests/silent_watch.rs
+++ b/tests/silent_watch.rs
@@ -1,5 +1,5 @@
-//! A watch on discovery that falls silent: what it misses counts as told six seconds after that, so it has to be begun
-//! anew well before, also when the new one is silent too.
+//! A watch on discovery that falls silent: what it misses counts as notified six seconds after that, so it has to be
+//! restarted well before, also when the new one is silent too.
 mod common;
 
 use std::io::Write;
@@ -10,7 +10,7 @@
 use common::*;
 
 #[test]
-fn a_silent_watch_is_begun_anew_twice_before_what_it_missed_counts_as_told() {
+fn a_silent_watch_is_restarted_twice_before_what_it_missed_counts_as_notified() {
     let listener = TcpListener::bind("127.0.0.1:0").expect("bound");
     let discovery = listener.local_addr().expect("bound");
     let (call, calls) = channel();
