--- a/src/net/discovery/list.rs
+++ b/src/net/discovery/list.rs
@@ -1,70 +1,77 @@
-//! The form of discovery's lists, and what may be wrong with a call for one.
+//! The form of discovery's answers, and why a call may fail. No I/O.
+#![warn(missing_docs)]
 use std::borrow::Cow;
-use std::fmt;
 
 use serde::Deserialize;
 
 use crate::net::http::HttpError;
 
+/// An answer to a poll of the endpoint list: all endpoints, or those that changed.
 #[derive(Debug, Deserialize)]
-pub struct List<'a> {
+pub struct EndpointList<'a> {
+    /// Version of the list that this answer brings its reader to.
     pub seq: u64,
-    #[serde(default)]
-    pub whole: bool,
-    #[serde(borrow, default)]
-    pub hosts: Vec<Host<'a>>,
+    /// All endpoints are in it; otherwise only those that changed since the version that was asked for.
+    #[serde(rename = "whole", default)]
+    pub complete: bool,
+    /// The endpoints, in no particular order.
+    #[serde(rename = "hosts", borrow, default)]
+    pub endpoints: Vec<ListedEndpoint<'a>>,
 }
 
+/// One data node in an [`EndpointList`].
 #[derive(Debug, Deserialize)]
-pub struct Host<'a> {
-    #[serde(borrow)]
-    pub host: Cow<'a, str>,
-    #[serde(borrow)]
-    pub dial: Cow<'a, str>,
-    #[serde(borrow, default)]
-    pub site: Cow<'a, str>,
-    #[serde(default)]
-    pub block: u16,
+pub struct ListedEndpoint<'a> {
+    /// Identity of the data node; it outlasts restarts and moves.
+    #[serde(rename = "host", borrow)]
+    pub name: Cow<'a, str>,
+    /// Socket address, as text. It may be unusable where nothing new is sent to the data node.
+    #[serde(rename = "dial", borrow)]
+    pub address: Cow<'a, str>,
+    /// Name of its zone; empty if it has none.
+    #[serde(rename = "site", borrow, default)]
+    pub zone: Cow<'a, str>,
+    /// Its cell: the position on the ring of shards.
+    #[serde(rename = "block", default)]
+    pub cell: u16,
+    /// `up` or `draining`; any other word means removed.
     #[serde(borrow)]
     pub health: Cow<'a, str>,
-    #[serde(default = "one")]
-    pub share: f64,
-    #[serde(default)]
-    pub born_ms: u64,
+    /// Its capacity in relation to the others.
+    #[serde(rename = "share", default = "default_weight")]
+    pub weight: f64,
+    /// When its process started, in Unix milliseconds on its machine's wall clock; 0 means long ago.
+    #[serde(rename = "born_ms", default)]
+    pub start_unix_ms: u64,
 }
 
-fn one() -> f64 {
+fn default_weight() -> f64 {
     1.0
 }
 
-#[derive(Debug)]
+/// Why a call to discovery brought no list.
+#[derive(Debug, thiserror::Error)]
 pub enum DiscoveryError {
+    /// The connection failed, or what came on it is not HTTP.
+    #[error("{0}")]
     Http(HttpError),
+    /// An answer with this status in place of 200.
+    #[error("status {0}")]
     Status(u16),
-    List(serde_json::Error),
+    /// An answer whose body is not a list.
+    #[error("unusable list: {0}")]
+    MalformedList(serde_json::Error),
     /// No connection came up in time.
-    Unreachable,
-    /// The watch brought nothing, not even the end of its wait.
-    Silent,
-    /// Changes, where the whole list was asked for.
-    Part,
-}
-
-impl fmt::Display for DiscoveryError {
-    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        match self {
-            DiscoveryError::Http(e) => write!(f, "{e}"),
-            DiscoveryError::Status(s) => write!(f, "status {s}"),
-            DiscoveryError::List(e) => write!(f, "unusable list: {e}"),
-            DiscoveryError::Unreachable => f.write_str("no connection in time"),
-            DiscoveryError::Silent => f.write_str("no answer in time"),
-            DiscoveryError::Part => f.write_str("changes where the whole list was asked for"),
-        }
-    }
+    #[error("no connection in time")]
+    ConnectTimeout,
+    /// The call brought nothing, not even the end of its wait.
+    #[error("no answer in time")]
+    NoAnswer,
+    /// Changes, where the complete list was asked for.
+    #[error("changes where the whole list was asked for")]
+    UnexpectedChanges,
 }
 
-impl std::error::Error for DiscoveryError {}
-
 impl<E: Into<HttpError>> From<E> for DiscoveryError {
     fn from(e: E) -> Self {
         DiscoveryError::Http(e.into())
--- a/src/net/http_server/acceptor.rs
+++ b/src/net/http_server/acceptor.rs
@@ -24,7 +24,7 @@
 use super::connection_slot::{ConnectionActivity, ConnectionSlot, EVICTION_RETRY, MIN_DRAIN};
 use super::input::Input;
 use super::{ClientConnection, GracefulShutdown};
-use crate::net::descriptors::Descriptors;
+use crate::net::descriptors::DescriptorBudget;
 use crate::net::socket::{self, Accepted, Stream};
 use crate::net::{timeout_at, LogRateLimiter};
 
@@ -40,7 +40,7 @@
     next_number: Cell<u64>,
     /// Notifies one listener each time that a connection has closed.
     pub connection_closed: Event,
-    descriptors: Rc<Descriptors>,
+    descriptors: Rc<DescriptorBudget>,
     /// At least three quarters of the slots are taken. Shared with all connections.
     crowded: Rc<Cell<bool>>,
     log: Logger,
@@ -53,7 +53,7 @@
     pub fn new(
         executor: Rc<LocalExecutor<'static>>,
         shutdown: Rc<GracefulShutdown>,
-        descriptors: Rc<Descriptors>,
+        descriptors: Rc<DescriptorBudget>,
         log: Logger,
     ) -> Rc<Self> {
         Rc::new(Acceptor {
@@ -76,12 +76,12 @@
 
     fn update_usage(&self) {
         let open = self.open_connections();
-        self.descriptors.hold(open);
-        self.crowded.set(4 * open >= 3 * self.descriptors.most_clients());
+        self.descriptors.set_client_connections(open);
+        self.crowded.set(4 * open >= 3 * self.descriptors.max_client_connections());
     }
 
     fn is_full(&self) -> bool {
-        let most = self.descriptors.most_clients();
+        let most = self.descriptors.max_client_connections();
         self.open_connections() >= most && !self.shutdown.is_keep_alive_stopped()
     }
 
@@ -138,24 +138,24 @@
             }
             match socket::accept(&listener) {
                 Accepted::Stream(stream, _) => self.spawn_connection(stream, waiting_since, &serve),
-                Accepted::Nobody if self.shutdown.is_keep_alive_stopped() => return,
-                Accepted::Nobody => {
+                Accepted::NonePending if self.shutdown.is_keep_alive_stopped() => return,
+                Accepted::NonePending => {
                     waiting_since = None;
-                    socket::somebody(&listener).or(self.shutdown.keep_alive_stopped()).await;
+                    socket::wait_for_connection(&listener).or(self.shutdown.keep_alive_stopped()).await;
                 }
                 // It says nothing of the next connection, which is accepted at once.
-                Accepted::Gone => {
+                Accepted::Aborted => {
                     gone += 1;
-                    socket::pass_over(gone).await;
+                    socket::yield_after_aborted(gone).await;
                     continue;
                 }
-                Accepted::Local(e) => {
+                Accepted::LocalFailure(e) => {
                     if let Some(suppressed) = self.log_limiter.permit() {
                         warn!(self.log, "could not accept a connection"; "error" => %e, "suppressed" => suppressed);
                     }
                     let now = Instant::now();
                     waiting_since.get_or_insert(now);
-                    if socket::no_descriptor(&e) {
+                    if socket::is_process_out_of_descriptors(&e) {
                         self.evict_one(now);
                     }
                     Timer::at(now + LOCAL_FAILURE_PAUSE).await;
--- a/src/net/http_server/connection.rs
+++ b/src/net/http_server/connection.rs
@@ -254,7 +254,7 @@
     /// answered.
     fn check_nothing_unanswered(&self) {
         if self.input.has_started_request() {
-            invariants::check(send_policy::check_close(self.input.buffer.unread().len()));
+            invariants::check_invariant(send_policy::check_close(self.input.buffer.unread().len()));
         }
     }
 
--- a/src/net/invariants.rs
+++ b/src/net/invariants.rs
@@ -1,5 +1,10 @@
-//! Counts of what `permits` denied, and of invariants that were broken: a break asserts in a build with debug assertions,
-//! as the tests run, and is counted and logged in any other.
+//! Counts of what [`crate::send_policy`] denied, and of invariants that were broken, for the whole process. A
+//! broken invariant asserts in a build with debug assertions, as the tests run, and is counted and logged in
+//! any other.
+//!
+//! Owns the counts; they start at zero with the process and only grow. Never changes what happens to a
+//! request.
+#![warn(missing_docs)]
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::sync::OnceLock;
 
@@ -7,74 +12,84 @@
 
 use crate::send_policy::{SendDenied, Violation};
 
-/// The process's counts so far.
+/// The process's counts so far. Attempts that were not written are counted by [`Denied`]'s reasons.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Counts {
-    pub called_off: u64,
-    pub out_of_time: u64,
+pub struct InvariantCounts {
+    /// Attempts that nobody waited for.
+    pub cancelled: u64,
+    /// Attempts whose deadline had passed, or would have in transit.
+    pub deadline_exceeded: u64,
+    /// Attempts whose data node drained, was removed, or had restarted.
     pub replica_not_ready: u64,
-    pub window_over: u64,
-    /// Frames that were not written whole in their time.
+    /// Retries after their class's retry window.
+    pub retry_window_closed: u64,
+    /// Frames that were not completely written in time.
     pub stalled: u64,
-    /// Failures of our own machine to connect.
+    /// Failures of this machine to connect.
     pub local_failures: u64,
+    /// Broken invariants.
     pub violations: u64,
 }
 
-static CALLED_OFF: AtomicU64 = AtomicU64::new(0);
-static OUT_OF_TIME: AtomicU64 = AtomicU64::new(0);
+static CANCELLED: AtomicU64 = AtomicU64::new(0);
+static DEADLINE_EXCEEDED: AtomicU64 = AtomicU64::new(0);
 static REPLICA_NOT_READY: AtomicU64 = AtomicU64::new(0);
-static WINDOW_OVER: AtomicU64 = AtomicU64::new(0);
+static RETRY_WINDOW_CLOSED: AtomicU64 = AtomicU64::new(0);
 static STALLED: AtomicU64 = AtomicU64::new(0);
 static LOCAL_FAILURES: AtomicU64 = AtomicU64::new(0);
 static VIOLATIONS: AtomicU64 = AtomicU64::new(0);
 static LOG: OnceLock<Logger> = OnceLock::new();
 
-/// Where breaks are logged.
+/// Set where broken invariants are logged. The first call counts.
 pub fn log_to(log: Logger) {
     let _ = LOG.set(log);
 }
 
-fn add(count: &AtomicU64) {
+fn increment(count: &AtomicU64) {
     count.fetch_add(1, Ordering::Relaxed);
 }
 
-pub fn denied(why: SendDenied) {
-    add(match why {
-        SendDenied::Cancelled => &CALLED_OFF,
-        SendDenied::DeadlineExceeded => &OUT_OF_TIME,
+/// Count an attempt that was not written.
+pub fn record_denial(reason: SendDenied) {
+    increment(match reason {
+        SendDenied::Cancelled => &CANCELLED,
+        SendDenied::DeadlineExceeded => &DEADLINE_EXCEEDED,
         SendDenied::ReplicaNotReady => &REPLICA_NOT_READY,
-        SendDenied::RetryWindowClosed => &WINDOW_OVER,
+        SendDenied::RetryWindowClosed => &RETRY_WINDOW_CLOSED,
     });
 }
 
-/// A frame was not written whole in its time, and its connection is given up.
-pub fn stalled() {
-    add(&STALLED);
+/// Count a frame that was not completely written in time, which ends its connection.
+pub fn record_stalled_frame() {
+    increment(&STALLED);
 }
 
-/// Our own machine failed to connect.
-pub fn local_failure() {
-    add(&LOCAL_FAILURES);
+/// Count a failure of this machine to connect.
+pub fn record_local_failure() {
+    increment(&LOCAL_FAILURES);
 }
 
-/// Look at a check of something that was done: a broken invariant is counted.
-pub fn check(checked: Result<(), Violation>) {
-    let Err(violation) = checked else { return };
-    add(&VIOLATIONS);
+/// Record the result of a check of something that was done.
+///
+/// # Panics
+/// On a violation, in a build with debug assertions.
+pub fn check_invariant(result: Result<(), Violation>) {
+    let Err(violation) = result else { return };
+    increment(&VIOLATIONS);
     if let Some(log) = LOG.get() {
         error!(log, "invariant broken"; "which" => ?violation);
     }
     debug_assert!(false, "invariant broken: {violation:?}");
 }
 
-pub fn counts() -> Counts {
+/// The counts now; each is read by itself.
+pub fn counts() -> InvariantCounts {
     let read = |count: &AtomicU64| count.load(Ordering::Relaxed);
-    Counts {
-        called_off: read(&CALLED_OFF),
-        out_of_time: read(&OUT_OF_TIME),
+    InvariantCounts {
+        cancelled: read(&CANCELLED),
+        deadline_exceeded: read(&DEADLINE_EXCEEDED),
         replica_not_ready: read(&REPLICA_NOT_READY),
-        window_over: read(&WINDOW_OVER),
+        retry_window_closed: read(&RETRY_WINDOW_CLOSED),
         stalled: read(&STALLED),
         local_failures: read(&LOCAL_FAILURES),
         violations: read(&VIOLATIONS),
--- a/src/net/opensearch/servers.rs
+++ b/src/net/opensearch/servers.rs
@@ -22,7 +22,8 @@
 use crate::config::settings::ConnectionSettings;
 use crate::coordinator::{AttemptResult, Call, CancellationToken, Clock, Step, Transport};
 use crate::net::buffer::Buffer;
-use crate::net::dns_sd::watcher::{Book, Change, Follows};
+use crate::net::dns_sd::registry::{ServerChange, ServerRegistry};
+use crate::net::dns_sd::watcher::FollowsServerList;
 use crate::net::dns_sd::zone_file::Server;
 use crate::net::http::{self, HttpError, Message, MessageKind};
 use crate::net::invariants;
@@ -65,7 +66,7 @@
 
 /// The transport of the query API's coordinator.
 pub struct SearchServers {
-    book: RefCell<Book>,
+    book: RefCell<ServerRegistry>,
     idle: RefCell<BTreeMap<ReplicaId, Idle>>,
     settings: ConnectionSettings,
     /// How many connections may be opened still.
@@ -73,11 +74,11 @@
     log: Logger,
 }
 
-impl Follows for SearchServers {
-    fn list(&self, servers: &[Server], zones: &[String], clock: &Clock) -> Vec<Endpoint> {
-        let (listed, changes) = self.book.borrow_mut().list(servers, zones, clock);
+impl FollowsServerList for SearchServers {
+    fn apply_list(&self, servers: &[Server], zones: &[String], clock: &Clock) -> Vec<Endpoint> {
+        let (listed, changes) = self.book.borrow_mut().apply_list(servers, zones, clock);
         for (replica, change) in changes {
-            if !matches!(change, Change::Listed(_)) {
+            if !matches!(change, ServerChange::Listed(_)) {
                 self.close(replica);
             }
         }
@@ -123,8 +124,8 @@
         // Counted before it is up: many may be coming up at once.
         let mut lease = ConnectionLease::reserve(self);
         let stream = socket::connect(address, latest).await.map_err(|e| match e {
-            ConnectError::Local(_) => Outcome::NeverSent,
-            ConnectError::Refused(_) | ConnectError::Late => Outcome::ConnectFailed,
+            ConnectError::LocalFailure(_) => Outcome::NeverSent,
+            ConnectError::Refused(_) | ConnectError::TimedOut => Outcome::ConnectFailed,
         })?;
         stream.set_nodelay();
         lease.stream = Some(stream);
@@ -136,7 +137,7 @@
     }
 
     fn ready(&self, replica: ReplicaId) -> Option<(SocketAddr, u64)> {
-        self.book.borrow().ready(replica)
+        self.book.borrow().ready_address(replica)
     }
 
     /// One request on one connection, from its lease to the last byte of its answer.
@@ -164,7 +165,7 @@
             replica_ready: self.ready(call.replica) == Some((address, life)),
             retry_window_closed: stop.too_late(now),
         };
-        let Ok(permit) = conditions.permit().inspect_err(|denied| invariants::denied(*denied)) else {
+        let Ok(permit) = conditions.permit().inspect_err(|denied| invariants::record_denial(*denied)) else {
             return Outcome::NeverSent.into();
         };
         let request = request(call, address, permit);
@@ -229,7 +230,7 @@
     }
 
     fn keep_idle(&self, replica: ReplicaId, life: u64, mut lease: ConnectionLease) {
-        if self.book.borrow().get(replica).is_some_and(|k| k.life == life) {
+        if self.book.borrow().get(replica).is_some_and(|k| k.incarnation == life) {
             if let Some(stream) = lease.stream.take() {
                 // An idle connection holds its descriptor on.
                 lease.holds_descriptor = false;
