--- a/benches/scale/sockets.rs
+++ b/benches/scale/sockets.rs
@@ -107,7 +107,7 @@
     let info = measure(|| {
         for replica in &replicas {
             let deadline = Instant::now() + PATIENCE;
-            let call = Call::alone(*replica, carried.clone(), ShardId(0), Step::First, deadline);
+            let call = Call::standalone(*replica, carried.clone(), ShardId(0), Step::First, deadline);
             let (_hold, stop) = CancellationToken::new();
             let ended = async_io::block_on(executor.run(nodes.clone().call(call, stop)));
             served += usize::from(ended.outcome == Outcome::Succeeded);
--- a/src/coordinator/attempt.rs
+++ b/src/coordinator/attempt.rs
@@ -8,7 +8,7 @@
 use async_io::Timer;
 use futures_lite::FutureExt;
 
-use super::{after, AttemptGate, Coordinator, Part, RetryWindow, State, Step, Value};
+use super::{deadline_after, AttemptGate, Coordinator, Part, PartValue, RetryWindow, State, Step};
 use crate::balancer::interface::*;
 
 /// One attempt of one part.
@@ -24,7 +24,7 @@
 
 impl<T: Transport> Call<T> {
     /// A call of no core, as a transport is tried with alone: it is the only attempt of its part.
-    pub fn alone(
+    pub fn standalone(
         replica: ReplicaId,
         carried: Rc<T::RequestContext>,
         shard: ShardId,
@@ -43,7 +43,7 @@
     }
 
     /// Whether this attempt has committed its part.
-    pub fn committed(&self) -> bool {
+    pub fn is_committed(&self) -> bool {
         let Some((core, part, attempt, _)) = &self.of else { return true };
         core.state.borrow().parts.get(part).is_some_and(|p| p.committed == Some(*attempt))
     }
@@ -74,11 +74,11 @@
     /// Whether the attempt would be a repeat that comes after its class's window: for the last look before a write,
     /// which ends it as not sent. Guards against one that was decided within the window and waited on a connect,
     /// behind other parts or for its grant until after it.
-    pub fn too_late(&self, now: Instant) -> bool {
+    pub fn is_past_retry_window(&self, now: Instant) -> bool {
         self.repeats.as_ref().is_some_and(|(repeats, attempt)| repeats.too_late(*attempt, now))
     }
 
-    pub async fn wait(&self) {
+    pub async fn cancelled(&self) {
         while self.come.recv().await.is_ok() {}
     }
 }
@@ -88,13 +88,13 @@
 pub struct AttemptResult {
     pub outcome: Outcome,
     /// The part's value and its score, if it was served.
-    pub served: Option<(Value, f64)>,
+    pub value: Option<(PartValue, f64)>,
     pub report: Option<LoadReport>,
 }
 
 impl From<Outcome> for AttemptResult {
     fn from(outcome: Outcome) -> Self {
-        AttemptResult { outcome, served: None, report: None }
+        AttemptResult { outcome, value: None, report: None }
     }
 }
 
@@ -136,7 +136,7 @@
         let attempt = held.attempts;
         held.attempts += 1;
         self.count(|c| c.attempts += 1);
-        let deadline = timeout.map_or(open.deadline, |t| after(now, t).min(open.deadline));
+        let deadline = timeout.map_or(open.deadline, |t| deadline_after(now, t).min(open.deadline));
         let (carried, step) = (open.carried.clone(), held.step.clone());
         let of = Some((self.clone(), part, attempt, now));
         let call = Call { replica, context: carried, shard: held.shard, step, deadline, of };
@@ -175,7 +175,7 @@
         let (step, shard, deadline) = (call.step.number(), call.shard, call.deadline);
         let granting = gate.may_send(step, shard, number);
         let given_up = async {
-            stop.wait()
+            stop.cancelled()
                 .or(async {
                     let _ = Timer::at(deadline).await;
                 })
@@ -190,7 +190,7 @@
             true => self.transport.clone().call(call, stop).await,
             false => Outcome::NeverSent.into(),
         };
-        match &ended.served {
+        match &ended.value {
             Some((value, score)) if self.wants(part, attempt) => gate.value(step, shard, value, *score),
             // Not granted, it may still be: then it counts as made, which errs on the safe side.
             None if granted && ended.outcome.never_ran() => gate.cleared(step, shard),
@@ -223,12 +223,12 @@
         let mut state = self.state.borrow_mut();
         state.stops.remove(&(id, attempt));
         let part = state.parts.get_mut(&id);
-        let over = part.as_ref().is_none_or(|p| p.value.is_some()) || ended.served.is_some();
+        let over = part.as_ref().is_none_or(|p| p.value.is_some()) || ended.value.is_some();
         if let Some(repeats) = part.as_ref().and_then(|p| p.repeats.as_ref()) {
             repeats.ended(attempt, ended.outcome);
         }
         if let Some(part) = part.filter(|p| p.takes(attempt)) {
-            part.value = ended.served;
+            part.value = ended.value;
         }
         drop(state);
         let (outcome, report) = (ended.outcome, ended.report);
--- a/src/coordinator/clock.rs
+++ b/src/coordinator/clock.rs
@@ -24,7 +24,7 @@
     }
 
     /// A Unix time in milliseconds on this clock; 0 means long ago.
-    pub fn born(&self, unix_ms: u64) -> Option<f64> {
+    pub fn from_unix_ms(&self, unix_ms: u64) -> Option<f64> {
         (unix_ms > 0).then_some(BASE + unix_ms as f64 / 1000.0 - self.unix)
     }
 }
@@ -36,6 +36,6 @@
 }
 
 /// So many seconds from `from`; what no clock can hold is cut to a day.
-pub fn after(from: Instant, seconds: f64) -> Instant {
+pub fn deadline_after(from: Instant, seconds: f64) -> Instant {
     from + Duration::try_from_secs_f64(seconds.clamp(0.0, 86_400.0)).unwrap_or_default()
 }
--- a/src/coordinator/gate.rs
+++ b/src/coordinator/gate.rs
@@ -5,7 +5,7 @@
 use std::pin::Pin;
 use std::rc::Rc;
 
-use super::Value;
+use super::PartValue;
 use crate::balancer::interface::ShardId;
 
 /// Resolves once a gate has decided.
@@ -21,7 +21,7 @@
     /// One more attempt that was granted is proved never to have run.
     fn cleared(&self, step: u8, shard: ShardId);
     /// The value of a part has come in, with its score.
-    fn value(&self, step: u8, shard: ShardId, value: &Value, score: f64);
+    fn value(&self, step: u8, shard: ShardId, value: &PartValue, score: f64);
     /// The first step was answered from these shards.
     fn stepped(&self, from: &Rc<[ShardId]>);
 }
@@ -30,23 +30,23 @@
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct PriorProgress {
     /// Attempts that it was granted: each may have been made...
-    pub granted: u8,
+    pub granted_attempts: u8,
     /// ...but for so many of them, which are proved never to have run.
     pub cleared: u8,
     /// Its value and score, if that was in.
-    pub value: Option<(Value, f64)>,
+    pub value: Option<(PartValue, f64)>,
 }
 
 /// Makes a query a protected one.
 pub struct TakeoverProtection {
     pub gate: Rc<dyn AttemptGate>,
     /// By step (0 or 1) and shard; empty for a query that begins here.
-    pub earlier: BTreeMap<(u8, ShardId), PriorProgress>,
+    pub prior_progress: BTreeMap<(u8, ShardId), PriorProgress>,
 }
 
 impl PriorProgress {
     /// What counts as made: it may have run, and nobody proved that it did not.
     pub(super) fn spent(&self) -> u8 {
-        self.granted.saturating_sub(self.cleared)
+        self.granted_attempts.saturating_sub(self.cleared)
     }
 }
--- a/src/coordinator/mod.rs
+++ b/src/coordinator/mod.rs
@@ -22,16 +22,16 @@
 use crate::balancer::interface::*;
 use crate::Balancer;
 pub use attempt::{AttemptResult, Call, CancellationToken, Transport};
-pub use clock::{after, Clock};
+pub use clock::{deadline_after, Clock};
 pub use gate::{AttemptGate, PendingGrant, PriorProgress, TakeoverProtection};
-pub use query::{Query, QueryHandle, QueryOutcome, Step, Value};
+pub use query::{PartValue, Query, QueryHandle, QueryOutcome, Step};
 use retry_window::RetryWindow;
 
 struct Part {
     query: QueryId,
     shard: ShardId,
     step: Step,
-    value: Option<(Value, f64)>,
+    value: Option<(PartValue, f64)>,
     /// Those that an earlier owner may have made among them.
     attempts: u8,
     /// Further ones of an earlier owner, proved never to have run.
@@ -67,7 +67,7 @@
 
 /// What happened so far, for the log.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Counts {
+pub struct QueryCounts {
     pub received: u64,
     pub complete: u64,
     pub partial: u64,
@@ -80,7 +80,7 @@
 
 pub struct Coordinator<T: Transport> {
     state: RefCell<State<T::RequestContext>>,
-    counts: Cell<Counts>,
+    counts: Cell<QueryCounts>,
     clock: Clock,
     wake: event_listener::Event,
     subscribe: (Sender<()>, Receiver<()>),
@@ -129,12 +129,12 @@
         self.clock
     }
 
-    pub fn counts(&self) -> Counts {
+    pub fn counts(&self) -> QueryCounts {
         self.counts.get()
     }
 
     /// Further classes of queries, behind those that are there.
-    pub fn extend(&self, classes: &[Class]) -> Result<(), SettingsError> {
+    pub fn add_classes(&self, classes: &[Class]) -> Result<(), SettingsError> {
         self.state.borrow_mut().balancer.extend(classes)?;
         self.classes.borrow_mut().extend_from_slice(classes);
         Ok(())
@@ -146,7 +146,7 @@
     }
 
     /// Queries that have no final outcome yet.
-    pub fn open(&self) -> usize {
+    pub fn open_queries(&self) -> usize {
         self.state.borrow().open.len()
     }
 
@@ -161,7 +161,7 @@
     }
 
     /// Whether queries are to come: some list of replicas has gone through a round, or is waited for no longer.
-    pub fn ready(&self) -> bool {
+    pub fn is_ready(&self) -> bool {
         self.listed.get()
     }
 
@@ -245,7 +245,7 @@
                 self.executor.spawn(probe).detach();
             }
             Action::CloseIdle { replica } => self.transport.close_idle(replica),
-            Action::Timer { after: wait } => state.timers.push(Reverse(after(now, wait))),
+            Action::Timer { after: wait } => state.timers.push(Reverse(deadline_after(now, wait))),
             Action::Subscribe => drop(self.subscribe.0.try_send(())),
         }
     }
@@ -255,7 +255,7 @@
         self.wake.notify(1);
     }
 
-    fn count(&self, change: impl FnOnce(&mut Counts)) {
+    fn count(&self, change: impl FnOnce(&mut QueryCounts)) {
         let mut counts = self.counts.get();
         change(&mut counts);
         self.counts.set(counts);
@@ -276,7 +276,8 @@
         for &(shard, weight) in parts {
             let part = PartId(self.id());
             open.parts.push(part);
-            let earlier = open.protection.as_ref().and_then(|p| p.earlier.get(&(step.number(), shard)));
+            let earlier =
+                open.protection.as_ref().and_then(|p| p.prior_progress.get(&(step.number(), shard)));
             let (spent, cleared) = earlier.map_or((0, 0), |e| (e.spent(), e.cleared));
             let value = earlier.and_then(|e| e.value.clone());
             let (number, served) = (open.number, value.is_some());
--- a/src/coordinator/query.rs
+++ b/src/coordinator/query.rs
@@ -22,14 +22,14 @@
 }
 
 /// The value of a part, as a replica gave it.
-pub type Value = Rc<[u8]>;
+pub type PartValue = Rc<[u8]>;
 
 /// The final outcome of a query.
 #[derive(Clone, Debug, PartialEq)]
 pub enum QueryOutcome {
     Answered {
         complete: bool,
-        values: Vec<(ShardId, Value)>,
+        values: Vec<(ShardId, PartValue)>,
     },
     /// Trying again is harmless, best after so many seconds.
     Rejected {
@@ -47,7 +47,7 @@
     /// The shards that were in when the first step was answered, and whether that was whole.
     Second {
         from: Rc<[ShardId]>,
-        whole: bool,
+        complete: bool,
     },
 }
 
@@ -74,7 +74,7 @@
     }
 
     /// What the front handed in, while the query is open; for a front that streams.
-    pub fn carried(&self) -> Rc<T::RequestContext> {
+    pub fn context(&self) -> Rc<T::RequestContext> {
         self.context.clone()
     }
 
@@ -99,7 +99,7 @@
 
 impl<T: Transport> Coordinator<T> {
     /// Take a query; all its parts enter in one round. `None`: as many queries and parts are open as may be.
-    pub fn take(self: &Rc<Self>, query: Query<T::RequestContext>) -> Option<QueryHandle<T>> {
+    pub fn submit(self: &Rc<Self>, query: Query<T::RequestContext>) -> Option<QueryHandle<T>> {
         let state = &mut *self.state.borrow_mut();
         self.count(|c| c.received += 1);
         // Full at that count, as in the simulator. Guards against turning away a query that merely would
@@ -174,7 +174,7 @@
             if let Some(protection) = &open.protection {
                 protection.gate.stepped(&from);
             }
-            state.enter(id, &mut open, Step::Second { from, whole }, &best);
+            state.enter(id, &mut open, Step::Second { from, complete: whole }, &best);
             state.open.insert(id, open);
             self.wake.notify(1);
             return;
--- a/src/main.rs
+++ b/src/main.rs
@@ -258,7 +258,7 @@
 async fn count<T: Transport>(core: Rc<Coordinator<T>>, front: &'static str, log: Logger) {
     loop {
         Timer::at(Instant::now() + COUNTS_EVERY).await;
-        info!(log, "counts"; "front" => front, "so far" => ?core.counts(), "open" => core.open(), "replicas" => core.known_replicas(),
+        info!(log, "counts"; "front" => front, "so far" => ?core.counts(), "open" => core.open_queries(), "replicas" => core.known_replicas(),
             "permits" => ?invariants::counts());
     }
 }
--- a/src/net/cluster/accept.rs
+++ b/src/net/cluster/accept.rs
@@ -137,7 +137,7 @@
         }
         let more = async { Some(buffer.fill(&mut stream).await) };
         let ended = async {
-            replaced.wait().await;
+            replaced.cancelled().await;
             None
         };
         match more.or(ended).await {
--- a/src/net/data_nodes/exchange.rs
+++ b/src/net/data_nodes/exchange.rs
@@ -212,7 +212,7 @@
                         transit,
                         called_off: item.stop.is_cancelled(),
                         replica_ready: node.is_some_and(|n| n.life == item.life),
-                        window_over: item.stop.too_late(now),
+                        window_over: item.stop.is_past_retry_window(now),
                     };
                     let permit = match conditions.permit() {
                         Ok(permit) => permit,
@@ -350,7 +350,7 @@
                     // The one before may have come twice: this proves nothing.
                     frames::End::Skipped => (Outcome::ConnectionLost, None),
                 };
-                drop(item.end.0.try_send(AttemptResult { outcome, served, report }));
+                drop(item.end.0.try_send(AttemptResult { outcome, value: served, report }));
             }
             Frame::Probe { served } => {
                 let Some(done) = connection.probes.borrow_mut().pop_front() else { return false };
--- a/src/net/data_nodes/mod.rs
+++ b/src/net/data_nodes/mod.rs
@@ -282,7 +282,7 @@
         connection.push(Out::Part(item.clone()));
         let ended = async { item.end.1.recv().await.unwrap_or(Outcome::Reset.into()) };
         let stopped = async {
-            stop.wait().await;
+            stop.cancelled().await;
             Outcome::Cancelled.into()
         };
         let ended = timeout_at(call.deadline, ended.or(stopped)).await;
@@ -316,9 +316,9 @@
 fn listed(step: &Step) -> String {
     match step {
         Step::First => String::new(),
-        Step::Second { from, whole } => {
+        Step::Second { from, complete } => {
             let from: Vec<String> = from.iter().map(|s| s.0.to_string()).collect();
-            format!(",from={},whole={}", from.join("+"), u8::from(*whole))
+            format!(",from={},whole={}", from.join("+"), u8::from(*complete))
         }
     }
 }
--- a/src/net/discovery/mod.rs
+++ b/src/net/discovery/mod.rs
@@ -109,7 +109,7 @@
         let address = address.or(unused)?;
         let entry = ListedDataNode { name: host.host.to_string(), address, phase, born: host.born_ms };
         let (replica, started) = self.nodes.list_started(&entry, || {
-            let by_wall_clock = clock.born(host.born_ms)?;
+            let by_wall_clock = clock.from_unix_ms(host.born_ms)?;
             let now = clock.at(Instant::now());
             let last_list_without = self.last_list.get().map(|at| clock.at(at));
             Some(send_policy::started(StartNotice { by_wall_clock, now, last_list_without }))
@@ -130,7 +130,7 @@
         }
         let late = async {
             Timer::at(Instant::now() + START).await;
-            if !self.coordinator.ready() {
+            if !self.coordinator.is_ready() {
                 warn!(self.log, "no list from discovery yet"; "known" => known.map(|k| k.hosts.len()));
                 known.iter().for_each(|k| self.apply(k, EndpointUpdate::Cached));
                 self.coordinator.stop_waiting_for_endpoints();
--- a/src/net/dns_sd/watcher.rs
+++ b/src/net/dns_sd/watcher.rs
@@ -98,7 +98,7 @@
                 state: server.phase,
                 weight: server.weight,
                 // A start that is still to come is one of a clock that disagrees with ours.
-                started: clock.born(server.born).map(|at| at.min(now)),
+                started: clock.from_unix_ms(server.born).map(|at| at.min(now)),
             });
         }
         (listed, changes)
--- a/src/net/grpc/attempt.rs
+++ b/src/net/grpc/attempt.rs
@@ -56,7 +56,7 @@
             Ok(ended) => ended,
             Err(Broken { status, outcome }) => {
                 // Behind its first message the client hears of it; before, another attempt may do better.
-                if call.committed() {
+                if call.is_committed() {
                     exchange.drained().await;
                     exchange.close(wire::trailers(&status));
                 } else {
@@ -85,7 +85,7 @@
             transit: Duration::ZERO,
             called_off: stop.is_cancelled(),
             replica_ready: ready.is_some(),
-            window_over: stop.too_late(now),
+            window_over: stop.is_past_retry_window(now),
         };
         let (Some((address, _)), Ok(permit)) =
             (ready, conditions.permit().inspect_err(|denied| invariants::denied(*denied)))
@@ -145,7 +145,7 @@
                 let part = chunk.split_to(room.min(chunk.len()));
                 body.send_data(part, last && chunk.is_empty())?;
             }
-            if call.committed() {
+            if call.is_committed() {
                 exchange.request.borrow_mut().sent(at + 1);
                 exchange.request_moved.notify(usize::MAX);
             }
@@ -240,7 +240,7 @@
         if told.code == Code::Ok && !streamed && !exchange.route.kind.streams_down() {
             return Err(Broken::malformed(wire::Malformed::Empty));
         }
-        if call.committed() && exchange.reply.borrow().head.is_some() {
+        if call.is_committed() && exchange.reply.borrow().head.is_some() {
             // Its own words, whatever they are. The status decides of the attempt, too.
             exchange.drained().await;
             exchange.close(passed_on(&trailers));
@@ -281,7 +281,7 @@
 }
 
 fn served(value: &[u8]) -> AttemptResult {
-    AttemptResult { outcome: Outcome::Succeeded, served: Some((Rc::from(value), 0.0)), report: None }
+    AttemptResult { outcome: Outcome::Succeeded, value: Some((Rc::from(value), 0.0)), report: None }
 }
 
 /// Wait for some room in the stream's window.
--- a/src/net/grpc/caller.rs
+++ b/src/net/grpc/caller.rs
@@ -157,7 +157,7 @@
     pub(super) async fn merged(
         &mut self,
         shards: &[crate::balancer::interface::ShardId],
-        values: &[(crate::balancer::interface::ShardId, crate::coordinator::Value)],
+        values: &[(crate::balancer::interface::ShardId, crate::coordinator::PartValue)],
         whole: bool,
         deadline: Instant,
     ) -> Option<HeaderMap> {
--- a/src/net/grpc/front.rs
+++ b/src/net/grpc/front.rs
@@ -334,17 +334,17 @@
         let (class, parts) = (carried.route.class, shards.iter().map(|s| (*s, weight)).collect());
         let query =
             Query { class, tenant, deadline, is_retry: repeat, parts, context: carried, protection: None };
-        let Some(taken) = self.coordinator.take(query) else {
+        let Some(taken) = self.coordinator.submit(query) else {
             if let Some(suppressed) = self.log_limiters.refused.permit() {
                 info!(self.log, "refused"; "why" => "as much is open as may be", "path" => head.uri.path(),
-                    "open" => self.coordinator.open(), "held" => self.coordinator.open_parts(), "suppressed" => suppressed);
+                    "open" => self.coordinator.open_queries(), "held" => self.coordinator.open_parts(), "suppressed" => suppressed);
             }
             let retry_after = table.deployment.settings.retry_after;
             let status = Status::new(Code::ResourceExhausted, "as much is open as may be");
             client.end(wire::trailers(&Status { retry_after, ..status }));
             return Ok(());
         };
-        let exchange = taken.carried();
+        let exchange = taken.context();
         let final_outcome = Cell::new(None);
         let outcome = async {
             final_outcome.set(Some(taken.outcome().await));
--- a/src/net/grpc/front/checks.rs
+++ b/src/net/grpc/front/checks.rs
@@ -62,7 +62,7 @@
             }
         };
         let state =
-            || health::state(&asked, &table.routes, self.coordinator.ready(), self.closing.begun.get());
+            || health::state(&asked, &table.routes, self.coordinator.is_ready(), self.closing.begun.get());
         match path.strip_prefix(health::SERVICE) {
             Some("Check") => match health::check(state()) {
                 Ok(message) => {
--- a/src/net/grpc/mod.rs
+++ b/src/net/grpc/mod.rs
@@ -84,7 +84,7 @@
             key: None,
             what: e.to_string(),
         };
-        self.coordinator.extend(&told.settings.classes[known..]).map_err(unfit)?;
+        self.coordinator.add_classes(&told.settings.classes[known..]).map_err(unfit)?;
         self.table.store(std::sync::Arc::new(Table { routes, deployment: told }));
         Ok(())
     }
--- a/src/net/grpc/servers.rs
+++ b/src/net/grpc/servers.rs
@@ -362,7 +362,7 @@
     /// The life of one attempt; dropping it resets its stream with CANCEL.
     async fn call(self: Rc<Self>, call: Call<Self>, stop: CancellationToken) -> AttemptResult {
         let stopped = async {
-            stop.wait().await;
+            stop.cancelled().await;
             Outcome::Cancelled.into()
         };
         // On the heap: as it stands it would be moved, kilobytes of it, at each layer round it.
--- a/src/net/opensearch/protected.rs
+++ b/src/net/opensearch/protected.rs
@@ -14,7 +14,7 @@
 use super::servers::Notes;
 use crate::balancer::interface::ShardId;
 use crate::cluster::takeover::{Ask, Key, Part, Record, Reply};
-use crate::coordinator::{AttemptGate, PendingGrant, PriorProgress, TakeoverProtection, Value};
+use crate::coordinator::{AttemptGate, PartValue, PendingGrant, PriorProgress, TakeoverProtection};
 use crate::net::buffer::Buffer;
 use crate::net::cluster::{ClusterNode, Execute, Hold};
 use crate::net::http::{Answer, Message};
@@ -112,11 +112,11 @@
         (ready.deadline, ready.query.deadline) = (ends, ends);
         let earlier = if takeover { earlier(&record.parts) } else { BTreeMap::new() };
         // What an earlier owner may have sent has begun.
-        ready.notes.borrow_mut().begun = earlier.values().any(|e| e.granted > e.cleared);
+        ready.notes.borrow_mut().begun = earlier.values().any(|e| e.granted_attempts > e.cleared);
         let gate = Rc::new(Held { hold: hold.clone(), notes: ready.notes.clone() });
-        ready.query.protection = Some(TakeoverProtection { gate, earlier });
+        ready.query.protection = Some(TakeoverProtection { gate, prior_progress: earlier });
         let Ready { search, notes, parts, begun, deadline, query } = ready;
-        match self.coordinator.take(query) {
+        match self.coordinator.submit(query) {
             None => self.refused("too many searches are open"),
             Some(taken) => {
                 let outcome = taken.outcome().await;
@@ -148,7 +148,7 @@
     let byte = |n: u32| u8::try_from(n).unwrap_or(u8::MAX);
     let part = |p: &Part| {
         let value = p.value.as_ref().map(|v| (Rc::from(&v[..]), p.score));
-        let earlier = PriorProgress { granted: byte(p.granted), cleared: byte(p.cleared), value };
+        let earlier = PriorProgress { granted_attempts: byte(p.granted), cleared: byte(p.cleared), value };
         ((byte(p.step), ShardId(p.shard)), earlier)
     };
     parts.iter().map(part).collect()
@@ -174,7 +174,7 @@
         self.hold.cleared(step, shard.0);
     }
 
-    fn value(&self, step: u8, shard: ShardId, value: &Value, score: f64) {
+    fn value(&self, step: u8, shard: ShardId, value: &PartValue, score: f64) {
         self.hold.value(step, shard.0, value.clone(), score);
     }
 
--- a/src/net/opensearch/query_api.rs
+++ b/src/net/opensearch/query_api.rs
@@ -66,7 +66,7 @@
             }
         }
         let Ready { search, notes, parts, begun, deadline, query } = ready;
-        let Some(taken) = self.coordinator.take(query) else {
+        let Some(taken) = self.coordinator.submit(query) else {
             return Ok(self.refused("too many searches are open"));
         };
         let ended = async { Ok(taken.outcome().await) };
@@ -103,7 +103,7 @@
     }
 
     fn health(&self) -> Answer {
-        let ready = self.coordinator.ready() && !self.closing.begun.get();
+        let ready = self.coordinator.is_ready() && !self.closing.begun.get();
         Answer::new(if ready { 200 } else { 503 }, json!({"ready": ready}).to_string())
     }
 }
--- a/src/net/opensearch/servers.rs
+++ b/src/net/opensearch/servers.rs
@@ -129,7 +129,7 @@
             transit: Duration::ZERO,
             called_off: stop.is_cancelled(),
             replica_ready: self.ready(call.replica) == Some((address, life)),
-            window_over: stop.too_late(now),
+            window_over: stop.is_past_retry_window(now),
         };
         let Ok(permit) = conditions.permit().inspect_err(|denied| invariants::denied(*denied)) else {
             return Outcome::NeverSent.into();
@@ -172,7 +172,7 @@
                 call.context.notes.borrow_mut().failures.remove(&call.shard);
                 // Copied: the value outlives the buffer, until its query is answered.
                 let served = Some((Rc::from(&*body), score));
-                AttemptResult { outcome: Outcome::Succeeded, served, report: None }
+                AttemptResult { outcome: Outcome::Succeeded, value: served, report: None }
             }
             Err((status, kind, reason)) => self.failed(call, Outcome::Error, (status, &kind, &reason)),
         }
@@ -250,7 +250,7 @@
             call.context.notes.borrow_mut().first = Some(from.clone());
         }
         let stopped = async {
-            stop.wait().await;
+            stop.cancelled().await;
             Outcome::Cancelled.into()
         };
         let ended = timeout_at(call.deadline, self.ask(&call, &stop).or(stopped)).await;
--- a/src/net/platform_api.rs
+++ b/src/net/platform_api.rs
@@ -151,17 +151,17 @@
         let query = Query { deadline: self.closing.cut(query.deadline), ..query };
         let class = message.header(client.buffer(), "Req-Kind").unwrap_or_default().to_owned();
         let id = query.context.id.clone();
-        let Some(taken) = self.coordinator.take(query) else {
+        let Some(taken) = self.coordinator.submit(query) else {
             if let Some(suppressed) = self.log_limiters.refused.permit() {
                 info!(self.log, "refused"; "why" => "as much is open as may be", "id" => id, "class" => class,
-                    "suppressed" => suppressed, "open" => self.coordinator.open(), "held" => self.coordinator.open_parts());
+                    "suppressed" => suppressed, "open" => self.coordinator.open_queries(), "held" => self.coordinator.open_parts());
             }
             return Ok(self.refused(429, self.deployment.settings.retry_after));
         };
         if let Some(suppressed) =
             self.coordinator.is_full().then(|| self.log_limiters.refused.permit()).flatten()
         {
-            info!(self.log, "no room for another query"; "open" => self.coordinator.open(),
+            info!(self.log, "no room for another query"; "open" => self.coordinator.open_queries(),
                 "held" => self.coordinator.open_parts(), "suppressed" => suppressed);
         }
         let ended = async { Ok(taken.outcome().await) };
@@ -193,7 +193,7 @@
 
     /// Ready once queries can be served.
     fn health(&self) -> Answer {
-        let ready = self.coordinator.ready() && !self.closing.begun.get();
+        let ready = self.coordinator.is_ready() && !self.closing.begun.get();
         Answer::new(
             if ready { 200 } else { 503 },
             if ready { "{\"ready\":true}" } else { "{\"ready\":false}" },
--- a/tests/formats.rs
+++ b/tests/formats.rs
@@ -20,11 +20,11 @@
 fn a_birth_has_one_place_on_the_clock() {
     let clock = Clock::new();
     let now = std::time::SystemTime::now().duration_since(std::time::UNIX_EPOCH).expect("after 1970");
-    let born = clock.born(now.as_millis() as u64 - 5000);
-    assert_eq!(born, clock.born(now.as_millis() as u64 - 5000));
+    let born = clock.from_unix_ms(now.as_millis() as u64 - 5000);
+    assert_eq!(born, clock.from_unix_ms(now.as_millis() as u64 - 5000));
     let age = clock.at(Instant::now()) - born.expect("told");
     assert!((4.9..6.0).contains(&age), "{age}");
-    assert_eq!(clock.born(0), None);
+    assert_eq!(clock.from_unix_ms(0), None);
 }
 
 #[test]
--- a/tests/golden_wire/data_nodes_lines.rs
+++ b/tests/golden_wire/data_nodes_lines.rs
@@ -51,7 +51,7 @@
     let replica =
         nodes.list(&ListedDataNode { name: "n0".to_owned(), address, phase: EndpointState::Ready, born: 0 });
     let carried = Rc::new(RequestContext::new("query-id".to_owned(), b"the statement".to_vec()));
-    let call = Call::alone(replica, carried, ShardId(shard), step, Instant::now() + DEADLINE);
+    let call = Call::standalone(replica, carried, ShardId(shard), step, Instant::now() + DEADLINE);
     let (hold, stop) = CancellationToken::new();
     let attempt = executor.spawn(nodes.clone().call(call, stop));
     let (send, frames) = async_channel::bounded(2);
@@ -70,7 +70,7 @@
 #[test]
 fn frames_to_data_nodes_are_written_as_stored() {
     let [first, cancel] = sent(Step::First, 31);
-    let second_step = Step::Second { from: Rc::from([ShardId(7), ShardId(12)]), whole: true };
+    let second_step = Step::Second { from: Rc::from([ShardId(7), ShardId(12)]), complete: true };
     let [second, _] = sent(second_step, 32);
     let now = [("request_first_step", first), ("request_second_step", second), ("cancel", cancel)];
     let stored = records("data_nodes_lines.txt", &now);
--- a/tests/nodes.rs
+++ b/tests/nodes.rs
@@ -54,7 +54,7 @@
 
     fn begin_with(&self, shard: u32, carried: &Rc<RequestContext>) -> Attempt {
         let deadline = Instant::now() + PATIENCE;
-        let call = Call::alone(self.replica, carried.clone(), ShardId(shard), Step::First, deadline);
+        let call = Call::standalone(self.replica, carried.clone(), ShardId(shard), Step::First, deadline);
         let (hold, stop) = CancellationToken::new();
         (self.executor.spawn(self.nodes.clone().call(call, stop)), hold)
     }
--- a/tests/parts.rs
+++ b/tests/parts.rs
@@ -41,7 +41,7 @@
     let carried = Rc::new(RequestContext::new("a1".to_owned(), b"hi".to_vec()));
     let deadline = Instant::now() + PATIENCE;
     let begin = |shard| {
-        let call = Call::alone(replica, carried.clone(), ShardId(shard), Step::First, deadline);
+        let call = Call::standalone(replica, carried.clone(), ShardId(shard), Step::First, deadline);
         let (hold, stop) = CancellationToken::new();
         let attempt = executor.spawn(nodes.clone().call(call, stop));
         async move { (attempt.await.outcome, hold).0 }
@@ -75,7 +75,7 @@
     let carried = Rc::new(RequestContext::new("a1".to_owned(), b"hi".to_vec()));
     let deadline = Instant::now() + PATIENCE;
     let begin = |shard| {
-        let call = Call::alone(replica, carried.clone(), ShardId(shard), Step::First, deadline);
+        let call = Call::standalone(replica, carried.clone(), ShardId(shard), Step::First, deadline);
         let (hold, stop) = CancellationToken::new();
         (executor.spawn(nodes.clone().call(call, stop)), hold)
     };
@@ -131,7 +131,7 @@
     let carried = Rc::new(RequestContext::new("a1".to_owned(), b"hi".to_vec()));
     let deadline = Instant::now() + PATIENCE;
     let begin = |shard| {
-        let call = Call::alone(replica, carried.clone(), ShardId(shard), Step::First, deadline);
+        let call = Call::standalone(replica, carried.clone(), ShardId(shard), Step::First, deadline);
         let (hold, stop) = CancellationToken::new();
         (executor.spawn(nodes.clone().call(call, stop)), hold)
     };
@@ -179,7 +179,7 @@
             ListedDataNode { name: format!("n{n}"), address: *address, phase: EndpointState::Ready, born: 0 };
         let replica = nodes.list(&entry);
         let carried = Rc::new(RequestContext::new("a1".to_owned(), b"hi".to_vec()));
-        let call = Call::alone(replica, carried, ShardId(0), Step::First, Instant::now() + PATIENCE);
+        let call = Call::standalone(replica, carried, ShardId(0), Step::First, Instant::now() + PATIENCE);
         let (_hold, stop) = CancellationToken::new();
         let ended = async_io::block_on(executor.run(nodes.clone().call(call, stop)));
         assert_eq!(ended.outcome, Outcome::Succeeded, "data node {n}");
@@ -218,7 +218,7 @@
     let carried = Rc::new(RequestContext::new("a1".to_owned(), b"hi".to_vec()));
     let deadline = Instant::now() + PATIENCE;
     let begin = |shard| {
-        let call = Call::alone(replica, carried.clone(), ShardId(shard), Step::First, deadline);
+        let call = Call::standalone(replica, carried.clone(), ShardId(shard), Step::First, deadline);
         let (hold, stop) = CancellationToken::new();
         (executor.spawn(nodes.clone().call(call, stop)), hold)
     };
@@ -259,7 +259,7 @@
     let carried = Rc::new(RequestContext::new("a1".to_owned(), b"hi".to_vec()));
     let ask = |shard, wait| {
         let (carried, deadline) = (carried.clone(), Instant::now() + Duration::from_millis(wait));
-        let call = Call::alone(replica, carried, ShardId(shard), Step::First, deadline);
+        let call = Call::standalone(replica, carried, ShardId(shard), Step::First, deadline);
         let (_hold, stop) = CancellationToken::new();
         async_io::block_on(executor.run(nodes.clone().call(call, stop))).outcome
     };
@@ -344,7 +344,7 @@
         assert_eq!(replica, ReplicaId(1));
         let carried = Rc::new(RequestContext::new("a1".to_owned(), b"hi".to_vec()));
         let deadline = Instant::now() + Duration::from_secs(5);
-        let call = Call::alone(replica, carried, ShardId(0), Step::First, deadline);
+        let call = Call::standalone(replica, carried, ShardId(0), Step::First, deadline);
         let (_hold, stop) = CancellationToken::new();
         let attempt = executor.spawn(nodes.clone().call(call, stop));
         // Begun, and queued on a connection that is not up yet.
--- a/tests/settings_effects.rs
+++ b/tests/settings_effects.rs
@@ -66,7 +66,7 @@
     };
     core.update_endpoints(EndpointUpdate::Full, (0..6).map(listed).collect());
     executor.spawn(core.clone().run()).detach();
-    let taken = core.take(common::query(1, (), None)).expect("room");
+    let taken = core.submit(common::query(1, (), None)).expect("room");
     async_io::block_on(executor.run(async {
         holds.attempts(1).await;
         if let Some(outcome) = first {
@@ -83,8 +83,14 @@
     two_attempts(Some(Outcome::Error), |held| {
         let (_, _, first) = held[0];
         let (stop, _, second) = &held[1];
-        assert!(!stop.is_cancelled() && !stop.too_late(*second), "within its window it may be written");
-        assert!(stop.too_late(first + LATER), "it waited on its connect past the window of the first");
+        assert!(
+            !stop.is_cancelled() && !stop.is_past_retry_window(*second),
+            "within its window it may be written"
+        );
+        assert!(
+            stop.is_past_retry_window(first + LATER),
+            "it waited on its connect past the window of the first"
+        );
     });
 }
 
@@ -93,16 +99,21 @@
 fn neither_of_two_that_wait_is_written_after_the_window_of_the_other() {
     two_attempts(None, |held| {
         let (first, second) = (&held[0], &held[1]);
-        assert!(!first.0.too_late(second.2) && !second.0.too_late(second.2));
-        assert!(second.0.too_late(first.2 + LATER));
-        assert!(first.0.too_late(second.2 + LATER), "the first would come late behind its repeat");
+        assert!(!first.0.is_past_retry_window(second.2) && !second.0.is_past_retry_window(second.2));
+        assert!(second.0.is_past_retry_window(first.2 + LATER));
+        assert!(
+            first.0.is_past_retry_window(second.2 + LATER),
+            "the first would come late behind its repeat"
+        );
     });
 }
 
 #[test]
 fn an_attempt_behind_one_that_never_ran_has_its_time() {
     for never in [Outcome::Rejected, Outcome::NeverSent] {
-        two_attempts(Some(never), |held| assert!(!held[1].0.too_late(held[1].2 + LATER), "{never:?}"));
+        two_attempts(Some(never), |held| {
+            assert!(!held[1].0.is_past_retry_window(held[1].2 + LATER), "{never:?}")
+        });
     }
 }
 
@@ -115,7 +126,8 @@
         if self.1.replace(Some(Instant::now())).is_none() {
             return Outcome::Error.into();
         }
-        let call = Call::alone(self.2, call.context.clone(), call.shard, call.step.clone(), call.deadline);
+        let call =
+            Call::standalone(self.2, call.context.clone(), call.shard, call.step.clone(), call.deadline);
         self.0.clone().call(call, stop).await
     }
     fn probe(self: Rc<Self>, _: ReplicaId) -> impl Future<Output = (bool, Option<LoadReport>)> {
@@ -156,7 +168,7 @@
     let alone = |id: &str| {
         let carried = Rc::new(RequestContext::new(id.to_owned(), b"s".to_vec()));
         let (hold, stop) = CancellationToken::new();
-        let call = Call::alone(replica, carried, ShardId(0), Step::First, deadline);
+        let call = Call::standalone(replica, carried, ShardId(0), Step::First, deadline);
         (executor.spawn(nodes.clone().call(call, stop)), hold)
     };
     let ((held, is_held), (go, gone)) = (async_channel::bounded(1), async_channel::bounded::<Instant>(1));
@@ -176,7 +188,7 @@
         let before = alone("before");
         is_held.recv().await.expect("held");
         let late = RequestContext::new("late".to_owned(), b"s".to_vec());
-        let taken = core.take(common::query(1, late, None)).expect("room");
+        let taken = core.submit(common::query(1, late, None)).expect("room");
         let begun = Instant::now();
         go.send(begun).await.expect("heard");
         // Its one attempt may have run, and the other one was never sent: no refusal.
--- a/tests/single_copy.rs
+++ b/tests/single_copy.rs
@@ -47,7 +47,7 @@
 
     fn begin(&mut self, shard: u32, deadline: Instant) -> Task<AttemptResult> {
         let carried = Rc::new(RequestContext::new("a1".to_owned(), b"hi".to_vec()));
-        let call = Call::alone(self.replica, carried, ShardId(shard), Step::First, deadline);
+        let call = Call::standalone(self.replica, carried, ShardId(shard), Step::First, deadline);
         let (hold, stop) = CancellationToken::new();
         self.held.push(hold);
         self.executor.spawn(self.nodes.clone().call(call, stop))
--- a/tests/takeover.rs
+++ b/tests/takeover.rs
@@ -155,7 +155,7 @@
             true => {
                 let served =
                     Some((Rc::from(format!("v{}", call.shard.0).as_bytes()), f64::from(call.shard.0)));
-                AttemptResult { outcome: Outcome::Succeeded, served, report: None }
+                AttemptResult { outcome: Outcome::Succeeded, value: served, report: None }
             }
             false => Outcome::Error.into(),
         }
@@ -192,7 +192,7 @@
     fn cleared(&self, step: u8, shard: ShardId) {
         self.notes.borrow_mut().push(format!("cleared {step} {}", shard.0));
     }
-    fn value(&self, step: u8, shard: ShardId, value: &Value, score: f64) {
+    fn value(&self, step: u8, shard: ShardId, value: &PartValue, score: f64) {
         let text = String::from_utf8_lossy(value);
         self.notes.borrow_mut().push(format!("value {step} {} {text} {score}", shard.0));
     }
@@ -225,8 +225,9 @@
     }
     fn take(&self, shards: u32, earlier: &[(u8, u32, PriorProgress)]) -> QueryHandle<Stub> {
         let earlier = earlier.iter().map(|(step, shard, e)| ((*step, ShardId(*shard)), e.clone()));
-        let protection = Some(TakeoverProtection { gate: self.gate.clone(), earlier: earlier.collect() });
-        self.core.take(common::query(shards, (), protection)).expect("room")
+        let protection =
+            Some(TakeoverProtection { gate: self.gate.clone(), prior_progress: earlier.collect() });
+        self.core.submit(common::query(shards, (), protection)).expect("room")
     }
     fn run<T>(&self, future: impl Future<Output = T>) -> T {
         async_io::block_on(self.executor.run(future))
@@ -245,7 +246,7 @@
 }
 
 fn earlier(granted: u8, cleared: u8, value: Option<&str>) -> PriorProgress {
-    PriorProgress { granted, cleared, value: value.map(|v| (Rc::from(v.as_bytes()), 1.0)) }
+    PriorProgress { granted_attempts: granted, cleared, value: value.map(|v| (Rc::from(v.as_bytes()), 1.0)) }
 }
 
 #[test]
