--- a/src/cli/show.rs
+++ b/src/cli/show.rs
@@ -3,16 +3,20 @@
 use std::path::Path;
 
 use crate::balancer::interface::{EndpointState, Idempotency, ShardId};
-use crate::config::operator::{Grpc, OperatorConfig, OperatorConfigError, Source};
+use crate::config::operator::{GrpcConfig, OperatorConfig, OperatorConfigError, ServerSource};
 use crate::config::settings::Deployment;
 use crate::grpc_routing::{As, Route, ShardFrom};
 use crate::net::dns_sd::watcher;
 use crate::net::dns_sd::zone_file::Server;
 
 /// The servers of a source; what is wrong with its records stands in the file's line.
-fn servers(path: &Path, at: &str, source: &Source) -> Result<Vec<Server>, OperatorConfigError> {
-    let error =
-        |what: String| OperatorConfigError { file: path.into(), path: at.to_owned(), place: None, what };
+fn servers(path: &Path, at: &str, source: &ServerSource) -> Result<Vec<Server>, OperatorConfigError> {
+    let error = |what: String| OperatorConfigError {
+        file: path.into(),
+        path: at.to_owned(),
+        position: None,
+        message: what,
+    };
     watcher::read(source).map_err(|e| error(e.to_string()))
 }
 
@@ -86,11 +90,11 @@
     let error = |at: &str, what: String| OperatorConfigError {
         file: path.into(),
         path: at.into(),
-        place: None,
-        what,
+        position: None,
+        message: what,
     };
     let operator = OperatorConfig::read(path)?;
-    let Grpc { routes, deployment, source, .. } =
+    let GrpcConfig { routes, deployment, source, .. } =
         operator.grpc.ok_or_else(|| error("grpc", "the file describes no gRPC front".into()))?;
     let Some(call) = call else {
         return Ok(routes.all().map(|r| line(&deployment, r) + "\n").collect());
--- a/src/config/operator/cluster.rs
+++ b/src/config/operator/cluster.rs
@@ -6,7 +6,7 @@
 
 use serde::Deserialize;
 
-use super::Seg;
+use super::PathSegment;
 use crate::balancer::interface::Idempotency;
 use crate::cluster::configuration::MOST_GUARDS;
 use crate::cluster::takeover::message::MOST_BYTES;
@@ -131,9 +131,9 @@
         folder: &Path,
         told: &Deployment,
         served: bool,
-    ) -> Result<ClusterConfig, (Vec<Seg>, String)> {
-        fn bad<T>(keys: &[&str], what: &str) -> Result<T, (Vec<Seg>, String)> {
-            Err((keys.iter().map(|k| Seg::Key((*k).into())).collect(), what.into()))
+    ) -> Result<ClusterConfig, (Vec<PathSegment>, String)> {
+        fn bad<T>(keys: &[&str], what: &str) -> Result<T, (Vec<PathSegment>, String)> {
+            Err((keys.iter().map(|k| PathSegment::Key((*k).into())).collect(), what.into()))
         }
         if file.cluster.is_empty() || file.cluster.len() > 64 {
             return bad(&["cluster"], "must be 1 to 64 bytes");
@@ -216,12 +216,18 @@
     }
 }
 
-fn members(listed: &[MemberFile]) -> Result<Vec<Member>, (Vec<Seg>, String)> {
+fn members(listed: &[MemberFile]) -> Result<Vec<Member>, (Vec<PathSegment>, String)> {
     let bad = |n: usize, key: &str, what: String| {
-        Err((vec![Seg::Key("members".into()), Seg::Index(n), Seg::Key(key.into())], what))
+        Err((
+            vec![PathSegment::Key("members".into()), PathSegment::Index(n), PathSegment::Key(key.into())],
+            what,
+        ))
     };
     if listed.is_empty() || listed.len() > MOST_MEMBERS {
-        return Err((vec![Seg::Key("members".into())], format!("must be 1 to {MOST_MEMBERS} members")));
+        return Err((
+            vec![PathSegment::Key("members".into())],
+            format!("must be 1 to {MOST_MEMBERS} members"),
+        ));
     }
     let (mut names, mut addresses, mut members) = (BTreeSet::new(), BTreeSet::new(), Vec::new());
     for (n, m) in listed.iter().enumerate() {
--- a/src/config/operator/locate.rs
+++ b/src/config/operator/locate.rs
@@ -5,19 +5,19 @@
 
 /// A step into a document.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Seg {
+pub enum PathSegment {
     Key(String),
     Index(usize),
 }
 
 /// The path as a reader writes it.
-pub fn shown(path: &[Seg]) -> String {
+pub fn format_path(path: &[PathSegment]) -> String {
     let mut out = String::new();
     for segment in path {
         match segment {
-            Seg::Key(key) if out.is_empty() => out += key,
-            Seg::Key(key) => out += &format!(".{key}"),
-            Seg::Index(n) => out += &format!("[{n}]"),
+            PathSegment::Key(key) if out.is_empty() => out += key,
+            PathSegment::Key(key) => out += &format!(".{key}"),
+            PathSegment::Index(n) => out += &format!("[{n}]"),
         }
     }
     out
@@ -25,7 +25,7 @@
 
 /// Line and column, from 1, of the value at `path`; of the innermost one that is there, if it is missing. `None`
 /// where the text cannot be read that far.
-pub fn locate(text: &str, path: &[Seg]) -> Option<(usize, usize)> {
+pub fn locate(text: &str, path: &[PathSegment]) -> Option<(usize, usize)> {
     (0..=path.len()).rev().find_map(|n| {
         let mut json5 = json5::Deserializer::from_str(text);
         let stopped = Walk(&path[..n]).deserialize(&mut json5).err()?;
@@ -36,7 +36,7 @@
 
 const FOUND: &str = "marlgap: here";
 
-struct Walk<'p>(&'p [Seg]);
+struct Walk<'p>(&'p [PathSegment]);
 
 impl<'de> DeserializeSeed<'de> for Walk<'_> {
     type Value = ();
@@ -79,7 +79,9 @@
         self.here()?;
         while let Some(key) = map.next_key::<String>()? {
             match self.0.first() {
-                Some(Seg::Key(wanted)) if *wanted == key => map.next_value_seed(Walk(&self.0[1..]))?,
+                Some(PathSegment::Key(wanted)) if *wanted == key => {
+                    map.next_value_seed(Walk(&self.0[1..]))?
+                }
                 _ => drop(map.next_value::<IgnoredAny>()?),
             }
         }
@@ -88,7 +90,7 @@
 
     fn visit_seq<A: SeqAccess<'de>>(self, mut list: A) -> Result<(), A::Error> {
         self.here()?;
-        let Some(Seg::Index(wanted)) = self.0.first() else {
+        let Some(PathSegment::Index(wanted)) = self.0.first() else {
             while list.next_element::<IgnoredAny>()?.is_some() {}
             return Ok(());
         };
--- a/src/config/operator/mod.rs
+++ b/src/config/operator/mod.rs
@@ -12,7 +12,7 @@
 use serde::Deserialize;
 
 pub use self::cluster::ClusterConfig;
-pub use self::locate::{locate, shown, Seg};
+pub use self::locate::{format_path, locate, PathSegment};
 use crate::config::settings::{self, Deployment};
 use crate::connection_pool;
 use crate::grpc_routing::{self, Routes};
@@ -23,21 +23,21 @@
     pub file: PathBuf,
     /// Keys and indices from the top, as `grpc.routes[2].class`; empty for the file as a whole.
     pub path: String,
-    pub place: Option<(usize, usize)>,
-    pub what: String,
+    pub position: Option<(usize, usize)>,
+    pub message: String,
 }
 
 impl fmt::Display for OperatorConfigError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(f, "{}", self.file.display())?;
-        if let Some((line, column)) = self.place {
+        if let Some((line, column)) = self.position {
             write!(f, ":{line}:{column}")?;
         }
         if !self.path.is_empty() {
             write!(f, ": {}", self.path)?;
         }
         // One line, whatever a library put into its words.
-        let words: Vec<&str> = self.what.split_whitespace().collect();
+        let words: Vec<&str> = self.message.split_whitespace().collect();
         write!(f, ": {}", words.join(" "))
     }
 }
@@ -132,16 +132,16 @@
 
 /// Where a front's servers come from.
 #[derive(Clone, Debug)]
-pub struct Source {
+pub struct ServerSource {
     /// The master file.
     pub records: PathBuf,
     pub service: String,
 }
 
 /// The query API as the file describes it.
-pub struct QueryApi {
+pub struct QueryApiConfig {
     pub listen: SocketAddr,
-    pub source: Source,
+    pub source: ServerSource,
     /// The index of each class, in the order of the settings; `None` where it has none.
     pub indices: Vec<Option<String>>,
     pub shards: u32,
@@ -149,9 +149,9 @@
 }
 
 /// The gRPC front as the file describes it.
-pub struct Grpc {
+pub struct GrpcConfig {
     pub listen: SocketAddr,
-    pub source: Source,
+    pub source: ServerSource,
     pub routes: Routes,
     /// The rows that those were compiled from.
     pub rows: Vec<grpc_routing::Row>,
@@ -163,27 +163,31 @@
 
 /// All that the file says.
 pub struct OperatorConfig {
-    pub query_api: Option<QueryApi>,
-    pub grpc: Option<Grpc>,
+    pub query_api: Option<QueryApiConfig>,
+    pub grpc: Option<GrpcConfig>,
     pub cluster: Option<ClusterConfig>,
 }
 
 impl OperatorConfig {
     /// Read and check the file; nothing is opened but what it names.
     pub fn read(path: &Path) -> Result<OperatorConfig, OperatorConfigError> {
-        let bare =
-            |what: String| OperatorConfigError { file: path.into(), path: String::new(), place: None, what };
+        let bare = |what: String| OperatorConfigError {
+            file: path.into(),
+            path: String::new(),
+            position: None,
+            message: what,
+        };
         let text = std::fs::read_to_string(path).map_err(|e| bare(e.to_string()))?;
         OperatorConfig::parse(&text, path)
     }
 
     /// Check `text` as the content of `path`, from which relative paths start.
     pub fn parse(text: &str, path: &Path) -> Result<OperatorConfig, OperatorConfigError> {
-        let at = |segments: &[Seg], what: String| OperatorConfigError {
+        let at = |segments: &[PathSegment], what: String| OperatorConfigError {
             file: path.into(),
-            path: shown(segments),
-            place: locate(text, segments),
-            what,
+            path: format_path(segments),
+            position: locate(text, segments),
+            message: what,
         };
         let mut json5 = json5::Deserializer::from_str(text);
         let file: File = serde_path_to_error::deserialize(&mut json5).map_err(|e| {
@@ -193,29 +197,33 @@
             // The library ends its words with the place, which stands in front of ours.
             let what = what.split(" at line ").next().unwrap_or(&what).to_owned();
             let shown = if shown == "." { String::new() } else { shown };
-            OperatorConfigError { file: path.into(), path: shown, place, what }
+            OperatorConfigError { file: path.into(), path: shown, position: place, message: what }
         })?;
         let told = settings::parse(file.settings.to_string().as_bytes()).map_err(|e| {
             // Its words begin with the path inside the settings.
             let words = e.0.strip_prefix("settings: ").unwrap_or(&e.0).to_owned();
             let inner = words.split(' ').next().unwrap_or_default();
-            let mut segments = vec![Seg::Key("settings".into())];
+            let mut segments = vec![PathSegment::Key("settings".into())];
             let class = words.rsplit_once("(class ").and_then(|(_, n)| n.trim_end_matches(')').parse().ok());
-            segments.extend(class.into_iter().flat_map(|n| [Seg::Key("Classes".into()), Seg::Index(n)]));
-            segments.extend(inner.split('.').map(|key| Seg::Key(key.into())));
+            segments.extend(
+                class.into_iter().flat_map(|n| [PathSegment::Key("Classes".into()), PathSegment::Index(n)]),
+            );
+            segments.extend(inner.split('.').map(|key| PathSegment::Key(key.into())));
             at(&segments, words)
         })?;
-        let settings_at = |what: String| at(&[Seg::Key("settings".into())], what);
+        let settings_at = |what: String| at(&[PathSegment::Key("settings".into())], what);
         crate::balancer::state::check(&told.settings).map_err(|e| settings_at(e.to_string()))?;
         let shards = told.shards.filter(|n| *n > 0);
         let shards = shards.ok_or_else(|| settings_at("FamilyInfo.Shards is missing or 0".into()))?;
         let folder = path.parent().unwrap_or(Path::new(""));
-        let source =
-            |records: &Path, service: &str| Source { records: folder.join(records), service: service.into() };
+        let source = |records: &Path, service: &str| ServerSource {
+            records: folder.join(records),
+            service: service.into(),
+        };
         let query_api = file.query_api.map(|q| {
             let mut indices = vec![None; told.class_names.len()];
             for (index, class) in &q.indices {
-                let here = ["query_api", "indices", index].map(|k| Seg::Key(k.into()));
+                let here = ["query_api", "indices", index].map(|k| PathSegment::Key(k.into()));
                 let slot = told.class_names.iter().position(|c| c == class);
                 let slot =
                     slot.ok_or_else(|| at(&here, format!("no class '{class}' in settings.Classes")))?;
@@ -224,27 +232,27 @@
                 }
             }
             let (listen, source) = (q.listen, source(&q.records, &q.service));
-            Ok(QueryApi { listen, source, indices, shards, deployment: Rc::new(told.clone()) })
+            Ok(QueryApiConfig { listen, source, indices, shards, deployment: Rc::new(told.clone()) })
         });
         let grpc = file.grpc.map(|g| {
-            let key = |keys: &[&str]| keys.iter().map(|k| Seg::Key((*k).into())).collect::<Vec<_>>();
+            let key = |keys: &[&str]| keys.iter().map(|k| PathSegment::Key((*k).into())).collect::<Vec<_>>();
             let mut told = told.clone();
             let routes = Routes::compile(&g.routes, &mut told, shards, g.front.message).map_err(|e| {
                 let mut here = key(&["grpc", "routes"]);
-                here.push(Seg::Index(e.row));
-                here.extend(e.key.map(|k| Seg::Key(k.into())));
+                here.push(PathSegment::Index(e.row));
+                here.extend(e.key.map(|k| PathSegment::Key(k.into())));
                 at(&here, e.what)
             })?;
             g.front.check().map_err(|(k, what)| at(&key(&["grpc", "front", k]), what))?;
             g.pool.check().map_err(|(k, what)| at(&key(&["grpc", "pool", k]), what))?;
             let (listen, source) = (g.listen, source(&g.records, &g.service));
             let (rows, front, pool) = (g.routes, g.front, g.pool);
-            Ok(Grpc { listen, source, routes, rows, front, pool, deployment: Rc::new(told) })
+            Ok(GrpcConfig { listen, source, routes, rows, front, pool, deployment: Rc::new(told) })
         });
         let served = query_api.is_some();
         let fleet = file.fleet.map(|f| {
             ClusterConfig::check(f, folder, &told, served).map_err(|(inner, what)| {
-                let mut here = vec![Seg::Key("fleet".into())];
+                let mut here = vec![PathSegment::Key("fleet".into())];
                 here.extend(inner);
                 at(&here, what)
             })
--- a/src/config/platform.rs
+++ b/src/config/platform.rs
@@ -15,11 +15,11 @@
 use serde_json::value::RawValue;
 
 /// Descriptors kept for the listeners, discovery, the log, files and the like.
-pub const RESERVED: usize = 32;
+pub const RESERVED_DESCRIPTORS: usize = 32;
 /// The fewest for connections to clients and to what is behind.
-pub const LEAST_SHARED: usize = 16;
+pub const MIN_SHARED_DESCRIPTORS: usize = 16;
 /// Those that are kept for ourselves, and as many for clients and data nodes as work at all.
-const LEAST_SOCKETS: usize = RESERVED + LEAST_SHARED;
+const LEAST_SOCKETS: usize = RESERVED_DESCRIPTORS + MIN_SHARED_DESCRIPTORS;
 
 /// Between two tries to read a file, and for how long a new configuration is tried.
 const RETRY: Duration = Duration::from_millis(20);
@@ -93,14 +93,14 @@
 
 /// What this coordinator serves, and with what.
 pub struct Config {
-    pub platform: Option<Platform>,
+    pub platform: Option<PlatformConfig>,
     /// The fronts of the operator's own file: off unless it is named.
     pub operator: Option<OperatorConfig>,
     pub seed: u64,
     pub sockets: usize,
 }
 
-pub struct Platform {
+pub struct PlatformConfig {
     pub name: String,
     pub listen: SocketAddr,
     pub discovery: SocketAddr,
@@ -108,9 +108,9 @@
     pub deployment: Deployment,
 }
 
-impl Platform {
+impl PlatformConfig {
     /// The list of data nodes as we last had it.
-    pub fn known(&self) -> Result<Option<List<'_>>, ConfigError> {
+    pub fn cached_endpoints(&self) -> Result<Option<List<'_>>, ConfigError> {
         let list = self.known.as_deref().map(serde_json::from_str).transpose();
         list.map_err(ConfigError::Json)
     }
@@ -140,7 +140,7 @@
             if config.sockets < LEAST_SOCKETS {
                 return Err(ConfigError::Sockets(config.sockets));
             }
-            config.platform = Some(Platform {
+            config.platform = Some(PlatformConfig {
                 name: var("RELAY_NAME").or(file.name).unwrap_or_default(),
                 listen: address("RELAY_LISTEN", var("RELAY_LISTEN").or(file.listen))?,
                 discovery: address("RELAY_DISCOVERY", var("RELAY_DISCOVERY").or(file.discovery))?,
@@ -174,7 +174,7 @@
 
 /// Where discovery is by the file as it is now. What the environment said held for the start alone. A file that is
 /// being written, or that our machine can't open for a moment, is read again.
-pub async fn discovery() -> Result<SocketAddr, ConfigError> {
+pub async fn read_discovery_address() -> Result<SocketAddr, ConfigError> {
     let path = std::env::var("RELAY_CONFIG").map_err(|_| ConfigError::Missing("RELAY_CONFIG"))?;
     let latest = Instant::now() + REREAD;
     loop {
--- a/src/coordinator/gate.rs
+++ b/src/coordinator/gate.rs
@@ -32,7 +32,7 @@
     /// Attempts that it was granted: each may have been made...
     pub granted_attempts: u8,
     /// ...but for so many of them, which are proved never to have run.
-    pub cleared: u8,
+    pub never_ran_attempts: u8,
     /// Its value and score, if that was in.
     pub value: Option<(PartValue, f64)>,
 }
@@ -47,6 +47,6 @@
 impl PriorProgress {
     /// What counts as made: it may have run, and nobody proved that it did not.
     pub(super) fn spent(&self) -> u8 {
-        self.granted_attempts.saturating_sub(self.cleared)
+        self.granted_attempts.saturating_sub(self.never_ran_attempts)
     }
 }
--- a/src/coordinator/mod.rs
+++ b/src/coordinator/mod.rs
@@ -278,7 +278,7 @@
             open.parts.push(part);
             let earlier =
                 open.protection.as_ref().and_then(|p| p.prior_progress.get(&(step.number(), shard)));
-            let (spent, cleared) = earlier.map_or((0, 0), |e| (e.spent(), e.cleared));
+            let (spent, cleared) = earlier.map_or((0, 0), |e| (e.spent(), e.never_ran_attempts));
             let value = earlier.and_then(|e| e.value.clone());
             let (number, served) = (open.number, value.is_some());
             let (step, attempts, committed) = (step.clone(), spent, None);
--- a/src/main.rs
+++ b/src/main.rs
@@ -17,7 +17,7 @@
 use marlgap::balancer::interface::Settings;
 use marlgap::cli::{self, Cli, Command};
 use marlgap::config::operator::{OperatorConfig, OperatorConfigError};
-use marlgap::config::platform::{self, Config, ConfigError, LEAST_SHARED, RESERVED};
+use marlgap::config::platform::{self, Config, ConfigError, MIN_SHARED_DESCRIPTORS, RESERVED_DESCRIPTORS};
 use marlgap::coordinator::{Coordinator, Transport};
 use marlgap::net::cluster::ClusterNode;
 use marlgap::net::data_nodes::DataNodes;
@@ -79,7 +79,8 @@
         + usize::from(query_api.is_some())
         + usize::from(grpc.is_some());
     let members = fleet.as_ref().map_or(0, ClusterNode::descriptors);
-    let all = config.sockets.saturating_sub(RESERVED + members).max(LEAST_SHARED) / fronts.max(1);
+    let all = config.sockets.saturating_sub(RESERVED_DESCRIPTORS + members).max(MIN_SHARED_DESCRIPTORS)
+        / fronts.max(1);
     let acceptor = |descriptors: Rc<Descriptors>| {
         Acceptor::new(executor.clone(), closing.clone(), descriptors, log.clone())
     };
@@ -93,7 +94,7 @@
 
     if let Some(platform) = config.platform {
         // First of all what may end the start: nothing is logged before it.
-        platform.known()?;
+        platform.cached_endpoints()?;
         let listener = listen(platform.listen).await?;
         let told = Rc::new(platform.deployment.clone());
         let descriptors = Rc::new(Descriptors::new(all));
@@ -121,7 +122,7 @@
         accepted.push((acceptor, executor.spawn(accept)));
         let follow = async move {
             // Looked at above: what cannot be read has ended the program.
-            let known = platform.known().unwrap_or_default();
+            let known = platform.cached_endpoints().unwrap_or_default();
             discovery.run(known.as_ref()).await
         };
         executor.spawn(follow).detach();
@@ -227,7 +228,7 @@
 /// Take over what the files say now.
 async fn reread(file: Option<&Path>, routed: Option<&grpc::Front>, moved: &Sender<SocketAddr>, log: &Logger) {
     if file.is_none() || std::env::var_os("RELAY_CONFIG").is_some() {
-        match platform::discovery().await {
+        match platform::read_discovery_address().await {
             Ok(address) => {
                 info!(log, "configuration reread"; "discovery" => %address);
                 let _ = moved.force_send(address);
--- a/src/net/dns_sd/watcher.rs
+++ b/src/net/dns_sd/watcher.rs
@@ -11,7 +11,7 @@
 
 use super::zone_file::{self, RecordsError, Server};
 use crate::balancer::interface::*;
-use crate::config::operator::Source;
+use crate::config::operator::ServerSource;
 use crate::coordinator::{Clock, Coordinator, Transport};
 
 /// Time between looks at the records: well under the time that a drain may take to be kept.
@@ -35,7 +35,7 @@
 impl std::error::Error for SourceError {}
 
 /// The servers of a source as it is now.
-pub fn read(source: &Source) -> Result<Vec<Server>, SourceError> {
+pub fn read(source: &ServerSource) -> Result<Vec<Server>, SourceError> {
     let text = std::fs::read(&source.records).map_err(|e| SourceError::Read(source.records.clone(), e))?;
     zone_file::parse(&text, &source.service).map_err(SourceError::Records)
 }
@@ -126,7 +126,7 @@
     core: Rc<Coordinator<T>>,
     servers: Rc<T>,
     zones: Vec<String>,
-    source: Source,
+    source: ServerSource,
     front: &'static str,
     seen: Vec<u8>,
     log: Logger,
@@ -138,7 +138,7 @@
         core: Rc<Coordinator<T>>,
         servers: Rc<T>,
         zones: Vec<String>,
-        source: Source,
+        source: ServerSource,
         front: &'static str,
         log: Logger,
     ) -> Result<Watch<T>, SourceError> {
--- a/src/net/grpc/mod.rs
+++ b/src/net/grpc/mod.rs
@@ -27,19 +27,19 @@
 use super::dns_sd::watcher::Watch;
 use super::http_server::GracefulShutdown;
 use super::StartError;
-use crate::config::operator::Grpc;
+use crate::config::operator::GrpcConfig;
 use crate::coordinator::Coordinator;
 
 /// A core of its own for this front, on the same code and rules, and the front itself.
 pub fn start(
-    setup: Grpc,
+    setup: GrpcConfig,
     seed: u64,
     descriptors: usize,
     executor: &Rc<LocalExecutor<'static>>,
     closing: &Rc<GracefulShutdown>,
     log: &Logger,
 ) -> Result<Rc<Front>, StartError> {
-    let Grpc { source, routes, front: limits, pool, deployment, .. } = setup;
+    let GrpcConfig { source, routes, front: limits, pool, deployment, .. } = setup;
     let (executor_of, log_of) = (executor.clone(), log.clone());
     let servers =
         Servers::new(deployment.connections, pool, limits.clone(), descriptors, seed, executor_of, log_of);
--- a/src/net/opensearch/mod.rs
+++ b/src/net/opensearch/mod.rs
@@ -17,19 +17,19 @@
 use super::dns_sd::watcher::Watch;
 use super::http_server::GracefulShutdown;
 use super::StartError;
-use crate::config::operator::QueryApi;
+use crate::config::operator::QueryApiConfig;
 use crate::coordinator::Coordinator;
 
 /// A core of its own for this front, on the same code and rules, and the front itself.
 pub fn start(
-    setup: QueryApi,
+    setup: QueryApiConfig,
     seed: u64,
     descriptors: usize,
     executor: &Rc<LocalExecutor<'static>>,
     closing: &Rc<GracefulShutdown>,
     log: &Logger,
 ) -> Result<Rc<Front>, StartError> {
-    let QueryApi { source, indices, shards, deployment, .. } = setup;
+    let QueryApiConfig { source, indices, shards, deployment, .. } = setup;
     let servers = Servers::new(deployment.connections, descriptors, log.clone());
     let settings = deployment.settings.clone();
     let core = Coordinator::new(settings, seed, deployment.max_open, executor.clone(), servers.clone())
--- a/src/net/opensearch/protected.rs
+++ b/src/net/opensearch/protected.rs
@@ -112,7 +112,7 @@
         (ready.deadline, ready.query.deadline) = (ends, ends);
         let earlier = if takeover { earlier(&record.parts) } else { BTreeMap::new() };
         // What an earlier owner may have sent has begun.
-        ready.notes.borrow_mut().begun = earlier.values().any(|e| e.granted_attempts > e.cleared);
+        ready.notes.borrow_mut().begun = earlier.values().any(|e| e.granted_attempts > e.never_ran_attempts);
         let gate = Rc::new(Held { hold: hold.clone(), notes: ready.notes.clone() });
         ready.query.protection = Some(TakeoverProtection { gate, prior_progress: earlier });
         let Ready { search, notes, parts, begun, deadline, query } = ready;
@@ -148,7 +148,8 @@
     let byte = |n: u32| u8::try_from(n).unwrap_or(u8::MAX);
     let part = |p: &Part| {
         let value = p.value.as_ref().map(|v| (Rc::from(&v[..]), p.score));
-        let earlier = PriorProgress { granted_attempts: byte(p.granted), cleared: byte(p.cleared), value };
+        let earlier =
+            PriorProgress { granted_attempts: byte(p.granted), never_ran_attempts: byte(p.cleared), value };
         ((byte(p.step), ShardId(p.shard)), earlier)
     };
     parts.iter().map(part).collect()
--- a/src/topology_forecast/file.rs
+++ b/src/topology_forecast/file.rs
@@ -9,7 +9,7 @@
 
 use super::topology::{Server, Tile, Topology, MOST_HOLDERS, MOST_SERVERS, MOST_TILES};
 use crate::balancer::interface::{ReplicaId, ZoneId};
-use crate::config::operator::{locate, shown, Seg};
+use crate::config::operator::{format_path, locate, PathSegment};
 
 /// Longest text that is read: a hundred thousand tiles of three holders are 10 MB.
 pub const MOST_BYTES: usize = 64 << 20;
@@ -118,13 +118,14 @@
     file: Rc<File>,
 }
 
-fn key(keys: &[(&str, Option<usize>)]) -> Vec<Seg> {
-    let each = keys.iter().flat_map(|(k, n)| [Some(Seg::Key((*k).into())), n.map(Seg::Index)]);
+fn key(keys: &[(&str, Option<usize>)]) -> Vec<PathSegment> {
+    let each =
+        keys.iter().flat_map(|(k, n)| [Some(PathSegment::Key((*k).into())), n.map(PathSegment::Index)]);
     each.flatten().collect()
 }
 
-fn at(text: &str, path: &[Seg], what: String) -> PlanError {
-    PlanError { path: shown(path), place: locate(text, path), what }
+fn at(text: &str, path: &[PathSegment], what: String) -> PlanError {
+    PlanError { path: format_path(path), place: locate(text, path), what }
 }
 
 fn weight(told: &WeightFile) -> Result<Ratio<u64>, String> {
--- a/tests/takeover.rs
+++ b/tests/takeover.rs
@@ -246,7 +246,11 @@
 }
 
 fn earlier(granted: u8, cleared: u8, value: Option<&str>) -> PriorProgress {
-    PriorProgress { granted_attempts: granted, cleared, value: value.map(|v| (Rc::from(v.as_bytes()), 1.0)) }
+    PriorProgress {
+        granted_attempts: granted,
+        never_ran_attempts: cleared,
+        value: value.map(|v| (Rc::from(v.as_bytes()), 1.0)),
+    }
 }
 
 #[test]
