--- a/src/config/operator/mod.rs
+++ b/src/config/operator/mod.rs
@@ -162,6 +162,7 @@
 }
 
 /// All that the file says.
+#[derive(Default)]
 pub struct OperatorConfig {
     pub query_api: Option<QueryApiConfig>,
     pub grpc: Option<GrpcConfig>,
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -10,6 +10,7 @@
 pub mod grpc_routing;
 pub mod net;
 pub mod send_policy;
+pub mod server;
 pub mod shard_layout;
 pub mod subsetting;
 pub mod topology_forecast;
--- /dev/null
+++ b/src/server/grpc.rs
@@ -0,0 +1,29 @@
+//! Startup of the gRPC front.
+use std::rc::Rc;
+
+use slog::info;
+
+use super::front::{bound_address, listen, AcceptingFront, Startup};
+use super::{metrics, ServeError};
+use crate::config::operator::GrpcConfig;
+use crate::net::descriptors::Descriptors;
+use crate::net::grpc::{self, Front};
+
+/// Start the front; it is returned too, since a reload replaces its routes.
+pub(super) async fn start(
+    startup: &Startup,
+    config: GrpcConfig,
+) -> Result<(Rc<Front>, AcceptingFront), ServeError> {
+    let Startup { executor, shutdown, seed, log, .. } = startup;
+    let configured = config.listen;
+    let front = grpc::start(config, *seed, startup.server_descriptors(), executor, shutdown, log)
+        .map_err(ServeError::Start)?;
+    let listener = listen(configured).await?;
+    info!(log, "gRPC listening"; "address" => %bound_address(&listener, configured));
+    let counts = metrics::log_query_counts(front.coordinator.clone(), "gRPC", log.clone());
+    executor.spawn(counts).detach();
+    let descriptors = Rc::new(Descriptors::new(startup.descriptors_per_front));
+    let serving = front.clone();
+    let accepting = startup.accept(listener, descriptors, move |client| serving.clone().serve(client));
+    Ok((front, accepting))
+}
--- /dev/null
+++ b/src/server/metrics.rs
@@ -0,0 +1,38 @@
+//! Log lines with running totals, for operators without a metrics system.
+use std::rc::Rc;
+use std::time::{Duration, Instant};
+
+use async_io::Timer;
+use slog::{info, Logger};
+
+use crate::coordinator::{Coordinator, Transport};
+use crate::net::cluster::ClusterNode;
+use crate::net::invariants;
+
+/// Time between two lines of one front.
+const LOG_INTERVAL: Duration = Duration::from_secs(10);
+
+/// Log the totals of a front's coordinator, for as long as the process runs.
+pub(super) async fn log_query_counts<T: Transport>(
+    coordinator: Rc<Coordinator<T>>,
+    front: &'static str,
+    log: Logger,
+) {
+    loop {
+        Timer::at(Instant::now() + LOG_INTERVAL).await;
+        info!(log, "counts";
+            "front" => front,
+            "totals" => ?coordinator.counts(),
+            "open" => coordinator.open_queries(),
+            "replicas" => coordinator.known_replicas(),
+            "invariants" => ?invariants::counts());
+    }
+}
+
+/// Log the totals of the cluster node, for as long as the process runs.
+pub(super) async fn log_cluster_counts(node: Rc<ClusterNode>, log: Logger) {
+    loop {
+        Timer::at(Instant::now() + LOG_INTERVAL).await;
+        info!(log, "cluster counts"; "totals" => ?node.counts(), "dropped" => node.dropped());
+    }
+}
--- /dev/null
+++ b/src/server/mod.rs
@@ -0,0 +1,131 @@
+//! Runs a coordinator process: starts the configured fronts, follows reloads, and shuts down gracefully.
+//!
+//! This module owns the order of effects, which users and tests rely on:
+//!
+//! 1. signal handlers ([`SignalHandlers::register`]), before anything that takes time;
+//! 2. the platform's front, then the cluster node (created, not yet started), the query API and the gRPC front;
+//! 3. the cluster node is started last, since the fronts execute the work that it hands out;
+//! 4. reloads ([`reload`]) until the first request to stop, then [`shutdown`].
+//!
+//! It never decides about a query and knows no protocol; those are [`crate::coordinator`] and [`crate::net`].
+#![warn(missing_docs)]
+
+mod cluster;
+mod error;
+mod front;
+mod grpc;
+mod metrics;
+mod platform;
+mod query_api;
+mod reload;
+mod shutdown;
+mod signals;
+
+use std::path::PathBuf;
+use std::rc::Rc;
+use std::time::Duration;
+
+use async_executor::LocalExecutor;
+use slog::Logger;
+
+use crate::balancer::interface::Settings;
+use crate::config::platform::{Config, MIN_SHARED_DESCRIPTORS, RESERVED_DESCRIPTORS};
+use crate::net::cluster::ClusterNode;
+use crate::net::invariants;
+
+pub use self::error::ServeError;
+use self::front::Startup;
+use self::reload::Reloader;
+use self::shutdown::Shutdown;
+pub use self::signals::{SignalHandlers, SignalRequest};
+
+/// Serve `config` on this thread until a signal asks the process to stop.
+///
+/// `operator_file` is the file that a reload reads the gRPC routes from. The handlers in `signals` stay in effect
+/// until this returns.
+///
+/// # Errors
+///
+/// If a front can't be started. Fronts that were started before it are dropped without a graceful shutdown.
+pub fn run(
+    config: Config,
+    operator_file: Option<PathBuf>,
+    signals: SignalHandlers,
+    log: Logger,
+) -> Result<(), ServeError> {
+    invariants::log_to(log.clone());
+    let executor = Rc::new(LocalExecutor::new());
+    async_io::block_on(executor.run(serve(config, operator_file, signals, executor.clone(), log)))
+}
+
+async fn serve(
+    config: Config,
+    operator_file: Option<PathBuf>,
+    mut signals: SignalHandlers,
+    executor: Rc<LocalExecutor<'static>>,
+    log: Logger,
+) -> Result<(), ServeError> {
+    let startup = Startup {
+        executor,
+        shutdown: Rc::default(),
+        seed: config.seed,
+        descriptors_per_front: descriptors_per_front(&config),
+        log: log.clone(),
+    };
+    let operator = config.operator.unwrap_or_default();
+    // SIGKILL goes by the platform's settings; nobody sends it where there is no platform.
+    let platform_deadline = config.platform.as_ref().map(|p| longest_deadline(&p.deployment.settings));
+    let search_deadline = operator.query_api.as_ref().map(|q| longest_deadline(&q.deployment.settings));
+    // Only the newest address counts.
+    let (discovery_moved, discovery_moves) = async_channel::bounded(1);
+    let mut fronts = Vec::new();
+
+    if let Some(platform) = config.platform {
+        fronts.push(platform::start(&startup, platform, discovery_moves).await?);
+    }
+    let cluster = operator.cluster.map(|setup| cluster::ClusterMember::new(&setup, &log));
+    if let Some(query_api) = operator.query_api {
+        let node = cluster.as_ref().map(|member| member.node.clone());
+        fronts.push(query_api::start(&startup, query_api, node).await?);
+    }
+    let mut grpc_front = None;
+    if let Some(grpc) = operator.grpc {
+        let (front, accepting) = grpc::start(&startup, grpc).await?;
+        grpc_front = Some(front);
+        fronts.push(accepting);
+    }
+    if let Some(member) = &cluster {
+        member.start(&startup).await?;
+    }
+
+    let reloader = Reloader { operator_file, grpc_front, discovery_moved, log: log.clone() };
+    reloader.run_until_stop(&mut signals).await;
+    let shutdown = Shutdown {
+        notice: startup.shutdown,
+        fronts,
+        cluster: cluster.map(|member| member.node),
+        platform_deadline,
+        search_deadline: search_deadline.unwrap_or_default(),
+        log,
+    };
+    shutdown.run().await;
+    Ok(())
+}
+
+/// Descriptors of one front, for its clients and for the connections to its servers.
+fn descriptors_per_front(config: &Config) -> usize {
+    let operator = config.operator.as_ref();
+    let platform = usize::from(config.platform.is_some());
+    let query_api = usize::from(operator.is_some_and(|o| o.query_api.is_some()));
+    let grpc = usize::from(operator.is_some_and(|o| o.grpc.is_some()));
+    let fronts = platform + query_api + grpc;
+    let cluster = operator.and_then(|o| o.cluster.as_ref()).map_or(0, ClusterNode::descriptors);
+    let shared = config.sockets.saturating_sub(RESERVED_DESCRIPTORS + cluster);
+    shared.max(MIN_SHARED_DESCRIPTORS) / fronts.max(1)
+}
+
+/// The longest deadline of all classes.
+fn longest_deadline(settings: &Settings) -> Duration {
+    let seconds = settings.classes.iter().map(|c| c.deadline).fold(0.0, f64::max);
+    Duration::try_from_secs_f64(seconds).unwrap_or(Duration::MAX)
+}
--- /dev/null
+++ b/src/server/platform.rs
@@ -0,0 +1,65 @@
+//! Startup of the platform's front: clients of the platform's protocol, its data nodes and its discovery.
+use std::net::SocketAddr;
+use std::rc::Rc;
+
+use async_channel::Receiver;
+use slog::info;
+
+use super::front::{bound_address, listen, AcceptingFront, Startup};
+use super::{metrics, ServeError};
+use crate::config::platform::PlatformConfig;
+use crate::coordinator::Coordinator;
+use crate::net::data_nodes::DataNodes;
+use crate::net::descriptors::Descriptors;
+use crate::net::discovery::Discovery;
+use crate::net::platform_api::PlatformApi;
+
+/// Start the front. `discovery_moves` yields the newest address of discovery after a reload.
+pub(super) async fn start(
+    startup: &Startup,
+    platform: PlatformConfig,
+    discovery_moves: Receiver<SocketAddr>,
+) -> Result<AcceptingFront, ServeError> {
+    // Before all else, since it may end the start: nothing is logged before it.
+    platform.cached_endpoints()?;
+    let listener = listen(platform.listen).await?;
+    let Startup { executor, seed, log, .. } = startup;
+    let deployment = Rc::new(platform.deployment.clone());
+    let descriptors = Rc::new(Descriptors::new(startup.descriptors_per_front));
+    let nodes = DataNodes::new((*deployment).clone(), descriptors.clone(), executor.clone(), log.clone());
+    let settings = deployment.over_sockets();
+    let max_open = deployment.max_open;
+    let coordinator = Coordinator::new(settings, *seed, max_open, executor.clone(), nodes.clone())
+        .map_err(ServeError::Settings)?;
+    let watch_policy = (deployment.settings.discovery, deployment.zones.clone());
+    let discovery = Discovery::new(
+        platform.discovery,
+        discovery_moves,
+        coordinator.clone(),
+        nodes,
+        watch_policy,
+        *seed,
+        log.clone(),
+    );
+    let address = bound_address(&listener, platform.listen);
+    info!(log, "listening"; "name" => &platform.name, "address" => %address);
+
+    let front = Rc::new(PlatformApi {
+        coordinator: coordinator.clone(),
+        deployment,
+        closing: startup.shutdown.clone(),
+        open: Default::default(),
+        log: log.clone(),
+        log_limiters: Default::default(),
+    });
+    let accepting = startup.accept(listener, descriptors, move |client| front.clone().serve(client));
+    let follow_discovery = async move {
+        // Checked above: a list that can't be read has ended the start.
+        let cached = platform.cached_endpoints().unwrap_or_default();
+        discovery.run(cached.as_ref()).await
+    };
+    executor.spawn(follow_discovery).detach();
+    executor.spawn(coordinator.clone().run()).detach();
+    executor.spawn(metrics::log_query_counts(coordinator, "platform", log.clone())).detach();
+    Ok(accepting)
+}
--- /dev/null
+++ b/src/server/shutdown.rs
@@ -0,0 +1,81 @@
+//! Graceful shutdown: no new work is wanted, what was accepted is answered, then the process ends.
+//!
+//! The time limits are those of [`GracefulShutdown`]; this module keeps the order.
+use std::rc::Rc;
+use std::time::{Duration, Instant};
+
+use async_io::Timer;
+use slog::{info, warn, Logger};
+
+use super::front::AcceptingFront;
+use crate::net::cluster::ClusterNode;
+use crate::net::http_server::{GracefulShutdown, STILL_COMING};
+use crate::net::timeout_at;
+
+/// For the last log lines, which a thread of their own writes. The process waits for that thread no longer, however
+/// slow the reader of its log is.
+const LOG_FLUSH: Duration = Duration::from_millis(20);
+
+/// What is shut down, and the deadlines that bound it.
+pub(super) struct Shutdown {
+    pub notice: Rc<GracefulShutdown>,
+    pub fronts: Vec<AcceptingFront>,
+    pub cluster: Option<Rc<ClusterNode>>,
+    /// The longest deadline of the platform's queries: SIGKILL goes by it. `None` without a platform.
+    pub platform_deadline: Option<Duration>,
+    /// The longest deadline of a search that this member may execute for others of the cluster.
+    pub search_deadline: Duration,
+    pub log: Logger,
+}
+
+impl Shutdown {
+    /// Shut down, from now. Resolves once all connections are closed, or at the end that the notice sets.
+    pub async fn run(self) {
+        let started = Instant::now();
+        self.notice.begin(started, self.platform_deadline);
+        let connections: usize = self.fronts.iter().map(|front| front.acceptor.held()).sum();
+        info!(self.log, "stopping"; "connections" => connections);
+        Timer::at(started + STILL_COMING).await;
+        self.notice.stop_keep_alive();
+        if let Some(cluster) = &self.cluster {
+            cluster.leave();
+        }
+        let Shutdown { notice, fronts, cluster, search_deadline, log, .. } = self;
+        let drained = async {
+            for front in fronts {
+                wait_until_closed(front).await;
+            }
+            // Searches that are executed here for clients of other members: after their longest deadline they are
+            // finished, or another member has taken them over.
+            if let Some(cluster) = &cluster {
+                cluster.idle(started.checked_add(search_deadline).unwrap_or(started)).await;
+            }
+        };
+        // Bounds the wait for clients that don't read: SIGKILL would come before they do.
+        let all_closed = match notice.end() {
+            Some(end) => timeout_at(end, drained).await.is_some(),
+            None => {
+                drained.await;
+                true
+            }
+        };
+        if !all_closed {
+            warn!(log, "connections left at the end");
+        }
+        info!(log, "stopped");
+        Timer::at(Instant::now() + LOG_FLUSH).await;
+    }
+}
+
+/// Wait until the front accepts no more and its last connection is closed.
+async fn wait_until_closed(front: AcceptingFront) {
+    let AcceptingFront { acceptor, accept_task } = front;
+    accept_task.await;
+    while acceptor.held() > 0 {
+        // Listen first: a connection that closes between the look and the wait would go unseen.
+        let freed = acceptor.freed.listen();
+        if acceptor.held() > 0 {
+            freed.await;
+        }
+    }
+}
