--- a/src/coordinator/mod.rs
+++ b/src/coordinator/mod.rs
@@ -1,98 +1,94 @@
-//! The core of a coordinator, which knows no wire. It owns the [`Balancer`], its clock, its timer and its
-//! rounds; takes a query with its parts and deadline and gives back exactly one final outcome. What carries
-//! the attempts is a [`Transport`].
+//! Coordinates queries over replicated shards: takes a query with its parts and its deadline, and gives back exactly
+//! one final outcome.
+//!
+//! A [`Coordinator`] owns the [`Balancer`] with its clock, its timers and its rounds, the open queries and their
+//! attempts. It knows no wire: a [`Transport`] carries the attempts. Everything here runs on one thread, on the
+//! executor that the coordinator was created with.
+//!
+//! Invariants:
+//! - a query has one final outcome, by its deadline at the latest, or none once its [`QueryHandle`] is dropped;
+//! - each attempt that the module sends is reported to it once, also after its query's end;
+//! - with a query's end, or its part's, all its attempts are cancelled before anything else runs.
+#![warn(missing_docs)]
 mod attempt;
+mod cancellation;
 mod clock;
 mod gate;
 mod query;
 mod retry_window;
+mod rounds;
+mod state;
+mod transport;
 
 use std::cell::{Cell, RefCell};
-use std::cmp::Reverse;
-use std::collections::{BTreeMap, BinaryHeap};
-use std::convert::Infallible;
 use std::rc::Rc;
-use std::time::Instant;
 
 use async_channel::{Receiver, Sender};
 use async_executor::LocalExecutor;
-use async_io::Timer;
-use futures_lite::FutureExt;
 
-use crate::balancer::interface::*;
+use crate::balancer::interface::{Class, ClassId, Endpoint, EndpointUpdate, Event, Settings, SettingsError};
 use crate::Balancer;
-pub use attempt::{AttemptResult, Call, CancellationToken, Transport};
+use state::State;
+
+pub use cancellation::{CancellationGuard, CancellationToken};
 pub use clock::{deadline_after, Clock};
 pub use gate::{AttemptGate, PendingGrant, PriorProgress, TakeoverProtection};
-pub use query::{PartValue, Query, QueryHandle, QueryOutcome, Step};
-use retry_window::RetryWindow;
-
-struct Part {
-    query: QueryId,
-    shard: ShardId,
-    step: Step,
-    value: Option<(PartValue, f64)>,
-    /// Those that an earlier owner may have made among them.
-    attempts: u8,
-    /// Further ones of an earlier owner, proved never to have run.
-    cleared: u8,
-    /// The attempt whose value has begun to go to the client.
-    committed: Option<u8>,
-    /// Where repeats are dropped for a while only: its attempts that may have run.
-    repeats: Option<Rc<RetryWindow>>,
-}
-
-struct OpenQuery<C> {
-    number: QueryNumber,
-    class: ClassId,
-    deadline: Instant,
-    carried: Rc<C>,
-    parts: Vec<PartId>,
-    second: bool,
-    /// For how long repeats of its parts are dropped, where they must not come later.
-    window: Option<f64>,
-    protection: Option<TakeoverProtection>,
-    done: Sender<QueryOutcome>,
-}
-
-struct State<C> {
-    balancer: Balancer,
-    events: Vec<Event>,
-    timers: BinaryHeap<Reverse<Instant>>,
-    open: BTreeMap<QueryId, OpenQuery<C>>,
-    parts: BTreeMap<PartId, Part>,
-    stops: BTreeMap<(PartId, u8), Sender<Infallible>>,
-    next: u32,
-}
+pub use query::{PartValue, Query, QueryHandle, QueryOutcome, ScoredValue, Step};
+pub use transport::{AttemptResult, Call, Transport};
 
-/// What happened so far, for the log.
+/// Totals since the start, for the log.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct QueryCounts {
+    /// Queries that were handed in.
     pub received: u64,
+    /// Queries answered from all their shards.
     pub complete: u64,
+    /// Queries answered from some of their shards.
     pub partial: u64,
+    /// Queries that the module rejected.
     pub rejected: u64,
+    /// Queries that the module failed.
     pub failed: u64,
+    /// Queries whose handle was dropped before their final outcome.
     pub client_disconnected: u64,
+    /// Queries refused since as many queries and parts were open as may be.
     pub over_capacity: u64,
+    /// Attempts that were started, over all queries.
     pub attempts: u64,
 }
 
+/// Owns the decision module and the open queries of one front. See the module's page for its invariants.
 pub struct Coordinator<T: Transport> {
     state: RefCell<State<T::RequestContext>>,
     counts: Cell<QueryCounts>,
     clock: Clock,
+    /// Notified whenever there is a new event for the next round.
     wake: event_listener::Event,
-    subscribe: (Sender<()>, Receiver<()>),
+    subscriptions: Subscriptions,
     executor: Rc<LocalExecutor<'static>>,
     transport: Rc<T>,
+    /// Attempts of one part, at most.
     max_attempts: u32,
     classes: RefCell<Vec<Class>>,
+    /// Queries and parts that may be open, together.
     max_open: usize,
-    listed: Cell<bool>,
+    is_ready: Cell<bool>,
+}
+
+/// Where the module's wishes to follow the list of replicas go; one that was not yet received stands for all.
+struct Subscriptions {
+    wanted: Sender<()>,
+    requests: Receiver<()>,
 }
 
 impl<T: Transport> Coordinator<T> {
+    /// A coordinator without replicas. Nothing is sent before [`Coordinator::run`] is polled.
+    ///
+    /// `max_open` bounds open queries and parts together; `seed` is that of the module's random choices.
+    ///
+    /// # Errors
+    ///
+    /// If the module refuses the settings.
     pub fn new(
         settings: Settings,
         seed: u64,
@@ -100,40 +96,38 @@
         executor: Rc<LocalExecutor<'static>>,
         transport: Rc<T>,
     ) -> Result<Rc<Self>, SettingsError> {
-        let state = State {
-            balancer: Balancer::new(settings.clone(), seed)?,
-            // A first round, whatever happens. Guards against a list that is never asked for where none is known.
-            events: vec![Event::Timer],
-            timers: BinaryHeap::new(),
-            open: BTreeMap::new(),
-            parts: BTreeMap::new(),
-            stops: BTreeMap::new(),
-            next: 0,
-        };
+        let state = State::new(Balancer::new(settings.clone(), seed)?);
+        let (wanted, requests) = async_channel::bounded(1);
         Ok(Rc::new(Coordinator {
             state: RefCell::new(state),
             counts: Cell::default(),
             clock: Clock::new(),
             wake: event_listener::Event::new(),
-            subscribe: async_channel::bounded(1),
+            subscriptions: Subscriptions { wanted, requests },
             executor,
             transport,
             max_attempts: settings.max_attempts,
             classes: RefCell::new(settings.classes),
             max_open,
-            listed: Cell::new(false),
+            is_ready: Cell::new(false),
         }))
     }
 
+    /// The clock that the module's times are read from.
     pub fn clock(&self) -> Clock {
         self.clock
     }
 
+    /// Totals since the start.
     pub fn counts(&self) -> QueryCounts {
         self.counts.get()
     }
 
-    /// Further classes of queries, behind those that are there.
+    /// Add classes of queries behind those that are there; the numbers of these stay.
+    ///
+    /// # Errors
+    ///
+    /// If the module refuses a class; none is added then.
     pub fn add_classes(&self, classes: &[Class]) -> Result<(), SettingsError> {
         self.state.borrow_mut().balancer.extend(classes)?;
         self.classes.borrow_mut().extend_from_slice(classes);
@@ -147,107 +141,42 @@
 
     /// Queries that have no final outcome yet.
     pub fn open_queries(&self) -> usize {
-        self.state.borrow().open.len()
+        self.state.borrow().queries.len()
     }
 
-    /// Parts of those, as they count toward `max_open`.
+    /// Parts of the open queries, as they count toward `max_open`.
     pub fn open_parts(&self) -> usize {
         self.state.borrow().parts.len()
     }
 
-    /// Whether the next query would be refused for want of room.
+    /// Whether the next query would be refused for lack of capacity.
     pub fn is_full(&self) -> bool {
         self.state.borrow().is_full(self.max_open)
     }
 
-    /// Whether queries are to come: some list of replicas has gone through a round, or is waited for no longer.
+    /// Whether queries are welcome: a non-empty list of replicas has gone through a round, or none is waited for.
     pub fn is_ready(&self) -> bool {
-        self.listed.get()
+        self.is_ready.get()
     }
 
-    /// Wait for a list of replicas no longer.
+    /// Be ready without a list of replicas.
     pub fn stop_waiting_for_endpoints(&self) {
-        self.listed.set(true);
+        self.is_ready.set(true);
     }
 
     /// Yields each time the module wants to follow the list of replicas from here on.
     pub fn subscriptions(&self) -> Receiver<()> {
-        self.subscribe.1.clone()
-    }
-
-    /// News of the list of replicas.
-    pub fn update_endpoints(&self, news: EndpointUpdate, entries: Vec<Endpoint>) {
-        self.state.borrow_mut().events.push(Event::Endpoints { update: news, endpoints: entries });
-        self.wake.notify(1);
+        self.subscriptions.requests.clone()
     }
 
-    /// Rounds, for as long as the program runs: one whenever something has happened or a timer is due.
-    pub async fn run(self: Rc<Self>) {
-        loop {
-            let listener = self.wake.listen();
-            let due = {
-                let mut state = self.state.borrow_mut();
-                let now = Instant::now();
-                while state.timers.peek().is_some_and(|Reverse(at)| *at <= now) {
-                    state.timers.pop();
-                    state.events.push(Event::Timer);
-                }
-                state.timers.peek().map(|Reverse(at)| *at)
-            };
-            if self.state.borrow().events.is_empty() {
-                let timer = async {
-                    match due {
-                        Some(at) => drop(Timer::at(at).await),
-                        None => std::future::pending().await,
-                    }
-                };
-                listener.or(timer).await;
-                continue;
-            }
-            self.round();
-            // Lets what else is ready come into one round, and the sends out before the next.
-            futures_lite::future::yield_now().await;
-        }
+    /// Hand the module a change of the list of replicas, in the next round.
+    pub fn update_endpoints(&self, update: EndpointUpdate, endpoints: Vec<Endpoint>) {
+        self.enqueue(Event::Endpoints { update, endpoints });
     }
 
-    fn round(self: &Rc<Self>) {
-        let state = &mut *self.state.borrow_mut();
-        let now = Instant::now();
-        let events = std::mem::take(&mut state.events);
-        let listed = |e: &Event| matches!(e, Event::Endpoints { endpoints, .. } if !endpoints.is_empty());
-        self.listed.set(self.listed.get() || events.iter().any(listed));
-        for action in state.balancer.round(self.clock.at(now), &events) {
-            self.apply(state, now, action);
-        }
-    }
-
-    fn apply(self: &Rc<Self>, state: &mut State<T::RequestContext>, now: Instant, action: Action) {
-        match action {
-            Action::Send { part, replica, timeout } => self.send(state, now, part, replica, timeout),
-            // Its attempt resolves as called off, unless another outcome is already on its way.
-            Action::Cancel { part, attempt } => drop(state.stops.remove(&(part, attempt))),
-            Action::Answer { query, complete } => self.answer(state, query, complete),
-            Action::Reject { query, retry_after } => {
-                self.count(|c| c.rejected += 1);
-                state.end(query, QueryOutcome::Rejected { retry_after });
-            }
-            Action::Fail { query } => {
-                self.count(|c| c.failed += 1);
-                state.end(query, QueryOutcome::Failed);
-            }
-            Action::HealthCheck { replica } => {
-                let (core, transport) = (self.clone(), self.transport.clone());
-                let probe = async move {
-                    let (ok, report) = transport.probe(replica).await;
-                    let took = now.elapsed().as_secs_f64();
-                    core.enqueue(Event::HealthChecked { replica, healthy: ok, elapsed: took, report });
-                };
-                self.executor.spawn(probe).detach();
-            }
-            Action::CloseIdle { replica } => self.transport.close_idle(replica),
-            Action::Timer { after: wait } => state.timers.push(Reverse(deadline_after(now, wait))),
-            Action::Subscribe => drop(self.subscribe.0.try_send(())),
-        }
+    /// A setting of a query's class; `None` for a class that the settings don't have.
+    fn class_setting<R>(&self, class: ClassId, setting: impl FnOnce(&Class) -> R) -> Option<R> {
+        self.classes.borrow().get(usize::from(class.0)).map(setting)
     }
 
     fn enqueue(&self, event: Event) {
@@ -261,53 +190,3 @@
         self.counts.set(counts);
     }
 }
-
-impl<C> State<C> {
-    fn is_full(&self, max_open: usize) -> bool {
-        self.open.len() + self.parts.len() >= max_open
-    }
-
-    fn id(&mut self) -> u32 {
-        self.next = self.next.wrapping_add(1);
-        self.next
-    }
-
-    fn enter(&mut self, query: QueryId, open: &mut OpenQuery<C>, step: Step, parts: &[(ShardId, f64)]) {
-        for &(shard, weight) in parts {
-            let part = PartId(self.id());
-            open.parts.push(part);
-            let earlier =
-                open.protection.as_ref().and_then(|p| p.prior_progress.get(&(step.number(), shard)));
-            let (spent, cleared) = earlier.map_or((0, 0), |e| (e.spent(), e.never_ran_attempts));
-            let value = earlier.and_then(|e| e.value.clone());
-            let (number, served) = (open.number, value.is_some());
-            let (step, attempts, committed) = (step.clone(), spent, None);
-            let repeats = open.window.map(RetryWindow::within);
-            let held = Part { query, shard, step, value, attempts, cleared, committed, repeats };
-            self.parts.insert(part, held);
-            self.events.push(Event::Part {
-                part,
-                number,
-                shard,
-                weight,
-                prior_attempts: spent,
-                completed: served,
-            });
-        }
-    }
-
-    /// Take a part out. All that is out for it is called off in the same breath. Guards against a part that
-    /// waits on a connect, or behind other parts, and would be written after its query's final answer.
-    fn leave(&mut self, id: PartId) -> Option<Part> {
-        let part = self.parts.remove(&id)?;
-        (0..part.attempts).for_each(|n| drop(self.stops.remove(&(id, n))));
-        Some(part)
-    }
-
-    fn end(&mut self, id: QueryId, outcome: QueryOutcome) {
-        if let Some(open) = self.open.remove(&id) {
-            open.parts.iter().for_each(|p| drop(self.leave(*p)));
-            drop(open.done.try_send(outcome));
-        }
-    }
-}
--- a/src/net/data_nodes/exchange.rs
+++ b/src/net/data_nodes/exchange.rs
@@ -10,7 +10,7 @@
 use super::DataNodes;
 use crate::balancer::interface::*;
 use crate::config::settings;
-use crate::coordinator::AttemptResult;
+use crate::coordinator::{AttemptResult, ScoredValue};
 use crate::net::buffer::Buffer;
 use crate::net::data_nodes::frames::{self, Frame};
 use crate::net::invariants;
@@ -340,9 +340,11 @@
                 owing(connection);
                 let Some(item) = item else { return true };
                 let report = self.report(report);
-                let (outcome, served) = match end {
+                let (outcome, value) = match end {
                     // Copied: the value outlives the buffer, until its query is answered.
-                    frames::End::Served => (Outcome::Succeeded, Some((value.into(), score))),
+                    frames::End::Served => {
+                        (Outcome::Succeeded, Some(ScoredValue { value: value.into(), score }))
+                    }
                     frames::End::Broke => (Outcome::Error, None),
                     frames::End::Skipped if item.carried.turned_away(&item.id, connection) => {
                         (Outcome::Rejected, None)
@@ -350,7 +352,7 @@
                     // The one before may have come twice: this proves nothing.
                     frames::End::Skipped => (Outcome::ConnectionLost, None),
                 };
-                drop(item.end.0.try_send(AttemptResult { outcome, value: served, report }));
+                drop(item.end.0.try_send(AttemptResult { outcome, value, report }));
             }
             Frame::Probe { served } => {
                 let Some(done) = connection.probes.borrow_mut().pop_front() else { return false };
--- a/src/net/grpc/attempt.rs
+++ b/src/net/grpc/attempt.rs
@@ -20,7 +20,7 @@
 use super::wire::{self, Framer};
 use crate::balancer::interface::Outcome;
 use crate::connection_pool::Why;
-use crate::coordinator::{AttemptResult, Call, CancellationToken};
+use crate::coordinator::{AttemptResult, Call, CancellationToken, ScoredValue};
 use crate::net::invariants;
 use crate::send_policy::SendConditions;
 
@@ -281,7 +281,11 @@
 }
 
 fn served(value: &[u8]) -> AttemptResult {
-    AttemptResult { outcome: Outcome::Succeeded, value: Some((Rc::from(value), 0.0)), report: None }
+    AttemptResult {
+        outcome: Outcome::Succeeded,
+        value: Some(ScoredValue { value: Rc::from(value), score: 0.0 }),
+        report: None,
+    }
 }
 
 /// Wait for some room in the stream's window.
--- a/src/net/opensearch/protected.rs
+++ b/src/net/opensearch/protected.rs
@@ -14,7 +14,7 @@
 use super::servers::Notes;
 use crate::balancer::interface::ShardId;
 use crate::cluster::takeover::{Ask, Key, Part, Record, Reply};
-use crate::coordinator::{AttemptGate, PartValue, PendingGrant, PriorProgress, TakeoverProtection};
+use crate::coordinator::{AttemptGate, PendingGrant, PriorProgress, ScoredValue, TakeoverProtection};
 use crate::net::buffer::Buffer;
 use crate::net::cluster::{ClusterNode, Execute, Hold};
 use crate::net::http::{Answer, Message};
@@ -147,7 +147,7 @@
     // More than a byte holds is more than any part may be tried.
     let byte = |n: u32| u8::try_from(n).unwrap_or(u8::MAX);
     let part = |p: &Part| {
-        let value = p.value.as_ref().map(|v| (Rc::from(&v[..]), p.score));
+        let value = p.value.as_ref().map(|v| ScoredValue { value: Rc::from(&v[..]), score: p.score });
         let earlier =
             PriorProgress { granted_attempts: byte(p.granted), never_ran_attempts: byte(p.cleared), value };
         ((byte(p.step), ShardId(p.shard)), earlier)
@@ -162,25 +162,25 @@
 }
 
 impl AttemptGate for Held {
-    fn may_send(&self, step: u8, shard: ShardId, attempt: u8) -> PendingGrant {
+    fn request_grant(&self, step: u8, shard: ShardId, attempt: u8) -> PendingGrant {
         let hold = self.hold.clone();
         Box::pin(async move { hold.may_send(step, shard.0, attempt).await })
     }
 
-    fn holds(&self) -> bool {
+    fn is_owned(&self) -> bool {
         self.hold.holds()
     }
 
-    fn cleared(&self, step: u8, shard: ShardId) {
+    fn record_never_ran(&self, step: u8, shard: ShardId) {
         self.hold.cleared(step, shard.0);
     }
 
-    fn value(&self, step: u8, shard: ShardId, value: &PartValue, score: f64) {
-        self.hold.value(step, shard.0, value.clone(), score);
+    fn record_value(&self, step: u8, shard: ShardId, value: &ScoredValue) {
+        self.hold.value(step, shard.0, value.value.clone(), value.score);
     }
 
     /// Told here too: a second step may be in without any call of it.
-    fn stepped(&self, from: &Rc<[ShardId]>) {
+    fn record_first_step(&self, from: &Rc<[ShardId]>) {
         self.notes.borrow_mut().first = Some(from.clone());
     }
 }
--- a/src/net/opensearch/servers.rs
+++ b/src/net/opensearch/servers.rs
@@ -13,7 +13,7 @@
 use super::query::Search;
 use crate::balancer::interface::*;
 use crate::config::settings::ConnectionSettings;
-use crate::coordinator::{AttemptResult, Call, CancellationToken, Clock, Step, Transport};
+use crate::coordinator::{AttemptResult, Call, CancellationToken, Clock, ScoredValue, Step, Transport};
 use crate::net::buffer::Buffer;
 use crate::net::dns_sd::watcher::{Book, Change, Follows};
 use crate::net::dns_sd::zone_file::Server;
@@ -171,8 +171,8 @@
             Ok(score) => {
                 call.context.notes.borrow_mut().failures.remove(&call.shard);
                 // Copied: the value outlives the buffer, until its query is answered.
-                let served = Some((Rc::from(&*body), score));
-                AttemptResult { outcome: Outcome::Succeeded, value: served, report: None }
+                let value = Some(ScoredValue { value: Rc::from(&*body), score });
+                AttemptResult { outcome: Outcome::Succeeded, value, report: None }
             }
             Err((status, kind, reason)) => self.failed(call, Outcome::Error, (status, &kind, &reason)),
         }
--- a/tests/takeover.rs
+++ b/tests/takeover.rs
@@ -153,9 +153,9 @@
         self.notes.borrow_mut().push(format!("sent {}", call.shard.0));
         match self.serves {
             true => {
-                let served =
-                    Some((Rc::from(format!("v{}", call.shard.0).as_bytes()), f64::from(call.shard.0)));
-                AttemptResult { outcome: Outcome::Succeeded, value: served, report: None }
+                let value = Rc::from(format!("v{}", call.shard.0).as_bytes());
+                let value = Some(ScoredValue { value, score: f64::from(call.shard.0) });
+                AttemptResult { outcome: Outcome::Succeeded, value, report: None }
             }
             false => Outcome::Error.into(),
         }
@@ -176,7 +176,7 @@
 }
 
 impl AttemptGate for StubGate {
-    fn may_send(&self, step: u8, shard: ShardId, attempt: u8) -> PendingGrant {
+    fn request_grant(&self, step: u8, shard: ShardId, attempt: u8) -> PendingGrant {
         self.notes.borrow_mut().push(format!("asked {step} {} {attempt}", shard.0));
         let me = self.me.upgrade().expect("lives");
         Box::pin(async move {
@@ -186,17 +186,18 @@
             attempt < 4
         })
     }
-    fn holds(&self) -> bool {
+    fn is_owned(&self) -> bool {
         self.held.get()
     }
-    fn cleared(&self, step: u8, shard: ShardId) {
+    fn record_never_ran(&self, step: u8, shard: ShardId) {
         self.notes.borrow_mut().push(format!("cleared {step} {}", shard.0));
     }
-    fn value(&self, step: u8, shard: ShardId, value: &PartValue, score: f64) {
+    fn record_value(&self, step: u8, shard: ShardId, scored: &ScoredValue) {
+        let ScoredValue { value, score } = scored;
         let text = String::from_utf8_lossy(value);
         self.notes.borrow_mut().push(format!("value {step} {} {text} {score}", shard.0));
     }
-    fn stepped(&self, from: &Rc<[ShardId]>) {
+    fn record_first_step(&self, from: &Rc<[ShardId]>) {
         self.notes.borrow_mut().push(format!("stepped {}", from.len()));
     }
 }
@@ -249,7 +250,7 @@
     PriorProgress {
         granted_attempts: granted,
         never_ran_attempts: cleared,
-        value: value.map(|v| (Rc::from(v.as_bytes()), 1.0)),
+        value: value.map(|v| ScoredValue { value: Rc::from(v.as_bytes()), score: 1.0 }),
     }
 }
 
