--- a/src/config/mod.rs
+++ b/src/config/mod.rs
@@ -1,4 +1,7 @@
-//! Configuration: the platform's variables and file, a deployment's settings, and the operator's own file.
+//! Configuration, read and checked before anything is opened.
+//!
+//! [`platform`] is what the platform hands a process, [`operator`] the operator's own file, [`settings`] the deployment's
+//! settings that both carry.
 pub mod operator;
 pub mod platform;
 pub mod settings;
--- a/src/config/operator/locate.rs
+++ b/src/config/operator/locate.rs
@@ -1,4 +1,9 @@
-//! Finds the line and column of a value in a JSON5 text by its path: reads the text once more and stops there.
+//! Finds the line and column of a value in a JSON5 text by its path, for error messages.
+//!
+//! The text is parsed once more with a visitor that follows the path and stops with an error at the value, to which
+//! the JSON5 reader adds its position.
+#![warn(missing_docs)]
+
 use std::fmt;
 
 use serde::de::{DeserializeSeed, Deserializer, Error, IgnoredAny, MapAccess, SeqAccess, Visitor};
@@ -6,11 +11,34 @@
 /// A step into a document.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum PathSegment {
+    /// A key of an object.
     Key(String),
+    /// An index of an array, from 0.
     Index(usize),
 }
 
-/// The path as a reader writes it.
+/// A place in a text; lines and columns count from 1. Shown as `LINE:COLUMN`.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct Position {
+    /// The line.
+    pub line: usize,
+    /// The column, in characters.
+    pub column: usize,
+}
+
+impl From<json5::Position> for Position {
+    fn from(zero_based: json5::Position) -> Position {
+        Position { line: zero_based.line + 1, column: zero_based.column + 1 }
+    }
+}
+
+impl fmt::Display for Position {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        write!(f, "{}:{}", self.line, self.column)
+    }
+}
+
+/// The path as a reader writes it, such as `grpc.routes[2].class`.
 pub fn format_path(path: &[PathSegment]) -> String {
     let mut out = String::new();
     for segment in path {
@@ -23,81 +51,94 @@
     out
 }
 
-/// Line and column, from 1, of the value at `path`; of the innermost one that is there, if it is missing. `None`
-/// where the text cannot be read that far.
-pub fn locate(text: &str, path: &[PathSegment]) -> Option<(usize, usize)> {
-    (0..=path.len()).rev().find_map(|n| {
+/// Where the value at `path` starts, or the innermost one around it that exists. `None` if the text can't be parsed
+/// that far.
+pub fn locate(text: &str, path: &[PathSegment]) -> Option<Position> {
+    (0..=path.len()).rev().find_map(|depth| {
         let mut json5 = json5::Deserializer::from_str(text);
-        let stopped = Walk(&path[..n]).deserialize(&mut json5).err()?;
-        let place = stopped.to_string().starts_with(FOUND).then(|| stopped.position())?;
-        place.map(|p| (p.line + 1, p.column + 1))
+        let stopped = PathFollower { remaining: &path[..depth] }.deserialize(&mut json5).err()?;
+        if !stopped.to_string().starts_with(FOUND) {
+            return None;
+        }
+        stopped.position().map(Position::from)
     })
 }
 
+/// The text of the error that marks the value.
 const FOUND: &str = "marlgap: here";
 
-struct Walk<'p>(&'p [PathSegment]);
+/// Follows a path into a document.
+struct PathFollower<'p> {
+    remaining: &'p [PathSegment],
+}
 
-impl<'de> DeserializeSeed<'de> for Walk<'_> {
+impl<'de> DeserializeSeed<'de> for PathFollower<'_> {
     type Value = ();
     fn deserialize<D: Deserializer<'de>>(self, from: D) -> Result<(), D::Error> {
         from.deserialize_any(self)
     }
 }
 
-/// Any value that is reached with no step left ends the walk with an error, to which the reader adds its place.
-macro_rules! reached {
+/// Visitor methods for values that nothing leads into.
+macro_rules! visit_scalars {
     ($($name:ident: $type:ty),*) => {
-        $(fn $name<E: Error>(self, _: $type) -> Result<(), E> { self.here() })*
+        $(fn $name<E: Error>(self, _: $type) -> Result<(), E> { self.stop_if_found() })*
     };
 }
 
-impl Walk<'_> {
-    fn here<E: Error>(&self) -> Result<(), E> {
-        if self.0.is_empty() {
+impl PathFollower<'_> {
+    /// A value that is reached with no segment left ends the walk with an error.
+    fn stop_if_found<E: Error>(&self) -> Result<(), E> {
+        if self.remaining.is_empty() {
             Err(E::custom(FOUND))
         } else {
             Ok(())
         }
     }
+
+    /// Below the value at the first segment.
+    fn descend(&self) -> PathFollower<'_> {
+        PathFollower { remaining: &self.remaining[1..] }
+    }
 }
 
-impl<'de> Visitor<'de> for Walk<'_> {
+impl<'de> Visitor<'de> for PathFollower<'_> {
     type Value = ();
 
     fn expecting(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str("any value")
     }
 
-    reached! { visit_bool: bool, visit_i64: i64, visit_u64: u64, visit_f64: f64, visit_str: &str }
+    visit_scalars! { visit_bool: bool, visit_i64: i64, visit_u64: u64, visit_f64: f64, visit_str: &str }
 
     fn visit_unit<E: Error>(self) -> Result<(), E> {
-        self.here()
+        self.stop_if_found()
     }
 
     fn visit_map<A: MapAccess<'de>>(self, mut map: A) -> Result<(), A::Error> {
-        self.here()?;
+        self.stop_if_found()?;
         while let Some(key) = map.next_key::<String>()? {
-            match self.0.first() {
-                Some(PathSegment::Key(wanted)) if *wanted == key => {
-                    map.next_value_seed(Walk(&self.0[1..]))?
+            match self.remaining.first() {
+                Some(PathSegment::Key(wanted)) if *wanted == key => map.next_value_seed(self.descend())?,
+                _ => {
+                    map.next_value::<IgnoredAny>()?;
                 }
-                _ => drop(map.next_value::<IgnoredAny>()?),
             }
         }
         Ok(())
     }
 
     fn visit_seq<A: SeqAccess<'de>>(self, mut list: A) -> Result<(), A::Error> {
-        self.here()?;
-        let Some(PathSegment::Index(wanted)) = self.0.first() else {
+        self.stop_if_found()?;
+        let Some(PathSegment::Index(wanted)) = self.remaining.first() else {
             while list.next_element::<IgnoredAny>()?.is_some() {}
             return Ok(());
         };
-        for n in 0.. {
-            let more = match n == *wanted {
-                true => list.next_element_seed(Walk(&self.0[1..]))?.is_some(),
-                false => list.next_element::<IgnoredAny>()?.is_some(),
+        for index in 0.. {
+            let more = if index == *wanted {
+                list.next_element_seed(self.descend())?.is_some()
+            } else {
+                list.next_element::<IgnoredAny>()?.is_some()
             };
             if !more {
                 break;
--- a/src/topology_forecast/file.rs
+++ b/src/topology_forecast/file.rs
@@ -9,7 +9,7 @@
 
 use super::topology::{Server, Tile, Topology, MOST_HOLDERS, MOST_SERVERS, MOST_TILES};
 use crate::balancer::interface::{ReplicaId, ZoneId};
-use crate::config::operator::{format_path, locate, PathSegment};
+use crate::config::operator::{format_path, locate, PathSegment, Position};
 
 /// Longest text that is read: a hundred thousand tiles of three holders are 10 MB.
 pub const MOST_BYTES: usize = 64 << 20;
@@ -24,14 +24,14 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct PlanError {
     pub path: String,
-    pub place: Option<(usize, usize)>,
+    pub place: Option<Position>,
     pub what: String,
 }
 
 impl fmt::Display for PlanError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        if let Some((line, column)) = self.place {
-            write!(f, "{line}:{column}: ")?;
+        if let Some(position) = self.place {
+            write!(f, "{position}: ")?;
         }
         if !self.path.is_empty() {
             write!(f, "{}: ", self.path)?;
@@ -166,7 +166,7 @@
     }
     let mut json5 = json5::Deserializer::from_str(text);
     let file: File = serde_path_to_error::deserialize(&mut json5).map_err(|e| {
-        let place = e.inner().position().map(|p| (p.line + 1, p.column + 1));
+        let place = e.inner().position().map(Position::from);
         let path = Some(e.path().to_string()).filter(|p| p != ".").unwrap_or_default();
         let what = e.inner().to_string();
         PlanError { path, place, what: what.split(" at line ").next().unwrap_or(&what).to_owned() }
