--- a/src/cli/describe.rs
+++ b/src/cli/describe.rs
@@ -1,4 +1,4 @@
-//! What the commands print that open nothing.
+//! The commands that open no listener: what a file would serve, and where a gRPC call would go.
 use std::fmt::Write;
 use std::path::Path;
 
@@ -9,32 +9,25 @@
 use crate::net::dns_sd::watcher;
 use crate::net::dns_sd::zone_file::Server;
 
-/// The servers of a source; what is wrong with its records stands in the file's line.
-fn servers(path: &Path, at: &str, source: &ServerSource) -> Result<Vec<Server>, OperatorConfigError> {
-    let error = |what: String| OperatorConfigError {
-        file: path.into(),
-        path: at.to_owned(),
-        position: None,
-        message: what,
-    };
-    watcher::read(source).map_err(|e| error(e.to_string()))
-}
-
 /// Check a file and all that it names; what it would serve, a line each.
-pub fn check(path: &Path) -> Result<String, OperatorConfigError> {
+///
+/// # Errors
+///
+/// If the file or the records that it names can't be read, or are not valid.
+pub fn describe_config(path: &Path) -> Result<String, OperatorConfigError> {
     let operator = OperatorConfig::read(path)?;
     let mut out = String::new();
     if let Some(api) = &operator.query_api {
-        let servers = servers(path, "query_api.records", &api.source)?;
+        let servers = read_servers(path, "query_api.records", &api.source)?;
         let indices = api.indices.iter().flatten().count();
         let _ = writeln!(out, "query API on {}: {indices} indices, {} servers", api.listen, servers.len());
     }
     if let Some(grpc) = &operator.grpc {
-        let servers = servers(path, "grpc.records", &grpc.source)?;
+        let servers = read_servers(path, "grpc.records", &grpc.source)?;
         let routes = grpc.routes.all().count();
         let _ = writeln!(out, "gRPC on {}: {routes} routes, {} servers", grpc.listen, servers.len());
         for shard in (0..grpc.deployment.shards.unwrap_or(0)).map(ShardId) {
-            if holders(&grpc.deployment, &servers, shard).is_empty() {
+            if ready_replicas(&grpc.deployment, &servers, shard).is_empty() {
                 let _ = writeln!(out, "  shard {} has no server that is up", shard.0);
             }
         }
@@ -45,82 +38,114 @@
     Ok(out)
 }
 
-/// The servers that hold a shard and take new calls, as the module's draw has them (`interface::CellId`).
-fn holders<'s>(told: &Deployment, servers: &'s [Server], shard: ShardId) -> Vec<&'s Server> {
-    let (cells, reach) = (told.settings.cells, told.settings.reach);
-    let row = |cell: u32| (0..reach.min(cells)).any(|j| (shard.0 % cells + j) % cells == cell);
-    let held = |s: &&Server| s.phase == EndpointState::Ready && row(u32::from(s.cell));
-    servers.iter().filter(held).collect()
+/// A gRPC call as the command line describes it.
+pub struct DescribedCall<'a> {
+    /// The method, as `/package.Service/Method`.
+    pub method: &'a str,
+    /// Keys, in lower case, and values.
+    pub metadata: &'a [(String, String)],
+    /// A file with the first message, as protobuf.
+    pub message: Option<&'a Path>,
+}
+
+/// All routes of a file, a line each; or, for one call, its route and the servers that it may go to.
+///
+/// # Errors
+///
+/// If the file, its records or the message can't be read or are not valid, or the call has no route or no shard.
+pub fn describe_routes(path: &Path, call: Option<DescribedCall>) -> Result<String, OperatorConfigError> {
+    let operator = OperatorConfig::read(path)?;
+    let grpc = operator.grpc;
+    let grpc = grpc.ok_or_else(|| error(path, "grpc", "the file describes no gRPC front".into()))?;
+    match call {
+        Some(call) => describe_call(path, &grpc, &call),
+        None => Ok(grpc.routes.all().map(|route| describe_route(&grpc.deployment, route) + "\n").collect()),
+    }
+}
+
+fn describe_call(
+    path: &Path,
+    grpc: &GrpcConfig,
+    call: &DescribedCall,
+) -> Result<String, OperatorConfigError> {
+    let GrpcConfig { routes, deployment, source, .. } = grpc;
+    let route = routes.find(call.method);
+    let route = route
+        .ok_or_else(|| error(path, "grpc.routes", format!("no route for {}: UNIMPLEMENTED", call.method)))?;
+    let mut out = describe_route(deployment, route) + "\n";
+    let message = call.message.map(std::fs::read).transpose();
+    let message = message.map_err(|e| error(path, "--message", e.to_string()))?;
+    if route.shard == ShardFrom::Any {
+        let _ = writeln!(out, "any shard, by chance for each call");
+        return Ok(out);
+    }
+    let values = |key: &str| -> Vec<&str> {
+        call.metadata.iter().filter(|(k, _)| k == key).map(|(_, value)| value.as_str()).collect()
+    };
+    let shards = route.shards(values, message.as_deref(), 0);
+    let shards = shards.map_err(|e| error(path, "--call", format!("{e}: INVALID_ARGUMENT")))?;
+    let servers = read_servers(path, "grpc.records", source)?;
+    for shard in shards {
+        let replicas: Vec<String> = ready_replicas(deployment, &servers, shard)
+            .iter()
+            .map(|server| format!("{} ({})", server.name, server.address))
+            .collect();
+        if replicas.is_empty() {
+            let _ = writeln!(out, "shard {}: no server that is up", shard.0);
+        } else {
+            let _ = writeln!(out, "shard {}: {}", shard.0, replicas.join(", "));
+        }
+    }
+    Ok(out)
 }
 
-fn line(told: &Deployment, route: &Route) -> String {
-    let class = &told.settings.classes[usize::from(route.class.0)];
-    let effect = match class.idempotency {
+/// A route in one line.
+fn describe_route(deployment: &Deployment, route: &Route) -> String {
+    let class = &deployment.settings.classes[usize::from(route.class.0)];
+    let idempotency = match class.idempotency {
         Idempotency::Idempotent => "safe to repeat".to_owned(),
         Idempotency::Keyed { window } => format!("repeats are dropped for {window} s"),
         Idempotency::NonIdempotent => "not to be repeated".to_owned(),
     };
-    let way = |how: &As| if *how == As::Hash { "hash of " } else { "" };
-    let shard = match &route.shard {
-        ShardFrom::Any => "any".to_owned(),
-        ShardFrom::Metadata { key, how } => format!("{}metadata '{key}'", way(how)),
-        ShardFrom::Field { path, how } => {
-            let path: Vec<String> = path.iter().map(u32::to_string).collect();
-            format!("{}field {} of the first message", way(how), path.join("."))
-        }
-    };
     format!(
-        "{}  {:?}, class {}, {effect}, {}, deadline {} s, shard by {shard}{}",
+        "{}  {:?}, class {}, {idempotency}, {}, deadline {} s, shard by {}{}",
         route.pattern,
         route.kind,
-        told.class_names[usize::from(route.class.0)],
+        deployment.class_names[usize::from(route.class.0)],
         if class.hedging { "copies" } else { "no copies" },
         class.deadline,
+        describe_shard_key(&route.shard),
         if route.merge.is_some() { ", merged" } else { "" }
     )
 }
 
-/// All routes, or where one call would go.
-pub fn routes(
-    path: &Path,
-    call: Option<&str>,
-    metadata: &[(String, String)],
-    message: Option<&Path>,
-) -> Result<String, OperatorConfigError> {
-    let error = |at: &str, what: String| OperatorConfigError {
-        file: path.into(),
-        path: at.into(),
-        position: None,
-        message: what,
-    };
-    let operator = OperatorConfig::read(path)?;
-    let GrpcConfig { routes, deployment, source, .. } =
-        operator.grpc.ok_or_else(|| error("grpc", "the file describes no gRPC front".into()))?;
-    let Some(call) = call else {
-        return Ok(routes.all().map(|r| line(&deployment, r) + "\n").collect());
-    };
-    let route = routes
-        .find(call)
-        .ok_or_else(|| error("grpc.routes", format!("no route for {call}: UNIMPLEMENTED")))?;
-    let mut out = line(&deployment, route) + "\n";
-    let first =
-        message.map(|m| std::fs::read(m).map_err(|e| error("--message", e.to_string()))).transpose()?;
-    if route.shard == ShardFrom::Any {
-        let _ = writeln!(out, "any shard, by chance for each call");
-        return Ok(out);
-    }
-    let values = |key: &str| {
-        let held = metadata.iter().filter(|(k, _)| k == key);
-        held.map(|(_, v)| v.as_str()).collect::<Vec<_>>()
-    };
-    let shards = route.shards(values, first.as_deref(), 0);
-    let shards = shards.map_err(|e| error("--call", format!("{e}: INVALID_ARGUMENT")))?;
-    let servers = servers(path, "grpc.records", &source)?;
-    for shard in shards {
-        let held = holders(&deployment, &servers, shard);
-        let held: Vec<String> = held.iter().map(|s| format!("{} ({})", s.name, s.address)).collect();
-        let held = if held.is_empty() { "no server that is up".to_owned() } else { held.join(", ") };
-        let _ = writeln!(out, "shard {}: {held}", shard.0);
+fn describe_shard_key(shard: &ShardFrom) -> String {
+    let prefix = |how: &As| if *how == As::Hash { "hash of " } else { "" };
+    match shard {
+        ShardFrom::Any => "any".to_owned(),
+        ShardFrom::Metadata { key, how } => format!("{}metadata '{key}'", prefix(how)),
+        ShardFrom::Field { path, how } => {
+            let path: Vec<String> = path.iter().map(u32::to_string).collect();
+            format!("{}field {} of the first message", prefix(how), path.join("."))
+        }
     }
-    Ok(out)
+}
+
+/// The servers that hold a shard and take new calls: those of the cells that [`crate::balancer::interface::CellId`]
+/// gives it, as replica selection has them.
+fn ready_replicas<'s>(deployment: &Deployment, servers: &'s [Server], shard: ShardId) -> Vec<&'s Server> {
+    let cells = deployment.settings.cells;
+    let reach = deployment.settings.reach;
+    let holds_shard = |cell: u32| (0..reach.min(cells)).any(|j| (shard.0 % cells + j) % cells == cell);
+    let is_replica = |s: &&Server| s.phase == EndpointState::Ready && holds_shard(u32::from(s.cell));
+    servers.iter().filter(is_replica).collect()
+}
+
+/// The servers of a source; an error stands at `key`, which names the source.
+fn read_servers(path: &Path, key: &str, source: &ServerSource) -> Result<Vec<Server>, OperatorConfigError> {
+    watcher::read(source).map_err(|e| error(path, key, e.to_string()))
+}
+
+fn error(path: &Path, at: &str, message: String) -> OperatorConfigError {
+    OperatorConfigError { file: path.into(), path: at.into(), position: None, message }
 }
--- a/src/cli/log.rs
+++ b/src/cli/log.rs
@@ -1,22 +1,18 @@
 //! The log: lines on standard error, written by a thread of their own, as text or as JSON.
+//!
+//! Logging never blocks the caller: lines that a slow reader leaves waiting are bounded, and the rest is dropped.
 use slog::{Drain, Logger};
 
 use super::{LogFormat, LogLevel};
 
 /// Log lines that may wait for a slow reader; more are dropped and counted.
-const LINES: usize = 2048;
+const MAX_WAITING_LINES: usize = 2048;
 
-/// A log in this format. The guard that would wait for the last lines is not kept: guards against an exit that waits
-/// for whoever reads our log.
+/// A log in this format, of `level` and above; without one `MARLGAP_LOG=debug` decides, else the level is info.
+///
+/// The guard that would wait for the last lines is dropped: the exit must not wait for whoever reads the log.
 pub fn open(format: LogFormat, level: Option<LogLevel>) -> Logger {
-    let level = match level {
-        Some(LogLevel::Error) => slog::Level::Error,
-        Some(LogLevel::Warning) => slog::Level::Warning,
-        Some(LogLevel::Info) => slog::Level::Info,
-        Some(LogLevel::Debug) => slog::Level::Debug,
-        None if std::env::var("MARLGAP_LOG").as_deref() == Ok("debug") => slog::Level::Debug,
-        None => slog::Level::Info,
-    };
+    let level = slog_level(level);
     match format {
         LogFormat::Text => {
             let plain = slog_term::PlainSyncDecorator::new(std::io::stderr());
@@ -31,8 +27,19 @@
     D: Drain<Ok = (), Err = slog::Never> + Send + 'static,
 {
     let lines = slog_async::Async::new(lines)
-        .chan_size(LINES)
+        .chan_size(MAX_WAITING_LINES)
         .overflow_strategy(slog_async::OverflowStrategy::DropAndReport)
         .build();
     Logger::root(lines.filter_level(level).fuse(), slog::o!())
 }
+
+fn slog_level(level: Option<LogLevel>) -> slog::Level {
+    match level {
+        Some(LogLevel::Error) => slog::Level::Error,
+        Some(LogLevel::Warning) => slog::Level::Warning,
+        Some(LogLevel::Info) => slog::Level::Info,
+        Some(LogLevel::Debug) => slog::Level::Debug,
+        None if std::env::var("MARLGAP_LOG").as_deref() == Ok("debug") => slog::Level::Debug,
+        None => slog::Level::Info,
+    }
+}
--- a/src/cli/mod.rs
+++ b/src/cli/mod.rs
@@ -1,18 +1,23 @@
 //! The command line. Without a command the program starts as the platform has it, from its environment alone.
+//!
+//! Doc comments of the parsed types are the help text that users read.
+#![warn(missing_docs)]
+
+mod describe;
 pub mod log;
-mod show;
 
 use std::path::PathBuf;
 
 use clap::{Parser, Subcommand, ValueEnum};
 
-pub use self::show::{check, routes};
+pub use self::describe::{describe_config, describe_routes, DescribedCall};
 
 /// A coordinator of queries over replicated shards: it asks a server for each shard that a query needs and gives
 /// back one answer.
 ///
 /// Without a command it serves the platform's front, as RELAY_CONFIG, RELAY_NAME, RELAY_LISTEN and RELAY_DISCOVERY
 /// say. SIGTERM ends it once all that was taken is answered; SIGHUP makes it reread its configuration.
+#[expect(missing_docs, reason = "doc comments here are help texts, and these have none")]
 #[derive(Debug, Parser)]
 #[command(version, about, long_about)]
 pub struct Cli {
@@ -26,6 +31,7 @@
     pub log_level: Option<LogLevel>,
 }
 
+#[expect(missing_docs, reason = "doc comments here are help texts, and these have none")]
 #[derive(Debug, Subcommand)]
 pub enum Command {
     /// Serve the fronts that a file describes, and the platform's too where RELAY_CONFIG is set.
@@ -50,7 +56,7 @@
         #[arg(long, value_name = "PATH")]
         call: Option<String>,
         /// Metadata of the call; may be given more than once.
-        #[arg(long, value_name = "KEY=VALUE", value_parser = pair)]
+        #[arg(long, value_name = "KEY=VALUE", value_parser = parse_metadata)]
         metadata: Vec<(String, String)>,
         /// A file with the call's first message, as protobuf, for routes that look into it.
         #[arg(long, value_name = "FILE")]
@@ -58,12 +64,14 @@
     },
 }
 
+#[expect(missing_docs, reason = "doc comments here are help texts, and these have none")]
 #[derive(Clone, Copy, Debug, PartialEq, Eq, ValueEnum)]
 pub enum LogFormat {
     Text,
     Json,
 }
 
+#[expect(missing_docs, reason = "doc comments here are help texts, and these have none")]
 #[derive(Clone, Copy, Debug, PartialEq, Eq, ValueEnum)]
 pub enum LogLevel {
     Error,
@@ -72,7 +80,8 @@
     Debug,
 }
 
-fn pair(text: &str) -> Result<(String, String), String> {
+/// `KEY=VALUE`; keys are in lower case, as HTTP/2 has them (RFC 9113, 8.2).
+fn parse_metadata(text: &str) -> Result<(String, String), String> {
     let (key, value) = text.split_once('=').ok_or("not KEY=VALUE")?;
     Ok((key.to_ascii_lowercase(), value.to_owned()))
 }
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,6 +1,24 @@
-//! Decisions of a coordinator of queries over replicated shards.
+//! A coordinator of queries over replicated shards: it sends each part of a query to a replica of its shard, retries and
+//! hedges within bounds, and gives back one answer by the query's deadline.
 //!
-//! [`Balancer`] decides; [`balancer::interface`] holds the plain types that go in and come out.
+//! # Layers
+//!
+//! Decisions stand apart from I/O. They take time and events in and give actions out, so that they run under a simulator
+//! and in tests without sockets:
+//!
+//! - [`Balancer`] ([`balancer`]) decides about queries: admission, replica selection, retries, hedging, outlier
+//!   detection. [`balancer::interface`] holds the plain types that go in and come out.
+//! - [`send_policy`] decides at the moment of a write or a close; [`subsetting`], [`grpc_routing`] and
+//!   [`connection_pool`] decide which replicas, routes and connections there are.
+//! - [`cluster`] is the consensus and takeover among coordinators; [`shard_layout`] and [`topology_forecast`] describe
+//!   shards over time.
+//!
+//! On top of them:
+//!
+//! - [`coordinator`] runs the balancer on one thread and gives each query its one final outcome;
+//! - [`net`] is everything that touches a socket;
+//! - [`server`] starts, reloads and stops the process, as [`config`] and [`cli`] say;
+//! - [`wire`] is the simulator's way in.
 pub mod balancer;
 pub mod cli;
 pub mod cluster;
