--- a/tests/configuration.rs
+++ b/tests/configuration.rs
@@ -1,4 +1,4 @@
-//! Configurations: the program's start with those that can't be used, and the section of the fleet.
+//! Configurations: the start of the process with invalid ones, and the cluster section (`fleet`) of the operator's file.
 mod common;
 
 use std::net::SocketAddr;
@@ -9,9 +9,9 @@
 use marlgap::cluster::takeover::WhenFull;
 use marlgap::config::operator::OperatorConfig;
 
-/// What cannot be used ends the program with one line and a status that is not zero.
+/// For each file: one line on standard error and a status that is not zero.
 #[test]
-fn a_bad_configuration_is_one_line_and_a_status() {
+fn an_invalid_configuration_ends_the_process_with_one_line_and_a_status() {
     let at = SocketAddr::from(([127, 0, 0, 1], 9));
     let folder = configure("bad", &[at], at, 1, 75);
     let good = std::fs::read_to_string(folder.join("config.json")).expect("read");
@@ -22,9 +22,9 @@
         let mut command = Command::new(env!("CARGO_BIN_EXE_marlgap"));
         command.env("RELAY_CONFIG", folder.join("config.json")).current_dir(&folder).args(arguments);
         let output = command.output().expect("it runs");
-        let said = String::from_utf8(output.stderr).expect("text");
-        assert!(!output.status.success() && said.lines().count() == 1, "{said}");
-        said
+        let error = String::from_utf8(output.stderr).expect("text");
+        assert!(!output.status.success() && error.lines().count() == 1, "{error}");
+        error
     };
     assert!(run("{", &api, &[]).contains("configuration: "));
     assert!(run(&good.replace("127.0.0.1:0", "nowhere"), &api, &[]).contains("'nowhere' is not an address"));
@@ -32,9 +32,9 @@
     assert!(run(&good.replace("Positions", "Other"), &api, &[]).contains("FamilyInfo.Positions"));
     assert!(run(&good.replace("\"AimS\":4.0", "\"AimS\":-4.0"), &api, &[])
         .contains("AimS is not above 0 (class 0)"));
-    // The operator's file: each fault with its path, line and column.
+    // The operator's file: each error with its path, line and column.
     let search = ["serve", "--config", "marlgap.json5"];
-    let faults = [
+    let errors = [
         ("\"listen\":\"127.0.0.1:0\"", "\"listen\":5", "query_api.listen: "),
         ("\"records\"", "\"record\"", "query_api.record: unknown field"),
         (
@@ -51,48 +51,49 @@
         ),
         ("\"Shards\":24", "\"Other\":24", "settings: FamilyInfo.Shards is missing or 0"),
     ];
-    for (old, new, said) in faults {
+    for (old, new, expected) in errors {
         assert!(api.contains(old), "{old} in {api}");
         let line = run(&good, &api.replace(old, new), &search);
-        assert!(line.starts_with("marlgap: marlgap.json5:1:") && line.contains(said), "{line}");
+        assert!(line.starts_with("marlgap: marlgap.json5:1:") && line.contains(expected), "{line}");
     }
     assert!(run(&good, "{ settings: {", &search).contains("marlgap.json5:1:"));
     assert!(run(&good, &api.replace("\"zone\"", "\"nozone\""), &search).contains("cannot read"));
 }
 
-fn parse(fleet: &str) -> Result<OperatorConfig, String> {
+/// Parse the deployed file with this cluster section added.
+fn parse(section: &str) -> Result<OperatorConfig, String> {
     let all = include_str!("../deploy/marlgap.json5");
-    let text = all.trim_end().strip_suffix('}').expect("an object").to_owned() + "fleet: " + fleet + "}";
+    let text = all.trim_end().strip_suffix('}').expect("an object").to_owned() + "fleet: " + section + "}";
     OperatorConfig::parse(&text, Path::new("d/f")).map_err(|e| e.to_string())
 }
 
-const SOUND: &str = r#"{ cluster: "accra", name: "c2", listen: "127.0.0.1:7401", store: "c2.redb",
+const VALID: &str = r#"{ cluster: "accra", name: "c2", listen: "127.0.0.1:7401", store: "c2.redb",
     members: [{ name: "c2", address: "127.0.0.1:7401", zone: "b" }, { name: "c1", address: "127.0.0.1:7400", zone: "a" }],
     protect: { "field-lookup": { slack_s: 2.5, when_full: "unprotected" } }, lease_ms: 250, limits: { works: 9 } }"#;
 
 #[test]
-fn a_sound_section_is_taken_over_whole() {
-    let fleet = parse(SOUND).expect("sound").cluster.expect("there");
-    let names: Vec<_> = fleet.members.iter().map(|m| &*m.id.name).collect();
-    assert_eq!((names, &*fleet.zone()), (vec!["c1", "c2"], "b"));
-    assert_eq!((fleet.store, fleet.frame), (Some("d/c2.redb".into()), 1 << 20));
-    assert_eq!((fleet.limits.works, fleet.limits.lease, fleet.limits.most_tries), (9, 250_000, 4));
-    let rules: Vec<_> = fleet.rules.iter().map(Option::is_some).collect();
+fn a_valid_cluster_section_is_read_completely() {
+    let cluster = parse(VALID).expect("valid").cluster.expect("there");
+    let names: Vec<_> = cluster.members.iter().map(|m| &*m.id.name).collect();
+    assert_eq!((names, &*cluster.zone()), (vec!["c1", "c2"], "b"));
+    assert_eq!((cluster.store, cluster.frame), (Some("d/c2.redb".into()), 1 << 20));
+    assert_eq!((cluster.limits.works, cluster.limits.lease, cluster.limits.most_tries), (9, 250_000, 4));
+    let rules: Vec<_> = cluster.rules.iter().map(Option::is_some).collect();
     assert_eq!(rules, [false, true, false]);
-    let rule = fleet.rules[1].clone().expect("protected");
+    let rule = cluster.rules[1].clone().expect("protected");
     assert!(
         rule.repeats && rule.guards == 3 && rule.slack_ms == 2500 && rule.when_full == WhenFull::Unprotected
     );
     let plain = include_str!("../deploy/marlgap.json5");
     assert!(
-        OperatorConfig::parse(plain, Path::new("f")).expect("sound").cluster.is_none(),
+        OperatorConfig::parse(plain, Path::new("f")).expect("valid").cluster.is_none(),
         "off unless asked for"
     );
 }
 
 #[test]
-fn faults_are_said_with_path_and_place() {
-    let faults = [
+fn errors_of_the_cluster_section_have_a_path_and_a_position() {
+    let errors = [
         (r#"cluster: "accra""#, r#"cluster: """#, "fleet.cluster: must be"),
         (r#"name: "c2", listen"#, r#"name: "c3", listen"#, "fleet.name: 'c3' is not among"),
         (r#"name: "c1""#, r#"name: "c2""#, "fleet.members[1].name: member 'c2' is named twice"),
@@ -112,9 +113,9 @@
         ("works: 9", "queue: 1", "fleet.limits.queue: must be 16 to"),
         ("works: 9", "works: 9, more: 1", "unknown field `more`"),
     ];
-    for (old, new, said) in faults {
-        assert!(SOUND.contains(old), "{old}");
-        let error = parse(&SOUND.replacen(old, new, 1)).err().unwrap_or_else(|| panic!("taken: {new}"));
-        assert!(error.starts_with("d/f:") && error.contains(said) && !error.contains('\n'), "{error}");
+    for (old, new, expected) in errors {
+        assert!(VALID.contains(old), "{old}");
+        let error = parse(&VALID.replacen(old, new, 1)).err().unwrap_or_else(|| panic!("accepted: {new}"));
+        assert!(error.starts_with("d/f:") && error.contains(expected) && !error.contains('\n'), "{error}");
     }
 }
--- /dev/null
+++ b/tests/process_stalls.rs
@@ -0,0 +1,67 @@
+//! A process that stalls for up to 0.15 s at the end of a graceful shutdown: SIGKILL must find nothing unanswered.
+mod common;
+
+use std::io::Write;
+use std::net::TcpListener;
+use std::time::{Duration, Instant};
+
+use common::*;
+
+/// SIGKILL comes so long after SIGTERM at the earliest: the longest deadline, which counts as 3 s, and 0.7 s.
+const SIGKILL_AFTER: Duration = Duration::from_millis(3700);
+/// The longest for which a process may stall.
+const MAX_STALL: Duration = Duration::from_millis(150);
+
+struct Run {
+    /// From SIGTERM to the answer.
+    answered_after: Duration,
+    /// Whether the process was stalled; it may have ended by then.
+    stalled: bool,
+}
+
+/// A query whose data node hangs, at a process that stalls so long after SIGTERM.
+fn run(name: &str, stall_after: Duration) -> Run {
+    let discovery = TcpListener::bind("127.0.0.1:0").expect("bound");
+    let node = Node::start(false);
+    let folder = configure(name, &[node.address], discovery.local_addr().expect("bound"), 1, 75);
+    let program = Program::start(&folder, false);
+    let mut client = connect(program.address);
+    client.write_all(request("a1", "overlap-check", 8000).as_bytes()).expect("written");
+    node.frame("q a1.0 ", &[]);
+    program.signal("-TERM");
+    let terminated = Instant::now();
+    let waiting = std::thread::spawn(move || {
+        let status = status(&mut client);
+        (status, terminated.elapsed())
+    });
+    std::thread::sleep(stall_after.saturating_sub(terminated.elapsed()));
+    let stalled = program.stop();
+    std::thread::sleep(MAX_STALL);
+    program.signal("-CONT");
+    let (status, answered_after) = waiting.join().expect("answered");
+    assert_eq!(status, 504, "its deadline was cut");
+    Run { answered_after, stalled }
+}
+
+#[test]
+fn a_query_at_a_hung_data_node_is_answered_before_sigkill_though_the_process_stalls() {
+    let times = [3300, 3400, 3440, 3500, 3550];
+    let runs = times.map(|at| {
+        let stall_after = Duration::from_millis(at);
+        (stall_after, std::thread::spawn(move || run(&format!("process_stalls_{at}"), stall_after)))
+    });
+    let mut stalls = 0;
+    for (stall_after, run) in runs {
+        let Run { answered_after, stalled } = run.join().expect("a run");
+        assert!(
+            answered_after < SIGKILL_AFTER,
+            "stalled at {stall_after:?}: answered after {answered_after:?}"
+        );
+        assert!(
+            stalled || answered_after < stall_after,
+            "{stall_after:?}: not stalled, answered after {answered_after:?}"
+        );
+        stalls += usize::from(stalled);
+    }
+    assert!(stalls >= 3, "{stalls} stalls");
+}
--- a/tests/protected.rs
+++ b/tests/protected.rs
@@ -1,4 +1,4 @@
-//! Protected searches over the query API of a fleet of one: a majority of one is one, so that all but takeovers shows.
+//! Protected searches over the query API of a cluster of one member, which is its own quorum: all but takeovers.
 mod common;
 
 use std::io::Write;
@@ -9,46 +9,49 @@
 
 use common::*;
 
-/// A search server that answers each request once it may; what it was asked for.
+/// A search server that answers one request for each permit.
 struct Server {
     address: SocketAddr,
-    asked: Receiver<String>,
-    answers: Sender<()>,
+    /// Yields the id of each part that it receives.
+    received: Receiver<String>,
+    permits: Sender<()>,
 }
 
 fn server() -> Server {
     let listener = TcpListener::bind("127.0.0.1:0").expect("bound");
     let address = listener.local_addr().expect("bound");
-    let ((told, asked), (answers, may)) = (channel(), channel());
-    let may = Arc::new(Mutex::new(may));
+    let (ids, received) = channel();
+    let (permits, permitted) = channel();
+    let permitted = Arc::new(Mutex::new(permitted));
     std::thread::spawn(move || {
         for stream in listener.incoming().map_while(Result::ok) {
-            let (told, may) = (told.clone(), may.clone());
-            std::thread::spawn(move || while serve(&mut &stream, &told, &may).is_some() {});
+            let ids = ids.clone();
+            let permitted = permitted.clone();
+            std::thread::spawn(move || while serve(&mut &stream, &ids, &permitted).is_some() {});
         }
     });
-    Server { address, asked, answers }
+    Server { address, received, permits }
 }
 
-fn serve(stream: &mut &TcpStream, told: &Sender<String>, may: &Mutex<Receiver<()>>) -> Option<()> {
+fn serve(stream: &mut &TcpStream, ids: &Sender<String>, permitted: &Mutex<Receiver<()>>) -> Option<()> {
     let request = read_http(stream)?;
-    // Probes are no parts.
+    // Health checks are no parts.
     if request.starts_with("POST") {
         let id = request.lines().find_map(|l| l.strip_prefix("X-Opaque-Id: "))?;
-        told.send(id.to_owned()).ok()?;
-        may.lock().ok()?.recv().ok()?;
+        ids.send(id.to_owned()).ok()?;
+        permitted.lock().ok()?.recv().ok()?;
     }
     let body = r#"{"timed_out":false,"_shards":{"total":1,"successful":1,"failed":0},"hits":{"total":{"value":1,"relation":"eq"},"max_score":1.0,"hits":[{"_id":"h","_score":1.0}]}}"#;
     write!(stream, "HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}", body.len()).ok()
 }
 
-/// The operator's file of a fleet of one that protects one class.
-fn fleet_of_one(name: &str, server: SocketAddr) -> PathBuf {
+/// The operator's file of a cluster of one member that protects one class.
+fn cluster_of_one(name: &str, server: SocketAddr) -> PathBuf {
     let folder = configure(name, &[server], server, 1, 75);
     let path = folder.join("marlgap.json5");
     let text = std::fs::read_to_string(&path).expect("written");
     let mut file: serde_json::Value = serde_json::from_str(&text).expect("JSON");
-    // Nobody dials its own address.
+    // A member does not connect to itself, so any address will do.
     file["fleet"] = serde_json::json!({"cluster": "t", "name": "c1", "listen": "127.0.0.1:0",
         "members": [{"name": "c1", "address": "127.0.0.1:1", "zone": "a"}],
         "protect": {"field-lookup": {}}});
@@ -56,7 +59,8 @@
     folder
 }
 
-fn started(folder: &std::path::Path) -> (Program, SocketAddr) {
+/// Start the process; where its query API listens.
+fn start(folder: &std::path::Path) -> (Program, SocketAddr) {
     let program = Program::alone(folder);
     let search = place(&program.log("query API listening, "));
     program.log("fleet configuration, ");
@@ -70,44 +74,44 @@
 const ALL: &str = r#"{"query":{"match_all":{}}}"#;
 
 #[test]
-fn an_id_has_one_answer_and_its_parts_are_asked_once() {
+fn a_request_id_has_one_answer_and_its_parts_are_sent_once() {
     let server = server();
-    let (_program, search) = started(&fleet_of_one("protected_once", server.address));
+    let (_program, search) = start(&cluster_of_one("protected_once", server.address));
     let mut client = connect(search);
-    server.answers.send(()).expect("heard");
+    server.permits.send(()).expect("received");
     let (status, first) = ask(&mut client, &head("one", "fields", 3), ALL);
-    assert_eq!((status, server.asked.recv_timeout(PATIENCE)), (200, Ok("one.3".to_owned())), "{first}");
-    // Again, on this connection and on another one: the very same bytes, and no server is asked.
+    assert_eq!((status, server.received.recv_timeout(PATIENCE)), (200, Ok("one.3".to_owned())), "{first}");
+    // Again, on this connection and on another one: the very same bytes, and nothing is sent to a server.
     assert_eq!(ask(&mut client, &head("one", "fields", 3), ALL), (200, first.clone()));
     assert_eq!(ask(&mut connect(search), &head("one", "fields", 3), ALL), (200, first));
     // Another text under that id.
     let (status, other) = ask(&mut client, &head("one", "fields", 4), ALL);
     assert!(status == 409 && other.contains("id_conflict_exception"), "{status} {other}");
-    assert!(server.asked.try_recv().is_err());
-    // What can't be understood is told at once, and is no work of that id.
+    assert!(server.received.try_recv().is_err());
+    // A malformed request is refused at once, and nothing is retained under its id.
     assert_eq!(ask(&mut client, &head("two", "fields", 3), "{").0, 400);
-    // Without protection each search is one of its own.
+    // Without protection an id may be used again for another search.
     for _ in 0..2 {
-        server.answers.send(()).expect("heard");
+        server.permits.send(()).expect("received");
         assert_eq!(ask(&mut client, &head("free", "districts", 5), ALL).0, 200);
-        assert_eq!(server.asked.recv_timeout(PATIENCE), Ok("free.5".to_owned()));
+        assert_eq!(server.received.recv_timeout(PATIENCE), Ok("free.5".to_owned()));
     }
 }
 
 #[test]
-fn a_search_whose_client_leaves_goes_on_and_its_answer_waits() {
+fn a_search_whose_client_disconnects_continues_and_its_answer_is_retained() {
     let server = server();
-    let (_program, search) = started(&fleet_of_one("protected_left", server.address));
+    let (_program, search) = start(&cluster_of_one("protected_left", server.address));
     let mut client = connect(search);
     write!(client, "{}\r\nContent-Length: {}\r\n\r\n{ALL}", head("left", "fields", 7), ALL.len())
         .expect("written");
-    assert_eq!(server.asked.recv_timeout(PATIENCE), Ok("left.7".to_owned()));
+    assert_eq!(server.received.recv_timeout(PATIENCE), Ok("left.7".to_owned()));
     drop(client);
-    // Its client comes back and is led to the work in hand.
+    // Its client comes back and joins the execution in progress.
     let again = std::thread::spawn(move || ask(&mut connect(search), &head("left", "fields", 7), ALL));
-    server.answers.send(()).expect("heard");
+    server.permits.send(()).expect("received");
     let (status, body) = again.join().expect("ran");
     assert_eq!(status, 200, "{body}");
     assert_eq!(ask(&mut connect(search), &head("left", "fields", 7), ALL), (200, body));
-    assert!(server.asked.try_recv().is_err(), "its part was asked for once");
+    assert!(server.received.try_recv().is_err(), "its part was sent once");
 }
--- a/tests/reloads.rs
+++ b/tests/reloads.rs
@@ -1,4 +1,4 @@
-//! New configurations at awkward moments: while the program starts, and in forms that the start takes.
+//! Reloads on SIGHUP at unusual moments: while the process starts, and with files in the forms that the start accepts.
 mod common;
 
 use std::io::Write;
@@ -8,7 +8,7 @@
 
 use common::*;
 
-/// A discovery that says nothing, and a configuration that names it.
+/// A discovery service that never responds, and a configuration that names it.
 fn configured(name: &str) -> (TcpListener, PathBuf) {
     let discovery = TcpListener::bind("127.0.0.1:0").expect("bound");
     let address = discovery.local_addr().expect("bound");
@@ -16,9 +16,9 @@
     (discovery, folder)
 }
 
-/// An editor's mark of the encoding is no part of a configuration: at the start, and when it is read again.
+/// Some editors write a byte order mark, which is no part of a configuration: at the start, and at a reload.
 #[test]
-fn a_new_configuration_may_begin_with_the_mark_of_its_encoding() {
+fn a_configuration_may_start_with_a_byte_order_mark() {
     let (_discovery, folder) = configured("mark");
     let path = folder.join("config.json");
     let text = std::fs::read_to_string(&path).expect("read");
@@ -29,20 +29,21 @@
     assert!(line.contains("configuration reread"), "{line}");
 }
 
-/// The configuration is a pipe, so that the program is known to be reading it when the signal comes.
+/// The configuration is a pipe, so that the process is known to be reading it when the signal comes.
 #[test]
-fn a_new_configuration_that_is_told_during_the_start_does_not_end_the_program() {
+fn a_sighup_during_the_start_reloads_and_does_not_end_the_process() {
     let (_discovery, folder) = configured("during_start");
-    let (path, whole) = (folder.join("config.json"), folder.join("whole.json"));
-    std::fs::rename(&path, &whole).expect("moved");
-    let text = std::fs::read(&whole).expect("read");
+    let path = folder.join("config.json");
+    let regular_file = folder.join("whole.json");
+    std::fs::rename(&path, &regular_file).expect("moved");
+    let text = std::fs::read(&regular_file).expect("read");
     assert!(Command::new("mkfifo").arg(&path).status().expect("it runs").success());
     let mut program = Program::reading(&folder);
     let mut pipe = std::fs::OpenOptions::new().write(true).open(&path).expect("opened by both");
     program.signal("-HUP");
     pipe.write_all(&text).expect("written");
-    // What it reads for the signal is a file again.
-    std::fs::rename(&whole, &path).expect("moved");
+    // What the reload reads is a regular file again.
+    std::fs::rename(&regular_file, &path).expect("moved");
     drop(pipe);
     program.log(" listening, ");
     program.log("configuration reread");
--- a/tests/service.rs
+++ b/tests/service.rs
@@ -1,4 +1,4 @@
-//! Both fronts before stand-ins of our own that follow one script, whatever the machine's speed.
+//! Both fronts with stub servers that follow one script, whatever the machine's speed.
 mod common;
 
 use std::collections::BTreeMap;
@@ -9,31 +9,41 @@
 use common::*;
 use serde_json::Value;
 
+/// What a stub does with a part.
 #[derive(Clone, Copy, PartialEq)]
-enum Does {
+enum Behavior {
     Serve,
-    /// A search server: partial shard failures. A data node: broke.
-    Break,
-    /// Turned away before it began.
-    Busy,
+    /// Fail it. A search server: partial shard failures. A data node: `broke`.
+    Fail,
+    /// Reject it before it runs.
+    Reject,
 }
 
-/// What a stand-in does, by its number, the query, the shard, and how often that part was asked before.
-type Script = fn(node: usize, query: &str, shard: u32, before: u32) -> Does;
+/// What a stub does, by its number, the query, the shard, and how many attempts of that part there were before.
+type Script = fn(node: usize, query: &str, shard: u32, prior_attempts: u32) -> Behavior;
 
-/// Stand-ins that speak one of the two wires; the connections' threads end with the program's connections.
-fn standins(count: usize, frames: bool, script: Script) -> Vec<SocketAddr> {
-    let asked = Arc::new(Mutex::new(BTreeMap::<String, u32>::new()));
+/// What a stub speaks.
+#[derive(Clone, Copy, PartialEq)]
+enum Protocol {
+    /// The frames of data nodes.
+    Frames,
+    /// The HTTP of search servers.
+    Search,
+}
+
+/// Start stubs; the connections' threads end with the program's connections.
+fn start_stubs(count: usize, protocol: Protocol, script: Script) -> Vec<SocketAddr> {
+    let attempts = Arc::new(Mutex::new(BTreeMap::<String, u32>::new()));
     let start = |node| {
         let listener = TcpListener::bind("127.0.0.1:0").expect("bound");
         let address = listener.local_addr().expect("bound");
-        let asked = asked.clone();
+        let attempts = attempts.clone();
         std::thread::spawn(move || {
             for stream in listener.incoming().map_while(Result::ok) {
-                let asked = asked.clone();
-                std::thread::spawn(
-                    move || while answer(&mut &stream, node, frames, script, &asked).is_some() {},
-                );
+                let attempts = attempts.clone();
+                std::thread::spawn(move || {
+                    while answer(&mut &stream, node, protocol, script, &attempts).is_some() {}
+                });
             }
         });
         address
@@ -44,36 +54,41 @@
 fn answer(
     stream: &mut &TcpStream,
     node: usize,
-    frames: bool,
+    protocol: Protocol,
     script: Script,
-    asked: &Mutex<BTreeMap<String, u32>>,
+    attempts: &Mutex<BTreeMap<String, u32>>,
 ) -> Option<()> {
-    let message = if frames { read_frame(stream)? } else { read_http(stream)? };
-    let id = match frames {
-        true if !message.starts_with("q ") => return Some(()),
-        true => message[2..].split(' ').next()?,
-        false => message.lines().find_map(|l| l.strip_prefix("X-Opaque-Id: "))?,
+    let message = match protocol {
+        Protocol::Frames => read_frame(stream)?,
+        Protocol::Search => read_http(stream)?,
+    };
+    let id = match protocol {
+        Protocol::Frames if !message.starts_with("q ") => return Some(()),
+        Protocol::Frames => message[2..].split(' ').next()?,
+        Protocol::Search => message.lines().find_map(|l| l.strip_prefix("X-Opaque-Id: "))?,
     };
-    let (query, shard) = (id.split('.').next()?, id.split('.').nth(1)?.parse().ok()?);
+    let query = id.split('.').next()?;
+    let shard = id.split('.').nth(1)?.parse().ok()?;
     let ranks = message.contains("\"_source\":false");
-    let before = {
-        let mut asked = asked.lock().expect("sound");
-        let n = asked.entry(format!("{id} {ranks}")).or_default();
+    let prior_attempts = {
+        let mut attempts = attempts.lock().expect("sound");
+        let n = attempts.entry(format!("{id} {ranks}")).or_default();
         *n += 1;
         *n - 1
     };
-    let (does, score) = (script(node, query, shard, before), f64::from(shard * 7 % 24));
-    let bytes = if frames {
-        let end = match does {
-            Does::Serve => "served",
-            Does::Break => "broke",
-            Does::Busy => "skipped",
+    let behavior = script(node, query, shard, prior_attempts);
+    let score = f64::from(shard * 7 % 24);
+    let bytes = if protocol == Protocol::Frames {
+        let end = match behavior {
+            Behavior::Serve => "served",
+            Behavior::Fail => "broke",
+            Behavior::Reject => "skipped",
         };
         frame(&format!("a {id} {end} {score} -\nV{shard}"))
     } else {
         let hit = format!("{{\"_id\":\"h{shard}\",\"_score\":{score}}}");
-        let (failed, shards) = match does {
-            Does::Break => (
+        let (failed, shards) = match behavior {
+            Behavior::Fail => (
                 1,
                 "\"failures\":[{\"shard\":0,\"reason\":{\"type\":\"io_exception\",\"reason\":\"disk\"}}],",
             ),
@@ -84,14 +99,14 @@
              \"failed\":{failed}}},\"hits\":{{\"total\":{{\"value\":1,\"relation\":\"eq\"}},\"max_score\":{score},\"hits\":[{hit}]}}}}",
             1 - failed
         );
-        let status = if does == Does::Busy { "429 Too Many Requests" } else { "200 OK" };
+        let status = if behavior == Behavior::Reject { "429 Too Many Requests" } else { "200 OK" };
         format!("HTTP/1.1 {status}\r\nContent-Length: {}\r\n\r\n{body}", body.len()).into_bytes()
     };
     stream.write_all(&bytes).ok()
 }
 
-/// A discovery that takes calls and says nothing; the list in the configuration stands.
-fn silent() -> TcpListener {
+/// A discovery service that never responds; the list in the configuration stands.
+fn silent_discovery() -> TcpListener {
     TcpListener::bind("127.0.0.1:0").expect("bound")
 }
 
@@ -101,21 +116,21 @@
     (status, serde_json::from_str(&body).expect("JSON"))
 }
 
-fn broken_on_five(node: usize, _: &str, _: u32, _: u32) -> Does {
+fn node_five_fails(node: usize, _: &str, _: u32, _: u32) -> Behavior {
     if node == 5 {
-        Does::Break
+        Behavior::Fail
     } else {
-        Does::Serve
+        Behavior::Serve
     }
 }
 
-/// One server of twelve reports partial shard failures. Each answer is one, and says what it lacks.
+/// One server of twelve reports partial shard failures. Each search has one answer, which lists what it lacks.
 #[test]
-fn a_search_over_many_tiles_is_honest_about_partial_shard_failures() {
-    let discovery = silent();
+fn a_search_over_many_tiles_reports_its_partial_shard_failures() {
+    let discovery = silent_discovery();
     let at = discovery.local_addr().expect("bound");
-    // Nobody else holds its two tiles.
-    let alone = configure("alone", &standins(12, false, broken_on_five), at, 1, 75);
+    // No other server holds its two tiles.
+    let alone = configure("alone", &start_stubs(12, Protocol::Search, node_five_fails), at, 1, 75);
     let program = Program::start(&alone, true);
     let mut client = connect(program.search.expect("on"));
     let (status, answer) = search(&mut client, "q1", "/districts/_search");
@@ -134,7 +149,7 @@
     assert!(hits.iter().all(|h| h["_id"] != "h5" && h["_id"] != "h17"), "nothing of what did not answer");
     let scores: Vec<_> = hits.iter().filter_map(|h| h["_score"].as_f64()).collect();
     assert!(scores.windows(2).all(|w| w[0] >= w[1]), "in order: {scores:?}");
-    // Who does not want a partial answer gets an error, and who needs every tile gets one too.
+    // A client that wants no partial answer gets an error, and so does one of a class that needs every tile.
     let (status, answer) = search(&mut client, "q2", "/districts/_search?allow_partial_search_results=false");
     assert_eq!(
         (status, answer["error"]["failed_shards"].as_array().map(Vec::len)),
@@ -147,28 +162,35 @@
     assert_eq!((status, answer["_shards"]["failed"].as_u64()), (200, Some(0)), "one answer each, in step");
 
     // Where three others hold each tile, nothing is lacking.
-    let held = configure("held", &standins(12, false, broken_on_five), at, 4, 75);
+    let held = configure("held", &start_stubs(12, Protocol::Search, node_five_fails), at, 4, 75);
     let program = Program::start(&held, true);
     let mut client = connect(program.search.expect("on"));
     let (status, answer) = search(&mut client, "q1", "/districts/_search");
     assert_eq!((status, answer["_shards"]["failed"].as_u64()), (200, Some(0)), "{answer}");
 }
 
-/// Some parts fail once and one is turned away once; now and then a tile fails everywhere.
-fn mixed(_: usize, query: &str, shard: u32, before: u32) -> Does {
+/// Some parts fail once and one is rejected once; now and then a tile fails everywhere.
+fn mixed(_: usize, query: &str, shard: u32, prior_attempts: u32) -> Behavior {
     let n: u32 = query[1..].parse().unwrap_or(0);
     match (n % 12, shard) {
-        (3, 7) => Does::Break,
-        (5, 2 | 9) if before == 0 => Does::Break,
-        (8, 4) if before == 0 => Does::Busy,
-        _ => Does::Serve,
+        (3, 7) => Behavior::Fail,
+        (5, 2 | 9) if prior_attempts == 0 => Behavior::Fail,
+        (8, 4) if prior_attempts == 0 => Behavior::Reject,
+        _ => Behavior::Serve,
     }
 }
 
-const CLASSES: [(&str, &str, f64); 3] = [
-    ("overlap-check", "overlaps", 3.0),
-    ("field-lookup", "fields", 1.0),
-    ("district-summary", "districts", 3.0),
+/// A class as both fronts name it.
+struct MixedClass {
+    kind: &'static str,
+    index: &'static str,
+    priority_weight: f64,
+}
+
+const CLASSES: [MixedClass; 3] = [
+    MixedClass { kind: "overlap-check", index: "overlaps", priority_weight: 3.0 },
+    MixedClass { kind: "field-lookup", index: "fields", priority_weight: 1.0 },
+    MixedClass { kind: "district-summary", index: "districts", priority_weight: 3.0 },
 ];
 
 /// The query mix: class and tiles of each.
@@ -180,23 +202,26 @@
     }
 }
 
-/// The same mix on both fronts before stand-ins that follow the same script: the worth answered is the same
-/// within two percent.
+/// The same mix on both fronts with stubs that follow the same script: the priority weight answered is the same within
+/// two percent.
 #[test]
-fn both_fronts_give_the_same_service_for_the_query_mix() {
-    let discovery = silent();
+fn both_fronts_earn_the_same_value_for_the_query_mix() {
+    let discovery = silent_discovery();
     let at = discovery.local_addr().expect("bound");
-    let folder = configure("thin", &standins(12, true, mixed), at, 4, 75);
-    let thin = Program::start(&folder, false);
-    let folder = configure("api", &standins(12, false, mixed), at, 4, 75);
+    let folder = configure("platform", &start_stubs(12, Protocol::Frames, mixed), at, 4, 75);
+    let platform = Program::start(&folder, false);
+    let folder = configure("api", &start_stubs(12, Protocol::Search, mixed), at, 4, 75);
     let api = Program::start(&folder, true);
-    let (mut thin, mut api) = ((connect(thin.address), thin), (connect(api.search.expect("on")), api));
-    let (mut asked, mut thin_worth, mut api_worth) = (0.0, 0.0, 0.0);
+    let mut platform_client = connect(platform.address);
+    let mut api_client = connect(api.search.expect("on"));
+    let mut submitted = 0.0;
+    let mut platform_value = 0.0;
+    let mut api_value = 0.0;
     for n in 0..96 {
         let (class, mut tiles) = mix(n);
         tiles.sort_unstable();
-        let (kind, index, worth) = CLASSES[class];
-        asked += worth;
+        let MixedClass { kind, index, priority_weight } = CLASSES[class];
+        submitted += priority_weight;
 
         let parts: Vec<_> = tiles
             .iter()
@@ -206,39 +231,46 @@
             "POST /api HTTP/1.1\r\nHost: t\r\nReq-Id: q{n}\r\nReq-Kind: {kind}\r\nReq-Deadline-Ms: 4000"
         );
         let body = format!("{{\"tablets\":[{}],\"statement\":\"s\"}}", parts.join(","));
-        let (status, body) = ask(&mut thin.0, &head, &body);
+        let (status, body) = ask(&mut platform_client, &head, &body);
         if status == 200 {
             let answer: Value = serde_json::from_str(&body).expect("JSON");
             let share = answer["pieces"].as_array().map_or(0, Vec::len) as f64 / tiles.len() as f64;
-            thin_worth += worth * if answer["full"] == true { 1.0 } else { 0.8 * share };
+            platform_value += priority_weight * if answer["full"] == true { 1.0 } else { 0.8 * share };
         }
 
         let named: Vec<_> = tiles.iter().map(u32::to_string).collect();
         let target = format!("/{index}/_search?preference=_shards:{}&timeout=4s", named.join(","));
-        let (status, answer) = search(&mut api.0, &format!("q{n}"), &target);
+        let (status, answer) = search(&mut api_client, &format!("q{n}"), &target);
         if status == 200 {
             let share = answer["_shards"]["successful"].as_f64().expect("a number") / tiles.len() as f64;
-            api_worth += worth * if answer["_shards"]["failed"] == 0 { 1.0 } else { 0.8 * share };
+            api_value += priority_weight * if answer["_shards"]["failed"] == 0 { 1.0 } else { 0.8 * share };
         }
     }
-    println!("worth asked for {asked}, answered by the thin front {thin_worth:.2}, by the query API {api_worth:.2}");
+    println!("submitted {submitted}, answered by the platform's front {platform_value:.2}, by the query API {api_value:.2}");
     // The script must hurt both, and not much.
-    assert!(thin_worth < asked && thin_worth > 0.9 * asked, "{thin_worth} of {asked}");
-    assert!((thin_worth - api_worth).abs() <= 0.02 * thin_worth, "{thin_worth} and {api_worth} of {asked}");
+    assert!(
+        platform_value < submitted && platform_value > 0.9 * submitted,
+        "{platform_value} of {submitted}"
+    );
+    assert!(
+        (platform_value - api_value).abs() <= 0.02 * platform_value,
+        "{platform_value} and {api_value} of {submitted}"
+    );
 }
 
-/// Guards against connections that the machine drops when hundreds come at once: also while we have no time to
-/// accept them, they are taken, and each is served or closed later.
+/// The kernel drops connections when hundreds come at once and its queue is short: also while the process has no time
+/// to accept them they are queued, and each is served or closed later.
 #[test]
-fn hundreds_of_connections_at_once_are_taken() {
-    let discovery = silent();
+fn hundreds_of_simultaneous_connections_are_accepted() {
+    let discovery = silent_discovery();
     let at = discovery.local_addr().expect("bound");
-    let program = Program::start(&configure("hundreds", &standins(1, true, mixed), at, 1, 75), false);
+    let program =
+        Program::start(&configure("hundreds", &start_stubs(1, Protocol::Frames, mixed), at, 1, 75), false);
     program.signal("-STOP");
-    let begin = |_| TcpStream::connect_timeout(&program.address, PATIENCE / 4);
-    let begun: Result<Vec<_>, _> = (0..300).map(begin).collect();
+    let connect_quickly = |_| TcpStream::connect_timeout(&program.address, PATIENCE / 4);
+    let connected: Result<Vec<_>, _> = (0..300).map(connect_quickly).collect();
     program.signal("-CONT");
-    assert!(begun.is_ok(), "{begun:?}");
+    assert!(connected.is_ok(), "{connected:?}");
     let mut last = connect(program.address);
     assert_eq!(ask(&mut last, "GET /_health HTTP/1.1\r\nHost: t", "").0, 200);
 }
