--- a/src/coordinator/attempt.rs
+++ b/src/coordinator/attempt.rs
@@ -49,21 +49,28 @@
         // The gate's numbers count all attempts of earlier owners, also those that the module need not count.
         let grant = attempt.number.saturating_add(part.never_ran_attempts);
         state.cancellations.insert(attempt, guard);
-        let coordinator = self.clone();
         match cancellation.gate.clone() {
             Some(gate) => {
-                self.executor.spawn(coordinator.run_protected(gate, grant, call, cancellation)).detach();
+                self.executor.spawn(self.clone().run_protected(gate, grant, call, cancellation)).detach();
             }
             None => {
-                let run = async move {
-                    let result = coordinator.transport.clone().call(call, cancellation).await;
-                    coordinator.finish_attempt(attempt, replica, now, result);
-                };
-                self.executor.spawn(run).detach();
+                self.executor.spawn(self.clone().run_unprotected(attempt, now, call, cancellation)).detach()
             }
         }
     }
 
+    async fn run_unprotected(
+        self: Rc<Self>,
+        attempt: AttemptId,
+        sent: Instant,
+        call: Call<T>,
+        cancellation: CancellationToken,
+    ) {
+        let replica = call.replica;
+        let result = self.transport.clone().call(call, cancellation).await;
+        self.finish_attempt(attempt, replica, sent, result);
+    }
+
     /// The life of an attempt of a protected query. Invariant: nothing of it reaches the transport before its gate has
     /// granted its number, or once the gate no longer owns the query.
     async fn run_protected(
--- a/src/server/grpc.rs
+++ b/src/server/grpc.rs
@@ -9,11 +9,15 @@
 use crate::net::descriptors::Descriptors;
 use crate::net::grpc::{self, Front};
 
-/// Start the front; it is returned too, since a reload replaces its routes.
-pub(super) async fn start(
-    startup: &Startup,
-    config: GrpcConfig,
-) -> Result<(Rc<Front>, AcceptingFront), ServeError> {
+/// The started front.
+pub(super) struct GrpcServer {
+    /// A reload replaces its routes.
+    pub front: Rc<Front>,
+    pub accepting: AcceptingFront,
+}
+
+/// Start the front.
+pub(super) async fn start(startup: &Startup, config: GrpcConfig) -> Result<GrpcServer, ServeError> {
     let Startup { executor, shutdown, seed, log, .. } = startup;
     let configured = config.listen;
     let front = grpc::start(config, *seed, startup.server_descriptors(), executor, shutdown, log)
@@ -25,5 +29,5 @@
     let descriptors = Rc::new(Descriptors::new(startup.descriptors_per_front));
     let serving = front.clone();
     let accepting = startup.accept(listener, descriptors, move |client| serving.clone().serve(client));
-    Ok((front, accepting))
+    Ok(GrpcServer { front, accepting })
 }
--- a/src/server/mod.rs
+++ b/src/server/mod.rs
@@ -21,10 +21,12 @@
 mod shutdown;
 mod signals;
 
+use std::net::SocketAddr;
 use std::path::PathBuf;
 use std::rc::Rc;
 use std::time::Duration;
 
+use async_channel::Receiver;
 use async_executor::LocalExecutor;
 use slog::Logger;
 
@@ -34,7 +36,7 @@
 use crate::net::invariants;
 
 pub use self::error::ServeError;
-use self::front::Startup;
+use self::front::{AcceptingFront, Startup};
 use self::reload::Reloader;
 use self::shutdown::Shutdown;
 pub use self::signals::{SignalHandlers, SignalRequest};
@@ -72,38 +74,21 @@
         descriptors_per_front: descriptors_per_front(&config),
         log: log.clone(),
     };
-    let operator = config.operator.unwrap_or_default();
     // SIGKILL goes by the platform's settings; nobody sends it where there is no platform.
     let platform_deadline = config.platform.as_ref().map(|p| longest_deadline(&p.deployment.settings));
-    let search_deadline = operator.query_api.as_ref().map(|q| longest_deadline(&q.deployment.settings));
+    let query_api = config.operator.as_ref().and_then(|operator| operator.query_api.as_ref());
+    let search_deadline = query_api.map(|q| longest_deadline(&q.deployment.settings));
     // Only the newest address counts.
     let (discovery_moved, discovery_moves) = async_channel::bounded(1);
-    let mut fronts = Vec::new();
-
-    if let Some(platform) = config.platform {
-        fronts.push(platform::start(&startup, platform, discovery_moves).await?);
-    }
-    let cluster = operator.cluster.map(|setup| cluster::ClusterMember::new(&setup, &log));
-    if let Some(query_api) = operator.query_api {
-        let node = cluster.as_ref().map(|member| member.node.clone());
-        fronts.push(query_api::start(&startup, query_api, node).await?);
-    }
-    let mut grpc_front = None;
-    if let Some(grpc) = operator.grpc {
-        let (front, accepting) = grpc::start(&startup, grpc).await?;
-        grpc_front = Some(front);
-        fronts.push(accepting);
-    }
-    if let Some(member) = &cluster {
-        member.start(&startup).await?;
-    }
+    let running = start(&startup, config, discovery_moves).await?;
 
+    let grpc_front = running.grpc_front;
     let reloader = Reloader { operator_file, grpc_front, discovery_moved, log: log.clone() };
     reloader.run_until_stop(&mut signals).await;
     let shutdown = Shutdown {
         notice: startup.shutdown,
-        fronts,
-        cluster: cluster.map(|member| member.node),
+        fronts: running.fronts,
+        cluster: running.cluster,
         platform_deadline,
         search_deadline: search_deadline.unwrap_or_default(),
         log,
@@ -112,6 +97,42 @@
     Ok(())
 }
 
+/// What was started.
+struct Running {
+    fronts: Vec<AcceptingFront>,
+    /// One of those, for reloads.
+    grpc_front: Option<Rc<crate::net::grpc::Front>>,
+    cluster: Option<Rc<ClusterNode>>,
+}
+
+/// Start what is configured, in the order that the module's page says.
+async fn start(
+    startup: &Startup,
+    config: Config,
+    discovery_moves: Receiver<SocketAddr>,
+) -> Result<Running, ServeError> {
+    let operator = config.operator.unwrap_or_default();
+    let mut fronts = Vec::new();
+    let mut grpc_front = None;
+    if let Some(platform) = config.platform {
+        fronts.push(platform::start(startup, platform, discovery_moves).await?);
+    }
+    let cluster = operator.cluster.map(|setup| cluster::ClusterMember::new(&setup, &startup.log));
+    if let Some(query_api) = operator.query_api {
+        let node = cluster.as_ref().map(|member| member.node.clone());
+        fronts.push(query_api::start(startup, query_api, node).await?);
+    }
+    if let Some(grpc) = operator.grpc {
+        let started = grpc::start(startup, grpc).await?;
+        grpc_front = Some(started.front);
+        fronts.push(started.accepting);
+    }
+    if let Some(member) = &cluster {
+        member.start(startup).await?;
+    }
+    Ok(Running { fronts, grpc_front, cluster: cluster.map(|member| member.node) })
+}
+
 /// Descriptors of one front, for its clients and for the connections to its servers.
 fn descriptors_per_front(config: &Config) -> usize {
     let operator = config.operator.as_ref();
--- a/src/server/platform.rs
+++ b/src/server/platform.rs
@@ -8,6 +8,7 @@
 use super::front::{bound_address, listen, AcceptingFront, Startup};
 use super::{metrics, ServeError};
 use crate::config::platform::PlatformConfig;
+use crate::config::settings::Deployment;
 use crate::coordinator::Coordinator;
 use crate::net::data_nodes::DataNodes;
 use crate::net::descriptors::Descriptors;
@@ -27,10 +28,7 @@
     let deployment = Rc::new(platform.deployment.clone());
     let descriptors = Rc::new(Descriptors::new(startup.descriptors_per_front));
     let nodes = DataNodes::new((*deployment).clone(), descriptors.clone(), executor.clone(), log.clone());
-    let settings = deployment.over_sockets();
-    let max_open = deployment.max_open;
-    let coordinator = Coordinator::new(settings, *seed, max_open, executor.clone(), nodes.clone())
-        .map_err(ServeError::Settings)?;
+    let coordinator = new_coordinator(startup, &deployment, nodes.clone())?;
     let watch_policy = (deployment.settings.discovery, deployment.zones.clone());
     let discovery = Discovery::new(
         platform.discovery,
@@ -43,15 +41,7 @@
     );
     let address = bound_address(&listener, platform.listen);
     info!(log, "listening"; "name" => &platform.name, "address" => %address);
-
-    let front = Rc::new(PlatformApi {
-        coordinator: coordinator.clone(),
-        deployment,
-        closing: startup.shutdown.clone(),
-        open: Default::default(),
-        log: log.clone(),
-        log_limiters: Default::default(),
-    });
+    let front = new_front(startup, deployment, coordinator.clone());
     let accepting = startup.accept(listener, descriptors, move |client| front.clone().serve(client));
     let follow_discovery = async move {
         // Checked above: a list that can't be read has ended the start.
@@ -63,3 +53,29 @@
     executor.spawn(metrics::log_query_counts(coordinator, "platform", log.clone())).detach();
     Ok(accepting)
 }
+
+fn new_coordinator(
+    startup: &Startup,
+    deployment: &Deployment,
+    nodes: Rc<DataNodes>,
+) -> Result<Rc<Coordinator<DataNodes>>, ServeError> {
+    let settings = deployment.over_sockets();
+    let executor = startup.executor.clone();
+    Coordinator::new(settings, startup.seed, deployment.max_open, executor, nodes)
+        .map_err(ServeError::Settings)
+}
+
+fn new_front(
+    startup: &Startup,
+    deployment: Rc<Deployment>,
+    coordinator: Rc<Coordinator<DataNodes>>,
+) -> Rc<PlatformApi> {
+    Rc::new(PlatformApi {
+        coordinator,
+        deployment,
+        closing: startup.shutdown.clone(),
+        open: Default::default(),
+        log: startup.log.clone(),
+        log_limiters: Default::default(),
+    })
+}
