--- a/src/coordinator/attempt.rs
+++ b/src/coordinator/attempt.rs
@@ -41,22 +41,19 @@
             origin: Some(CallOrigin { coordinator: self.clone(), attempt, sent: now }),
         };
         let (guard, mut cancellation) = CancellationToken::new();
-        if let Some(window) = &part.retry_window {
-            window.record_start(attempt.number, now);
-            cancellation.retry = Some(RetryLimit { window: window.clone(), attempt: attempt.number });
-        }
         cancellation.gate = query.protection.as_ref().map(|protection| protection.gate.clone());
+        cancellation.retry = part.retry_window.as_ref().map(|window| {
+            window.record_start(attempt.number, now);
+            RetryLimit { window: window.clone(), attempt: attempt.number }
+        });
         // The gate's numbers count all attempts of earlier owners, also those that the module need not count.
         let grant = attempt.number.saturating_add(part.never_ran_attempts);
         state.cancellations.insert(attempt, guard);
-        match cancellation.gate.clone() {
-            Some(gate) => {
-                self.executor.spawn(self.clone().run_protected(gate, grant, call, cancellation)).detach();
-            }
-            None => {
-                self.executor.spawn(self.clone().run_unprotected(attempt, now, call, cancellation)).detach()
-            }
-        }
+        let task = match cancellation.gate.clone() {
+            Some(gate) => self.executor.spawn(self.clone().run_protected(gate, grant, call, cancellation)),
+            None => self.executor.spawn(self.clone().run_unprotected(attempt, now, call, cancellation)),
+        };
+        task.detach();
     }
 
     async fn run_unprotected(
--- a/src/coordinator/cancellation.rs
+++ b/src/coordinator/cancellation.rs
@@ -24,7 +24,9 @@
 /// The attempts of a part under a retry window, and which of them this one is.
 #[derive(Clone)]
 pub(super) struct RetryLimit {
+    /// Shared by the attempts of the part.
     pub window: Rc<RetryWindow>,
+    /// The number of this attempt.
     pub attempt: u8,
 }
 
--- a/src/coordinator/query.rs
+++ b/src/coordinator/query.rs
@@ -42,7 +42,9 @@
 
 /// The value of a part and the shard that it is from.
 pub(super) struct ShardValue {
+    /// The part's shard.
     pub shard: ShardId,
+    /// Its value.
     pub scored: ScoredValue,
 }
 
--- a/src/coordinator/retry_window.rs
+++ b/src/coordinator/retry_window.rs
@@ -27,6 +27,7 @@
         Rc::new(RetryWindow { window, attempts: RefCell::default() })
     }
 
+    /// An attempt of this number was decided `now`.
     pub fn record_start(&self, number: u8, now: Instant) {
         self.attempts.borrow_mut().push(StartedAttempt { number, decided_at: now });
     }
--- a/src/coordinator/state.rs
+++ b/src/coordinator/state.rs
@@ -16,15 +16,21 @@
 /// An attempt of a part, numbered from 0 as the module numbers them.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct AttemptId {
+    /// The part.
     pub part: PartId,
+    /// Attempts of the part that were started before it, with those of earlier owners of the query.
     pub number: u8,
 }
 
 /// A part of an open query.
 pub(super) struct Part {
+    /// The query that it belongs to.
     pub query: QueryId,
+    /// The shard that it asks for.
     pub shard: ShardId,
+    /// The step of its query.
     pub step: Step,
+    /// The value of the first attempt that succeeded.
     pub value: Option<ScoredValue>,
     /// Attempts so far. Those that an earlier owner of the query may have made are among them.
     pub attempts: u8,
@@ -38,25 +44,37 @@
 
 /// A query without a final outcome.
 pub(super) struct OpenQuery<C> {
+    /// The number that it shares with its parts.
     pub number: QueryNumber,
+    /// Its class, by the order of the settings.
     pub class: ClassId,
+    /// When its client's time is up.
     pub deadline: Instant,
+    /// What the front handed in for the transport.
     pub context: Rc<C>,
+    /// The open parts of its current step, in the order in which the front named them.
     pub parts: Vec<PartId>,
+    /// Whether the first step has been answered.
     pub in_second_step: bool,
     /// For how many seconds replicas deduplicate a retry of its parts, where none may come later.
     pub retry_window: Option<f64>,
+    /// Of a protected query.
     pub protection: Option<TakeoverProtection>,
+    /// Holds the one final outcome.
     pub outcome: Sender<QueryOutcome>,
 }
 
 /// The mutable state of a coordinator. Methods take note and return; none calls a transport or a gate.
 pub(super) struct State<C> {
+    /// The decision module.
     pub balancer: Balancer,
     /// Events for the next round, in the order in which they came.
     pub events: Vec<Event>,
+    /// When the module asked for a round, soonest first.
     pub timers: BinaryHeap<Reverse<Instant>>,
+    /// Queries without a final outcome.
     pub queries: BTreeMap<QueryId, OpenQuery<C>>,
+    /// The parts of those.
     pub parts: BTreeMap<PartId, Part>,
     /// Of the attempts in flight; dropping a guard cancels its attempt.
     pub cancellations: BTreeMap<AttemptId, CancellationGuard>,
@@ -72,6 +90,7 @@
 }
 
 impl<C> State<C> {
+    /// Without queries; one timer event is due at once.
     pub fn new(balancer: Balancer) -> State<C> {
         State {
             balancer,
@@ -85,6 +104,7 @@
         }
     }
 
+    /// Whether queries and parts together are as many as may be open.
     pub fn is_full(&self, max_open: usize) -> bool {
         self.queries.len() + self.parts.len() >= max_open
     }
--- a/src/coordinator/transport.rs
+++ b/src/coordinator/transport.rs
@@ -24,7 +24,9 @@
 
 /// Where a call comes from.
 pub(super) struct CallOrigin<T: Transport> {
+    /// Takes the attempt's commit and its result.
     pub coordinator: Rc<Coordinator<T>>,
+    /// Which attempt it is.
     pub attempt: AttemptId,
     /// Its response time counts from here.
     pub sent: Instant,
--- a/src/server/cluster.rs
+++ b/src/server/cluster.rs
@@ -14,11 +14,13 @@
 /// Two steps, since the query API needs the node at its own start, while the node may hand out work as soon as it is
 /// started: [`ClusterMember::new`] before the fronts, [`ClusterMember::start`] after them.
 pub(super) struct ClusterMember {
+    /// Submits and executes the cluster's work.
     pub node: Rc<ClusterNode>,
     listen: SocketAddr,
 }
 
 impl ClusterMember {
+    /// The member that the file describes; it neither listens nor connects yet.
     pub fn new(config: &ClusterConfig, log: &Logger) -> ClusterMember {
         ClusterMember { node: ClusterNode::new(config, log), listen: config.listen }
     }
--- a/src/server/front.rs
+++ b/src/server/front.rs
@@ -14,6 +14,7 @@
 
 /// What every front of the process is started with.
 pub(super) struct Startup {
+    /// Runs every task of the process.
     pub executor: Rc<LocalExecutor<'static>>,
     /// Seen by every connection of every front.
     pub shutdown: Rc<GracefulShutdown>,
@@ -21,11 +22,13 @@
     pub seed: u64,
     /// Descriptors that one front shares between its clients and the connections to its servers.
     pub descriptors_per_front: usize,
+    /// The process's log.
     pub log: Logger,
 }
 
 /// A front that accepts connections.
 pub(super) struct AcceptingFront {
+    /// Counts the open connections.
     pub acceptor: Rc<Acceptor>,
     /// Resolves once the front accepts no more.
     pub accept_task: Task<()>,
--- a/src/server/grpc.rs
+++ b/src/server/grpc.rs
@@ -13,6 +13,7 @@
 pub(super) struct GrpcServer {
     /// A reload replaces its routes.
     pub front: Rc<Front>,
+    /// Its connections.
     pub accepting: AcceptingFront,
 }
 
--- a/src/server/mod.rs
+++ b/src/server/mod.rs
@@ -5,7 +5,7 @@
 //! 1. signal handlers ([`SignalHandlers::register`]), before anything that takes time;
 //! 2. the platform's front, then the cluster node (created, not yet started), the query API and the gRPC front;
 //! 3. the cluster node is started last, since the fronts execute the work that it hands out;
-//! 4. reloads ([`reload`]) until the first request to stop, then [`shutdown`].
+//! 4. reloads (`reload`) until the first request to stop, then the graceful shutdown (`shutdown`).
 //!
 //! It never decides about a query and knows no protocol; those are [`crate::coordinator`] and [`crate::net`].
 #![warn(missing_docs)]
--- a/src/server/reload.rs
+++ b/src/server/reload.rs
@@ -18,9 +18,11 @@
 pub(super) struct Reloader {
     /// The operator's file, if the process was started with one.
     pub operator_file: Option<PathBuf>,
+    /// Takes the new routes.
     pub grpc_front: Option<Rc<Front>>,
     /// Takes the newest address of discovery; an older one that was not yet received is replaced.
     pub discovery_moved: Sender<SocketAddr>,
+    /// The process's log.
     pub log: Logger,
 }
 
--- a/src/server/shutdown.rs
+++ b/src/server/shutdown.rs
@@ -18,13 +18,17 @@
 
 /// What is shut down, and the deadlines that bound it.
 pub(super) struct Shutdown {
+    /// Seen by every connection.
     pub notice: Rc<GracefulShutdown>,
+    /// Drained in this order.
     pub fronts: Vec<AcceptingFront>,
+    /// Left, then waited for until it executes nothing.
     pub cluster: Option<Rc<ClusterNode>>,
     /// The longest deadline of the platform's queries: SIGKILL goes by it. `None` without a platform.
     pub platform_deadline: Option<Duration>,
     /// The longest deadline of a search that this member may execute for others of the cluster.
     pub search_deadline: Duration,
+    /// The process's log.
     pub log: Logger,
 }
 
--- a/tests/service.rs
+++ b/tests/service.rs
@@ -51,6 +51,7 @@
     (0..count).map(start).collect()
 }
 
+/// Read one request and respond to it; `None` once the connection ends.
 fn answer(
     stream: &mut &TcpStream,
     node: usize,
@@ -78,33 +79,39 @@
     };
     let behavior = script(node, query, shard, prior_attempts);
     let score = f64::from(shard * 7 % 24);
-    let bytes = if protocol == Protocol::Frames {
-        let end = match behavior {
-            Behavior::Serve => "served",
-            Behavior::Fail => "broke",
-            Behavior::Reject => "skipped",
-        };
-        frame(&format!("a {id} {end} {score} -\nV{shard}"))
-    } else {
-        let hit = format!("{{\"_id\":\"h{shard}\",\"_score\":{score}}}");
-        let (failed, shards) = match behavior {
-            Behavior::Fail => (
-                1,
-                "\"failures\":[{\"shard\":0,\"reason\":{\"type\":\"io_exception\",\"reason\":\"disk\"}}],",
-            ),
-            _ => (0, ""),
-        };
-        let body = format!(
-            "{{\"took\":1,\"timed_out\":false,\"_shards\":{{{shards}\"total\":1,\"successful\":{},\"skipped\":0,\
-             \"failed\":{failed}}},\"hits\":{{\"total\":{{\"value\":1,\"relation\":\"eq\"}},\"max_score\":{score},\"hits\":[{hit}]}}}}",
-            1 - failed
-        );
-        let status = if behavior == Behavior::Reject { "429 Too Many Requests" } else { "200 OK" };
-        format!("HTTP/1.1 {status}\r\nContent-Length: {}\r\n\r\n{body}", body.len()).into_bytes()
+    let bytes = match protocol {
+        Protocol::Frames => frame_response(id, shard, score, behavior),
+        Protocol::Search => search_response(shard, score, behavior),
     };
     stream.write_all(&bytes).ok()
 }
 
+fn frame_response(id: &str, shard: u32, score: f64, behavior: Behavior) -> Vec<u8> {
+    let end = match behavior {
+        Behavior::Serve => "served",
+        Behavior::Fail => "broke",
+        Behavior::Reject => "skipped",
+    };
+    frame(&format!("a {id} {end} {score} -\nV{shard}"))
+}
+
+fn search_response(shard: u32, score: f64, behavior: Behavior) -> Vec<u8> {
+    let hit = format!("{{\"_id\":\"h{shard}\",\"_score\":{score}}}");
+    let (failed, failures) = match behavior {
+        Behavior::Fail => {
+            (1, "\"failures\":[{\"shard\":0,\"reason\":{\"type\":\"io_exception\",\"reason\":\"disk\"}}],")
+        }
+        Behavior::Serve | Behavior::Reject => (0, ""),
+    };
+    let body = format!(
+        "{{\"took\":1,\"timed_out\":false,\"_shards\":{{{failures}\"total\":1,\"successful\":{},\"skipped\":0,\
+         \"failed\":{failed}}},\"hits\":{{\"total\":{{\"value\":1,\"relation\":\"eq\"}},\"max_score\":{score},\"hits\":[{hit}]}}}}",
+        1 - failed
+    );
+    let status = if behavior == Behavior::Reject { "429 Too Many Requests" } else { "200 OK" };
+    format!("HTTP/1.1 {status}\r\nContent-Length: {}\r\n\r\n{body}", body.len()).into_bytes()
+}
+
 /// A discovery service that never responds; the list in the configuration stands.
 fn silent_discovery() -> TcpListener {
     TcpListener::bind("127.0.0.1:0").expect("bound")
