--- /dev/null
+++ b/src/cli/describe.rs
@@ -0,0 +1,151 @@
+//! The commands that open no listener: what a file would serve, and where a gRPC call would go.
+use std::fmt::Write;
+use std::path::Path;
+
+use crate::balancer::interface::{EndpointState, Idempotency, ShardId};
+use crate::config::operator::{GrpcConfig, OperatorConfig, OperatorConfigError, ServerSource};
+use crate::config::settings::Deployment;
+use crate::grpc_routing::{KeyMapping, Route, ShardSource};
+use crate::net::dns_sd::watcher;
+use crate::net::dns_sd::zone_file::Server;
+
+/// Check a file and all that it names; what it would serve, a line each.
+///
+/// # Errors
+///
+/// If the file or the records that it names can't be read, or are not valid.
+pub fn describe_config(path: &Path) -> Result<String, OperatorConfigError> {
+    let operator = OperatorConfig::read(path)?;
+    let mut out = String::new();
+    if let Some(api) = &operator.query_api {
+        let servers = read_servers(path, "query_api.records", &api.source)?;
+        let indices = api.indices.iter().flatten().count();
+        let _ = writeln!(out, "query API on {}: {indices} indices, {} servers", api.listen, servers.len());
+    }
+    if let Some(grpc) = &operator.grpc {
+        let servers = read_servers(path, "grpc.records", &grpc.source)?;
+        let routes = grpc.routes.iter().count();
+        let _ = writeln!(out, "gRPC on {}: {routes} routes, {} servers", grpc.listen, servers.len());
+        for shard in (0..grpc.deployment.shard_count.unwrap_or(0)).map(ShardId) {
+            if ready_replicas(&grpc.deployment, &servers, shard).is_empty() {
+                let _ = writeln!(out, "  shard {} has no server that is up", shard.0);
+            }
+        }
+    }
+    if out.is_empty() {
+        out += "no front is described\n";
+    }
+    Ok(out)
+}
+
+/// A gRPC call as the command line describes it.
+pub struct DescribedCall<'a> {
+    /// The method, as `/package.Service/Method`.
+    pub method: &'a str,
+    /// Keys, in lower case, and values.
+    pub metadata: &'a [(String, String)],
+    /// A file with the first message, as protobuf.
+    pub message: Option<&'a Path>,
+}
+
+/// All routes of a file, a line each; or, for one call, its route and the servers that it may go to.
+///
+/// # Errors
+///
+/// If the file, its records or the message can't be read or are not valid, or the call has no route or no shard.
+pub fn describe_routes(path: &Path, call: Option<DescribedCall>) -> Result<String, OperatorConfigError> {
+    let operator = OperatorConfig::read(path)?;
+    let grpc = operator.grpc;
+    let grpc = grpc.ok_or_else(|| error(path, "grpc", "the file describes no gRPC front".into()))?;
+    match call {
+        Some(call) => describe_call(path, &grpc, &call),
+        None => Ok(grpc.routes.iter().map(|route| describe_route(&grpc.deployment, route) + "\n").collect()),
+    }
+}
+
+fn describe_call(
+    path: &Path,
+    grpc: &GrpcConfig,
+    call: &DescribedCall,
+) -> Result<String, OperatorConfigError> {
+    let GrpcConfig { routes, deployment, source, .. } = grpc;
+    let route = routes.find(call.method);
+    let route = route
+        .ok_or_else(|| error(path, "grpc.routes", format!("no route for {}: UNIMPLEMENTED", call.method)))?;
+    let mut out = describe_route(deployment, route) + "\n";
+    let message = call.message.map(std::fs::read).transpose();
+    let message = message.map_err(|e| error(path, "--message", e.to_string()))?;
+    if route.shard == ShardSource::Any {
+        let _ = writeln!(out, "any shard, by chance for each call");
+        return Ok(out);
+    }
+    let values = |key: &str| -> Vec<&str> {
+        call.metadata.iter().filter(|(k, _)| k == key).map(|(_, value)| value.as_str()).collect()
+    };
+    let shards = route.shards(values, message.as_deref(), 0);
+    let shards = shards.map_err(|e| error(path, "--call", format!("{e}: INVALID_ARGUMENT")))?;
+    let servers = read_servers(path, "grpc.records", source)?;
+    for shard in shards {
+        let replicas: Vec<String> = ready_replicas(deployment, &servers, shard)
+            .iter()
+            .map(|server| format!("{} ({})", server.name, server.address))
+            .collect();
+        if replicas.is_empty() {
+            let _ = writeln!(out, "shard {}: no server that is up", shard.0);
+        } else {
+            let _ = writeln!(out, "shard {}: {}", shard.0, replicas.join(", "));
+        }
+    }
+    Ok(out)
+}
+
+/// A route in one line.
+fn describe_route(deployment: &Deployment, route: &Route) -> String {
+    let class = &deployment.settings.classes[usize::from(route.class.0)];
+    let idempotency = match class.idempotency {
+        Idempotency::Idempotent => "safe to repeat".to_owned(),
+        Idempotency::Keyed { window } => format!("repeats are dropped for {window} s"),
+        Idempotency::NonIdempotent => "not to be repeated".to_owned(),
+    };
+    format!(
+        "{}  {:?}, class {}, {idempotency}, {}, deadline {} s, shard by {}{}",
+        route.pattern,
+        route.kind,
+        deployment.class_names[usize::from(route.class.0)],
+        if class.hedging { "copies" } else { "no copies" },
+        class.deadline,
+        describe_shard_key(&route.shard),
+        if route.merge.is_some() { ", merged" } else { "" }
+    )
+}
+
+fn describe_shard_key(shard: &ShardSource) -> String {
+    let prefix = |how: &KeyMapping| if *how == KeyMapping::Hash { "hash of " } else { "" };
+    match shard {
+        ShardSource::Any => "any".to_owned(),
+        ShardSource::Metadata { key, mapping } => format!("{}metadata '{key}'", prefix(mapping)),
+        ShardSource::Field { path, mapping } => {
+            let path: Vec<String> = path.iter().map(u32::to_string).collect();
+            format!("{}field {} of the first message", prefix(mapping), path.join("."))
+        }
+    }
+}
+
+/// The servers that hold a shard and take new calls: those of the cells that [`crate::balancer::interface::CellId`]
+/// gives it, as replica selection has them.
+fn ready_replicas<'s>(deployment: &Deployment, servers: &'s [Server], shard: ShardId) -> Vec<&'s Server> {
+    let cells = deployment.settings.cells;
+    let reach = deployment.settings.reach;
+    let holds_shard = |cell: u32| (0..reach.min(cells)).any(|j| (shard.0 % cells + j) % cells == cell);
+    let is_replica = |s: &&Server| s.state == EndpointState::Ready && holds_shard(u32::from(s.cell));
+    servers.iter().filter(is_replica).collect()
+}
+
+/// The servers of a source; an error stands at `key`, which names the source.
+fn read_servers(path: &Path, key: &str, source: &ServerSource) -> Result<Vec<Server>, OperatorConfigError> {
+    watcher::read(source).map_err(|e| error(path, key, e.to_string()))
+}
+
+fn error(path: &Path, at: &str, message: String) -> OperatorConfigError {
+    OperatorConfigError { file: path.into(), path: at.into(), position: None, message }
+}
--- a/src/net/data_nodes/reader.rs
+++ b/src/net/data_nodes/reader.rs
@@ -11,7 +11,7 @@
 use super::DataNodes;
 use crate::balancer::interface::{LoadReport, Outcome, ReplicaId};
 use crate::config::settings;
-use crate::coordinator::AttemptResult;
+use crate::coordinator::{AttemptResult, ScoredValue};
 use crate::net::buffer::Buffer;
 use crate::net::socket::Stream;
 use crate::net::timeout_at;
@@ -103,8 +103,9 @@
                 if let Some(attempt) = attempt {
                     let outcome = answer_outcome(status, &attempt, connection);
                     // Copied: the value outlives the buffer, until its query is answered.
-                    let served = (status == AnswerStatus::Served).then(|| (value.into(), score));
-                    let result = AttemptResult { outcome, served, report: self.load_report(report) };
+                    let value =
+                        (status == AnswerStatus::Served).then(|| ScoredValue { value: value.into(), score });
+                    let result = AttemptResult { outcome, value, report: self.load_report(report) };
                     let _ = attempt.result.sender.try_send(result);
                 }
                 true
--- a/src/net/data_nodes/transport.rs
+++ b/src/net/data_nodes/transport.rs
@@ -39,7 +39,7 @@
         connection.push(OutgoingFrame::Attempt(attempt.clone()));
         let answered = async { attempt.result.receiver.recv().await.unwrap_or(Outcome::Reset.into()) };
         let cancelled = async {
-            stop.wait().await;
+            stop.cancelled().await;
             Outcome::Cancelled.into()
         };
         let result = timeout_at(call.deadline, answered.or(cancelled)).await;
@@ -74,9 +74,9 @@
 fn step_attributes(step: &Step) -> String {
     match step {
         Step::First => String::new(),
-        Step::Second { from, whole } => {
+        Step::Second { from, complete } => {
             let from: Vec<String> = from.iter().map(|shard| shard.0.to_string()).collect();
-            format!(",from={},whole={}", from.join("+"), u8::from(*whole))
+            format!(",from={},whole={}", from.join("+"), u8::from(*complete))
         }
     }
 }
--- a/src/net/data_nodes/writer.rs
+++ b/src/net/data_nodes/writer.rs
@@ -186,7 +186,7 @@
             transit_time: transit,
             cancelled: attempt.cancellation.is_cancelled(),
             replica_ready: node.is_some_and(|node| node.incarnation == attempt.incarnation),
-            retry_window_closed: attempt.cancellation.too_late(now),
+            retry_window_closed: attempt.cancellation.is_past_retry_window(now),
         };
         match conditions.permit() {
             Ok(permit) => {
--- a/src/net/discovery/mod.rs
+++ b/src/net/discovery/mod.rs
@@ -129,7 +129,7 @@
             start_unix_ms: listed.start_unix_ms,
         };
         let (replica, started) = self.data_nodes.register_with_start(&entry, || {
-            let by_wall_clock = clock.born(listed.start_unix_ms)?;
+            let by_wall_clock = clock.from_unix_ms(listed.start_unix_ms)?;
             let now = clock.at(Instant::now());
             let last_list_without = self.last_list.get().map(|at| clock.at(at));
             Some(send_policy::estimate_start(StartObservation { by_wall_clock, now, last_list_without }))
--- a/src/net/discovery/watch.rs
+++ b/src/net/discovery/watch.rs
@@ -71,7 +71,7 @@
 
     /// No list came in time: go on with what is known.
     fn start_without_list(&self, known: Option<&EndpointList<'_>>) {
-        if self.coordinator.ready() {
+        if self.coordinator.is_ready() {
             return;
         }
         warn!(self.log, "no list from discovery yet"; "known" => known.map(|list| list.endpoints.len()));
--- a/src/net/dns_sd/registry.rs
+++ b/src/net/dns_sd/registry.rs
@@ -60,7 +60,7 @@
                 state: server.state,
                 weight: server.weight,
                 // A start in the future is that of a wall clock that disagrees with ours.
-                started: clock.born(server.start_unix_ms).map(|at| at.min(now)),
+                started: clock.from_unix_ms(server.start_unix_ms).map(|at| at.min(now)),
             });
         }
         (endpoints, changes)
--- a/src/net/dns_sd/watcher.rs
+++ b/src/net/dns_sd/watcher.rs
@@ -11,7 +11,7 @@
 
 use super::zone_file::{self, Server, ZoneFileError};
 use crate::balancer::interface::{Endpoint, EndpointUpdate};
-use crate::config::operator::Source;
+use crate::config::operator::ServerSource;
 use crate::coordinator::{Clock, Coordinator, Transport};
 
 /// Time between reads of the file: well below the grace of a drain.
@@ -32,15 +32,15 @@
 ///
 /// # Errors
 /// See [`SourceError`].
-pub fn read(source: &Source) -> Result<Vec<Server>, SourceError> {
+pub fn read(source: &ServerSource) -> Result<Vec<Server>, SourceError> {
     parse(source, &read_text(source)?)
 }
 
-fn read_text(source: &Source) -> Result<Vec<u8>, SourceError> {
+fn read_text(source: &ServerSource) -> Result<Vec<u8>, SourceError> {
     std::fs::read(&source.records).map_err(|e| SourceError::Read(source.records.clone(), e))
 }
 
-fn parse(source: &Source, text: &[u8]) -> Result<Vec<Server>, SourceError> {
+fn parse(source: &ServerSource, text: &[u8]) -> Result<Vec<Server>, SourceError> {
     zone_file::parse(text, &source.service).map_err(SourceError::ZoneFile)
 }
 
@@ -55,7 +55,7 @@
     coordinator: Rc<Coordinator<T>>,
     servers: Rc<T>,
     zones: Vec<String>,
-    source: Source,
+    source: ServerSource,
     /// The front's name in log lines.
     front: &'static str,
     /// The text that was applied last.
@@ -72,7 +72,7 @@
         coordinator: Rc<Coordinator<T>>,
         servers: Rc<T>,
         zones: Vec<String>,
-        source: Source,
+        source: ServerSource,
         front: &'static str,
         log: Logger,
     ) -> Result<ZoneFileWatcher<T>, SourceError> {
--- a/src/net/grpc/front/call.rs
+++ b/src/net/grpc/front/call.rs
@@ -96,7 +96,7 @@
         let shards = self.shards(call.route, &call.head.headers, &start.first)?;
         let _open = self.room(call.table, call.route)?;
         let query = self.query(call, &shards, start.replay);
-        let Some(handle) = self.coordinator.take(query) else {
+        let Some(handle) = self.coordinator.submit(query) else {
             self.reject(call, client);
             return Ok(());
         };
@@ -168,7 +168,7 @@
     fn reject(&self, call: &RoutedCall<'_>, client: &mut Caller) {
         if let Some(suppressed) = self.log_limiters.refused.permit() {
             info!(self.log, "refused"; "why" => "as much is open as may be", "path" => call.head.uri.path(),
-                "open" => self.coordinator.open(), "held" => self.coordinator.open_parts(),
+                "open" => self.coordinator.open_queries(), "held" => self.coordinator.open_parts(),
                 "suppressed" => suppressed);
         }
         let retry_after = call.table.deployment.settings.retry_after;
@@ -185,7 +185,7 @@
         framer: Framer,
         shards: &[ShardId],
     ) -> Result<(), Status> {
-        let exchange = handle.carried();
+        let exchange = handle.context();
         let final_outcome = Cell::new(None);
         let outcome = async {
             final_outcome.set(Some(handle.outcome().await));
--- a/src/net/opensearch/protected.rs
+++ b/src/net/opensearch/protected.rs
@@ -14,7 +14,7 @@
 use super::servers::SearchProgress;
 use crate::balancer::interface::ShardId;
 use crate::cluster::takeover::{Ask, Key, Part, Record, Reply};
-use crate::coordinator::{AttemptGate, PendingGrant, PriorProgress, TakeoverProtection, Value};
+use crate::coordinator::{AttemptGate, PendingGrant, PriorProgress, ScoredValue, TakeoverProtection};
 use crate::net::buffer::Buffer;
 use crate::net::cluster::{ClusterNode, Execute, Hold};
 use crate::net::http::{Message, Response};
@@ -115,11 +115,12 @@
         prepared.query.deadline = ends;
         let earlier = if takeover { earlier(&record.parts) } else { BTreeMap::new() };
         // What an earlier owner may have sent has begun.
-        prepared.progress.borrow_mut().started = earlier.values().any(|e| e.granted > e.cleared);
+        prepared.progress.borrow_mut().started =
+            earlier.values().any(|e| e.granted_attempts > e.never_ran_attempts);
         let gate = Rc::new(ClusterGate { hold: hold.clone(), progress: prepared.progress.clone() });
-        prepared.query.protection = Some(TakeoverProtection { gate, earlier });
+        prepared.query.protection = Some(TakeoverProtection { gate, prior_progress: earlier });
         let PreparedSearch { search, progress, parts, begun, deadline, query } = prepared;
-        match self.coordinator.take(query) {
+        match self.coordinator.submit(query) {
             None => self.rejected("too many searches are open"),
             Some(taken) => {
                 let outcome = taken.outcome().await;
@@ -150,8 +151,9 @@
     // More than a byte holds is more than any part may be tried.
     let byte = |n: u32| u8::try_from(n).unwrap_or(u8::MAX);
     let part = |p: &Part| {
-        let value = p.value.as_ref().map(|v| (Rc::from(&v[..]), p.score));
-        let earlier = PriorProgress { granted: byte(p.granted), cleared: byte(p.cleared), value };
+        let value = p.value.as_ref().map(|v| ScoredValue { value: Rc::from(&v[..]), score: p.score });
+        let earlier =
+            PriorProgress { granted_attempts: byte(p.granted), never_ran_attempts: byte(p.cleared), value };
         ((byte(p.step), ShardId(p.shard)), earlier)
     };
     parts.iter().map(part).collect()
@@ -164,25 +166,25 @@
 }
 
 impl AttemptGate for ClusterGate {
-    fn may_send(&self, step: u8, shard: ShardId, attempt: u8) -> PendingGrant {
+    fn request_grant(&self, step: u8, shard: ShardId, attempt: u8) -> PendingGrant {
         let hold = self.hold.clone();
         Box::pin(async move { hold.may_send(step, shard.0, attempt).await })
     }
 
-    fn holds(&self) -> bool {
+    fn is_owned(&self) -> bool {
         self.hold.holds()
     }
 
-    fn cleared(&self, step: u8, shard: ShardId) {
+    fn record_never_ran(&self, step: u8, shard: ShardId) {
         self.hold.cleared(step, shard.0);
     }
 
-    fn value(&self, step: u8, shard: ShardId, value: &Value, score: f64) {
-        self.hold.value(step, shard.0, value.clone(), score);
+    fn record_value(&self, step: u8, shard: ShardId, value: &ScoredValue) {
+        self.hold.value(step, shard.0, value.value.clone(), value.score);
     }
 
     /// Told here too: a second step may be in without any call of it.
-    fn stepped(&self, from: &Rc<[ShardId]>) {
+    fn record_first_step(&self, from: &Rc<[ShardId]>) {
         self.progress.borrow_mut().first_step_shards = Some(from.clone());
     }
 }
--- a/src/net/opensearch/query_api.rs
+++ b/src/net/opensearch/query_api.rs
@@ -56,7 +56,7 @@
             }
         }
         let PreparedSearch { search, progress, parts, begun, deadline, query } = prepared;
-        let Some(handle) = self.coordinator.take(query) else {
+        let Some(handle) = self.coordinator.submit(query) else {
             return Ok(self.rejected("too many searches are open"));
         };
         // Dropping the handle, on return, cancels a search that is not finished.
@@ -75,7 +75,7 @@
         let (method, target) = (message.text(buffer, &message.method), message.text(buffer, &message.path));
         let path = path(target);
         match (method, &segments(&path)[..]) {
-            ("GET", ["_health"]) => Err(readiness_response(self.coordinator.ready(), &self.shutdown)),
+            ("GET", ["_health"]) => Err(readiness_response(self.coordinator.is_ready(), &self.shutdown)),
             ("GET" | "POST", [_, "_search"]) => {
                 let opaque = message.header(buffer, "X-Opaque-Id").unwrap_or("-");
                 self.prepare(target, &message.body(buffer), opaque, now)
--- a/src/net/opensearch/servers.rs
+++ b/src/net/opensearch/servers.rs
@@ -20,7 +20,7 @@
 use super::query::Search;
 use crate::balancer::interface::{Endpoint, LoadReport, Outcome, ReplicaId, ShardId};
 use crate::config::settings::ConnectionSettings;
-use crate::coordinator::{AttemptResult, Call, CancellationToken, Clock, Step, Transport};
+use crate::coordinator::{AttemptResult, Call, CancellationToken, Clock, ScoredValue, Step, Transport};
 use crate::net::buffer::Buffer;
 use crate::net::dns_sd::registry::{ServerChange, ServerRegistry};
 use crate::net::dns_sd::watcher::FollowsServerList;
@@ -163,7 +163,7 @@
             transit_time: Duration::ZERO,
             cancelled: stop.is_cancelled(),
             replica_ready: self.ready(call.replica) == Some((address, life)),
-            retry_window_closed: stop.too_late(now),
+            retry_window_closed: stop.is_past_retry_window(now),
         };
         let Ok(permit) = conditions.permit().inspect_err(|denied| invariants::record_denial(*denied)) else {
             return Outcome::NeverSent.into();
@@ -214,8 +214,8 @@
             Ok(score) => {
                 call.context.progress.borrow_mut().failures.remove(&call.shard);
                 // Copied: the value outlives the buffer, until its query is answered.
-                let served = Some((Rc::from(&*body), score));
-                AttemptResult { outcome: Outcome::Succeeded, served, report: None }
+                let value = Some(ScoredValue { value: Rc::from(&*body), score });
+                AttemptResult { outcome: Outcome::Succeeded, value, report: None }
             }
             Err(error) => self.failed(call, Outcome::Error, error),
         }
@@ -293,7 +293,7 @@
             call.context.progress.borrow_mut().first_step_shards = Some(from.clone());
         }
         let stopped = async {
-            stop.wait().await;
+            stop.cancelled().await;
             Outcome::Cancelled.into()
         };
         let ended = timeout_at(call.deadline, self.send_request(&call, &stop).or(stopped)).await;
--- a/src/net/platform_api/mod.rs
+++ b/src/net/platform_api/mod.rs
@@ -96,7 +96,7 @@
             arrived_at: client.request_arrived_at(),
         };
         let deadline = self.shutdown.limit_deadline(query.deadline);
-        let Some(handle) = self.coordinator.take(Query { deadline, ..query }) else {
+        let Some(handle) = self.coordinator.submit(Query { deadline, ..query }) else {
             self.log_rejected(&labels);
             return Ok(rejected(429, self.deployment.settings.retry_after));
         };
@@ -115,7 +115,7 @@
     fn log_rejected(&self, labels: &QueryLabels) {
         if let Some(suppressed) = self.log_limiters.rejected.permit() {
             info!(self.log, "query rejected"; "reason" => "the limit on open queries is reached", "id" => &labels.id,
-                "class" => &labels.class, "suppressed" => suppressed, "open" => self.coordinator.open(),
+                "class" => &labels.class, "suppressed" => suppressed, "open" => self.coordinator.open_queries(),
                 "open_parts" => self.coordinator.open_parts());
         }
     }
@@ -126,7 +126,7 @@
             return;
         }
         if let Some(suppressed) = self.log_limiters.rejected.permit() {
-            info!(self.log, "no capacity for another query"; "open" => self.coordinator.open(),
+            info!(self.log, "no capacity for another query"; "open" => self.coordinator.open_queries(),
                 "open_parts" => self.coordinator.open_parts(), "suppressed" => suppressed);
         }
     }
@@ -157,7 +157,7 @@
         let method = request.text(client.buffer(), &request.method);
         let path = request.text(client.buffer(), &request.path);
         match (method, path) {
-            ("GET", "/_health") => Ok(readiness_response(self.coordinator.ready(), &self.shutdown)),
+            ("GET", "/_health") => Ok(readiness_response(self.coordinator.is_ready(), &self.shutdown)),
             ("POST", "/api") => self.query(client, request).await,
             (_, "/_health" | "/api") => Ok(Response::new(405, error_body(&"method not allowed"))),
             _ => Ok(Response::new(404, error_body(&"no such path"))),
--- a/tests/nodes.rs
+++ b/tests/nodes.rs
@@ -51,7 +51,7 @@
 
     fn start_with(&self, shard: u32, context: &Rc<RequestContext>) -> Attempt {
         let deadline = Instant::now() + PATIENCE;
-        let call = Call::alone(self.replica, context.clone(), ShardId(shard), Step::First, deadline);
+        let call = Call::standalone(self.replica, context.clone(), ShardId(shard), Step::First, deadline);
         let (keep_alive, token) = CancellationToken::new();
         (self.executor.spawn(self.nodes.clone().call(call, token)), keep_alive)
     }
--- a/tests/single_copy.rs
+++ b/tests/single_copy.rs
@@ -45,7 +45,7 @@
 
     fn start(&mut self, shard: u32, deadline: Instant) -> Task<AttemptResult> {
         let context = Rc::new(RequestContext::new("a1".to_owned(), b"hi".to_vec()));
-        let call = Call::alone(self.replica, context, ShardId(shard), Step::First, deadline);
+        let call = Call::standalone(self.replica, context, ShardId(shard), Step::First, deadline);
         let (keep_alive, token) = CancellationToken::new();
         self.keep_alive.push(keep_alive);
         self.executor.spawn(self.nodes.clone().call(call, token))
