--- a/benches/scale/control/plane/sweeps/together.rs
+++ b/benches/scale/control/plane/sweeps/together.rs
@@ -14,7 +14,7 @@
     exact: true,
     target: COORDINATORS,
     bound: Some(BYTES),
-    carried_by: "src/cluster/takeover/owner.rs",
+    carried_by: "src/cluster/takeover/proposer.rs",
     note: "4 works in hand at each member, groups of 3, lease 300 ms; nothing else goes on",
 };
 const MESSAGES: Spec = Spec { figure: "renewals, messages", unit: "1/s", bound: None, ..BASE };
--- a/benches/scale/control/plane/workers.rs
+++ b/benches/scale/control/plane/workers.rs
@@ -4,7 +4,9 @@
 use std::rc::Rc;
 use std::time::Instant;
 
-use marlgap::cluster::takeover::{Act, Ask, ClassRule, Key, Limits, WhenFull, Works};
+use marlgap::cluster::takeover::{
+    Action, ClassRule, ExecutionKey, Limits, SubmitRequest, TakeoverState, WhenFull,
+};
 use marlgap::cluster::{Configuration, MemberId};
 use marlgap::net::cluster::frames::{self, Frame};
 
@@ -23,7 +25,7 @@
 struct Worker {
     id: MemberId,
     place: Place,
-    works: Option<Works>,
+    works: Option<TakeoverState>,
     traffic: Traffic,
     /// Whom it spoke to.
     peers: BTreeSet<u32>,
@@ -31,7 +33,7 @@
     /// Works begun here.
     owns: u64,
     /// All that it executes, by id.
-    runs: BTreeMap<Rc<str>, Key>,
+    runs: BTreeMap<Rc<str>, ExecutionKey>,
 }
 
 /// What happens to members that hold works.
@@ -78,7 +80,7 @@
         };
         let worker = |i| {
             let id = seat(i).member.id;
-            let mut works = Works::new(id.clone(), vec![Some(rule.clone())], Limits::default());
+            let mut works = TakeoverState::new(id.clone(), vec![Some(rule.clone())], Limits::default());
             works.configure(1, config.clone());
             let (traffic, peers) = Default::default();
             Worker {
@@ -167,7 +169,7 @@
     }
 
     /// Calls a member's machine, carries out what it says, and sets its bell.
-    fn with(&mut self, i: usize, call: impl FnOnce(&mut Works, Micros, u64)) {
+    fn with(&mut self, i: usize, call: impl FnOnce(&mut TakeoverState, Micros, u64)) {
         let now = self.now().max(1);
         let member = &mut self.members[i];
         let Some(works) = &mut member.works else { return };
@@ -183,9 +185,9 @@
         acts.into_iter().for_each(|act| self.act(i, act));
     }
 
-    fn act(&mut self, i: usize, act: Act) {
+    fn act(&mut self, i: usize, act: Action) {
         match act {
-            Act::Send { to, message } => {
+            Action::Send { to, message } => {
                 let Some(to) = self.names.get(&to.name).copied() else { return };
                 let bytes = Frame::Work(message).bytes();
                 let member = &mut self.members[i];
@@ -196,7 +198,7 @@
                     self.queue.later(delay, Event::Deliver { from: i, to, bytes });
                 }
             }
-            Act::Start { key, record, takeover } => {
+            Action::Start { key, record, takeover } => {
                 self.members[i].runs.insert(record.id.as_str().into(), key);
                 self.started += u64::from(!takeover);
                 self.members[i].owns += u64::from(!takeover);
@@ -204,7 +206,7 @@
                     self.taken_over.entry(record.id.as_str().into()).or_insert(self.queue.now);
                 }
             }
-            Act::Granted { .. } | Act::Stop { .. } | Act::Answer { .. } => {}
+            Action::Granted { .. } | Action::Stop { .. } | Action::Answer { .. } => {}
         }
     }
 }
@@ -224,7 +226,7 @@
                 self.with(i, |works, now, unix| works.tick(now, unix));
             }
             Event::Ask(i, n) => {
-                let ask = Ask {
+                let ask = SubmitRequest {
                     id: format!("work-{i:04}-{n:04}").as_str().into(),
                     class: 0,
                     text: vec![b't'; TEXT].into(),
--- a/src/cluster/configuration.rs
+++ b/src/cluster/configuration.rs
@@ -8,7 +8,7 @@
 use super::{Member, MemberId};
 
 /// Groups are small: more guards cost every query a message and make no majority safer than this.
-pub const MOST_GUARDS: usize = 5;
+pub const MAX_GROUP_SIZE: usize = 5;
 
 /// The members that count, as agreed: sorted by name, one life of each.
 ///
@@ -85,7 +85,7 @@
     pub fn group(&self, key: &[u8], size: usize) -> Vec<&Member> {
         let mut ranked: Vec<(u64, &Member)> = self.members.iter().map(|m| (score(key, m), m)).collect();
         ranked.sort_by(|a, b| b.0.cmp(&a.0).then_with(|| a.1.id.cmp(&b.1.id)));
-        let size = size.clamp(1, MOST_GUARDS).min(ranked.len());
+        let size = size.clamp(1, MAX_GROUP_SIZE).min(ranked.len());
         let mut group: Vec<&Member> = Vec::with_capacity(size);
         // How many of the group one zone holds: raised only once every zone holds as many.
         for most in 0..size {
--- a/src/cluster/takeover/guard.rs
+++ b/src/cluster/takeover/acceptor.rs
@@ -2,15 +2,17 @@
 //! what is long over.
 use std::rc::Rc;
 
-use super::led::{next_ballot, Led};
-use super::message::{Accept, Accepted, Body, Decided, Prepare, Promised, Rejected, Seal, Sealed, What};
-use super::slot::{Slot, NEVER};
-use super::{WorkId, Works};
+use super::leader::{next_ballot, LeaderState};
+use super::message::{
+    Accept, Accepted, Body, Decided, Fence, Fenced, Prepare, Promised, Rejected, SubmitStatus,
+};
+use super::slot::{AcceptorSlot, FENCED_BALLOT};
+use super::{TakeoverState, WorkId};
 use crate::cluster::{MemberId, Micros};
 
-impl Works {
+impl TakeoverState {
     /// The slot of a work, new if there is room for it; None if there is not.
-    fn slot(&mut self, work: &WorkId, bytes: usize) -> Option<&mut Slot> {
+    fn slot(&mut self, work: &WorkId, bytes: usize) -> Option<&mut AcceptorSlot> {
         let old = self.slots.get(work).map(|s| s.bytes);
         let full = old.is_none() && self.slots.len() >= self.limits.works;
         let grown = self.bytes - old.unwrap_or(0) + bytes.max(old.unwrap_or(0));
@@ -20,7 +22,7 @@
         let at = self.now.saturating_add(self.pause());
         self.scan = Some(self.scan.map_or(at, |s| s.min(at)));
         let now = self.now;
-        Some(self.slots.entry(work.clone()).or_insert_with(|| Slot::new(now)))
+        Some(self.slots.entry(work.clone()).or_insert_with(|| AcceptorSlot::new(now)))
     }
 
     /// Does a member of this group own this ballot, and is this member of it too?
@@ -33,7 +35,7 @@
     ) -> Option<Rc<[MemberId]>> {
         let group = self.group(work, class)?;
         let rank = self.rank(&group, from).filter(|_| self.rank(&group, &self.me).is_some());
-        if rank.is_some_and(|r| ballot % group.len() as u64 == r as u64 && ballot != NEVER) {
+        if rank.is_some_and(|r| ballot % group.len() as u64 == r as u64 && ballot != FENCED_BALLOT) {
             return Some(group);
         }
         self.counts.strangers += 1;
@@ -142,7 +144,7 @@
     pub(super) fn decided(&mut self, from: MemberId, m: Decided) {
         let work: WorkId = (m.epoch, m.id.as_str().into());
         // An opening that was never chosen has not this outcome: who holds one finds out by taking it over.
-        let record = self.slots.get(&work).and_then(Slot::record).filter(|r| r.opened == m.opened);
+        let record = self.slots.get(&work).and_then(AcceptorSlot::record).filter(|r| r.opened == m.opened);
         let class = record.map(|r| r.class);
         let Some(group) = class.and_then(|c| self.group(&work, c)) else { return };
         if self.rank(&group, &from).is_none() {
@@ -176,13 +178,13 @@
     /// Says what was decided of a work, if it is known here.
     pub(super) fn tell_outcome(&mut self, to: &MemberId, work: &WorkId) {
         match self.slots.get(work).and_then(|s| s.decided.clone()) {
-            Some(Some(outcome)) => self.tell(to, work, What::Outcome, outcome),
-            Some(None) => self.tell(to, work, What::Failed, bytes::Bytes::new()),
+            Some(Some(outcome)) => self.tell(to, work, SubmitStatus::Outcome, outcome),
+            Some(None) => self.tell(to, work, SubmitStatus::Failed, bytes::Bytes::new()),
             None => {}
         }
     }
 
-    pub(super) fn seal(&mut self, from: MemberId, m: Seal) {
+    pub(super) fn seal(&mut self, from: MemberId, m: Fence) {
         let work: WorkId = (m.epoch, m.id.as_str().into());
         let Some(group) = self.group(&work, m.class) else { return };
         let known = self.configs.iter().any(|c| c.counts(&from));
@@ -192,16 +194,16 @@
         }
         let (now, slack) = (self.now, self.slack(m.class));
         let Some(slot) = self.slot(&work, 0) else {
-            let no = Sealed { epoch: m.epoch, id: m.id, exists: false, full: true };
+            let no = Fenced { epoch: m.epoch, id: m.id, exists: false, full: true };
             return self.send(&from, Body::Sealed(no));
         };
         slot.until(now, m.left_us, slack);
         let exists = !slot.acceptor.seal();
         if !exists {
             self.counts.sealed += 1;
-            self.give_way(&work, NEVER);
+            self.give_way(&work, FENCED_BALLOT);
         }
-        self.send(&from, Body::Sealed(Sealed { epoch: m.epoch, id: m.id, exists, full: false }));
+        self.send(&from, Body::Sealed(Fenced { epoch: m.epoch, id: m.id, exists, full: false }));
     }
 
     /// Looks over all works guarded here.
@@ -216,7 +218,7 @@
         let mut open = false;
         for (work, slot) in &self.slots {
             let Some(record) = slot.record().filter(|_| slot.decided.is_none()) else { continue };
-            if slot.acceptor.promised == Some(NEVER) {
+            if slot.acceptor.promised == Some(FENCED_BALLOT) {
                 continue;
             }
             open = true;
@@ -249,7 +251,7 @@
 
     /// Has the owner of the highest ballot been silent for a lease, and for this member's turn on top? Its turn comes
     /// after those of lower ranks of whom nobody says that they are dead.
-    fn silent(&self, work: &WorkId, slot: &Slot, class: u32) -> bool {
+    fn silent(&self, work: &WorkId, slot: &AcceptorSlot, class: u32) -> bool {
         let Some(group) = self.group(work, class) else { return false };
         let Some(mine) = self.rank(&group, &self.me) else { return false };
         let owner = (slot.acceptor.promised.unwrap_or(0) % group.len() as u64) as usize;
@@ -267,7 +269,7 @@
         let Some(group) = self.group(work, record.class) else { return };
         let Some(rank) = self.rank(&group, &self.me) else { return };
         let Some(ballot) = next_ballot(promised, group.len(), rank) else { return };
-        let mut led = Led::new(self.new_key(), group, rank, self.now);
+        let mut led = LeaderState::new(self.new_key(), group, rank, self.now);
         led.record = (*record).clone();
         (led.takeover, led.deadline, led.keep) = (true, deadline, keep);
         led.prepare(ballot);
--- a/src/cluster/takeover/api.rs
+++ b/src/cluster/takeover/api.rs
@@ -6,15 +6,15 @@
 use crate::cluster::{MemberId, Micros};
 
 /// A waiting client of this process.
-pub type Token = u64;
+pub type ClientToken = u64;
 
 /// A piece of work that this process executes: new for each [`Act::Start`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub struct Key(pub u64);
+pub struct ExecutionKey(pub u64);
 
 /// What a client asks for.
 #[derive(Clone, Debug)]
-pub struct Ask {
+pub struct SubmitRequest {
     /// 1 to 128 bytes.
     pub id: Rc<str>,
     pub class: u16,
@@ -81,7 +81,7 @@
 
 /// May this attempt be sent?
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum May {
+pub enum SendDecision {
     /// Now, in this very call's turn; the attempt counts as made.
     Now,
     /// Ask again when [`Act::Granted`] has come.
@@ -91,38 +91,38 @@
 
 /// What is to be done.
 #[derive(Clone, Debug)]
-pub enum Act {
+pub enum Action {
     Send {
         to: MemberId,
         message: Message,
     },
     /// Run it. Attempts are numbered on from each part's `granted` after a takeover, from 0 else.
     Start {
-        key: Key,
+        key: ExecutionKey,
         record: Rc<Record>,
         takeover: bool,
     },
     Granted {
-        key: Key,
+        key: ExecutionKey,
         step: u8,
         shard: u32,
         granted: u8,
     },
     /// Call off all of it, answer nothing.
     Stop {
-        key: Key,
+        key: ExecutionKey,
     },
     Answer {
-        token: Token,
-        reply: Reply,
+        token: ClientToken,
+        reply: ClientReply,
     },
 }
 
 #[derive(Clone, Debug, PartialEq)]
-pub enum Reply {
+pub enum ClientReply {
     Outcome(Rc<[u8]>),
     /// The id is in use with another text or class.
-    OtherText,
+    IdConflict,
     /// Come again after so many seconds.
     Refused {
         retry_after: f64,
@@ -130,12 +130,12 @@
     /// Run it here, without protection.
     Unprotected,
     /// Its end passed, or it was given up.
-    Late,
+    DeadlineExceeded,
 }
 
 /// What happened so far.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Counts {
+pub struct Counters {
     pub opened: u64,
     pub taken_over: u64,
     pub finished: u64,
@@ -160,7 +160,7 @@
 /// The guards of the protocol, all on. Tests alone take one out, to show that it is needed.
 #[doc(hidden)]
 #[derive(Clone, Copy, Debug)]
-pub struct Guards {
+pub struct SafetyChecks {
     /// A guard accepts and promises nothing under its promise.
     pub promise: bool,
     /// A guard promises nothing while the lease of another lives.
@@ -181,9 +181,9 @@
     pub same_text: bool,
 }
 
-impl Default for Guards {
-    fn default() -> Guards {
-        Guards {
+impl Default for SafetyChecks {
+    fn default() -> SafetyChecks {
+        SafetyChecks {
             promise: true,
             lease_wait: true,
             lease_hold: true,
--- a/src/cluster/takeover/led.rs
+++ b/src/cluster/takeover/leader.rs
@@ -4,7 +4,7 @@
 
 use super::record::Record;
 use super::slot::Accepted;
-use super::Key;
+use super::ExecutionKey;
 use crate::cluster::{MemberId, Micros};
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -30,7 +30,7 @@
 
 /// What members of an older group said.
 #[derive(Debug)]
-pub struct Old {
+pub struct PreviousGroup {
     pub epoch: u64,
     pub group: Vec<MemberId>,
     pub sealed: Vec<bool>,
@@ -54,14 +54,14 @@
 }
 
 #[derive(Debug)]
-pub struct Led {
-    pub key: Key,
+pub struct LeaderState {
+    pub key: ExecutionKey,
     pub group: Rc<[MemberId]>,
     pub rank: usize,
     pub ballot: u64,
     pub phase: Phase,
     pub votes: Vec<Vote>,
-    pub olds: Vec<Old>,
+    pub olds: Vec<PreviousGroup>,
     pub best: Option<Accepted>,
     /// What is to be opened if nothing was yet.
     pub seed: Option<Record>,
@@ -95,10 +95,10 @@
     round.checked_mul(size)?.checked_add(rank)
 }
 
-impl Led {
-    pub fn new(key: Key, group: Rc<[MemberId]>, rank: usize, now: Micros) -> Led {
+impl LeaderState {
+    pub fn new(key: ExecutionKey, group: Rc<[MemberId]>, rank: usize, now: Micros) -> LeaderState {
         let votes = vec![Vote::default(); group.len()];
-        Led {
+        LeaderState {
             key,
             group,
             rank,
--- a/src/cluster/takeover/lease.rs
+++ b/src/cluster/takeover/lease.rs
@@ -7,7 +7,7 @@
 use crate::cluster::{MemberId, Micros};
 
 #[derive(Clone, Copy, Debug)]
-struct Held {
+struct LeaseChain {
     /// When the first renewal of this unbroken chain was sent.
     since: Micros,
     until: Micros,
@@ -18,7 +18,7 @@
     span: Micros,
     guarded: Micros,
     /// What guards grant us. As many as there are members of the configurations kept.
-    held: BTreeMap<MemberId, Held>,
+    held: BTreeMap<MemberId, LeaseChain>,
     /// When owners last renewed with us.
     heard: BTreeMap<MemberId, Micros>,
 }
@@ -44,7 +44,7 @@
         match self.held.get_mut(guard) {
             Some(held) if now < held.until => held.until = held.until.max(until),
             _ => {
-                self.held.insert(guard.clone(), Held { since: sent, until });
+                self.held.insert(guard.clone(), LeaseChain { since: sent, until });
             }
         }
     }
--- a/src/cluster/takeover/message.rs
+++ b/src/cluster/takeover/message.rs
@@ -4,10 +4,10 @@
 use bytes::Bytes;
 use prost::Message as _;
 
-use super::record::{Record, MOST_ID, MOST_PARTS};
+use super::record::{Record, MAX_ID_BYTES, MAX_PARTS};
 
 /// The largest message, encoded: a record at its bound, and its envelope.
-pub const MOST_BYTES: usize = 1 << 20;
+pub const MAX_MESSAGE_BYTES: usize = 1 << 20;
 
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct Message {
@@ -18,9 +18,9 @@
 #[derive(Clone, PartialEq, prost::Oneof)]
 pub enum Body {
     #[prost(message, tag = "1")]
-    Ask(Asked),
+    Ask(ForwardedSubmit),
     #[prost(message, tag = "2")]
-    Told(Told),
+    Told(SubmitReply),
     #[prost(message, tag = "3")]
     Accept(Accept),
     #[prost(message, tag = "4")]
@@ -38,14 +38,14 @@
     #[prost(message, tag = "10")]
     Renewed(Renew),
     #[prost(message, tag = "11")]
-    Seal(Seal),
+    Seal(Fence),
     #[prost(message, tag = "12")]
-    Sealed(Sealed),
+    Sealed(Fenced),
 }
 
 /// A client's ask, led to a member of the group. `left_us`: microseconds until the client's end.
 #[derive(Clone, PartialEq, prost::Message)]
-pub struct Asked {
+pub struct ForwardedSubmit {
     #[prost(uint64, tag = "1")]
     pub epoch: u64,
     #[prost(string, tag = "2")]
@@ -65,25 +65,25 @@
 /// What became of an ask.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, prost::Enumeration)]
 #[repr(i32)]
-pub enum What {
-    InHand = 0,
+pub enum SubmitStatus {
+    InProgress = 0,
     Outcome = 1,
-    OtherText = 2,
+    IdConflict = 2,
     Refused = 3,
     Unprotected = 4,
     /// Its outcome is that it could not be finished.
     Failed = 5,
     /// Ask in the group of `at_epoch`.
-    Elsewhere = 6,
+    Redirected = 6,
 }
 
 #[derive(Clone, PartialEq, prost::Message)]
-pub struct Told {
+pub struct SubmitReply {
     #[prost(uint64, tag = "1")]
     pub epoch: u64,
     #[prost(string, tag = "2")]
     pub id: String,
-    #[prost(enumeration = "What", tag = "3")]
+    #[prost(enumeration = "SubmitStatus", tag = "3")]
     pub what: i32,
     #[prost(bytes = "bytes", tag = "4")]
     pub outcome: Bytes,
@@ -203,7 +203,7 @@
 
 /// Asks a member of an older group never to open this id in that epoch.
 #[derive(Clone, PartialEq, prost::Message)]
-pub struct Seal {
+pub struct Fence {
     #[prost(uint64, tag = "1")]
     pub epoch: u64,
     #[prost(string, tag = "2")]
@@ -215,7 +215,7 @@
 }
 
 #[derive(Clone, PartialEq, prost::Message)]
-pub struct Sealed {
+pub struct Fenced {
     #[prost(uint64, tag = "1")]
     pub epoch: u64,
     #[prost(string, tag = "2")]
@@ -232,7 +232,7 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum MessageError {
     TooLong(usize),
-    Spoilt(String),
+    Malformed(String),
     /// Of a later version: it says nothing that is known here.
     Unknown,
     /// What is wrong with a field.
@@ -242,8 +242,8 @@
 impl fmt::Display for MessageError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            MessageError::TooLong(n) => write!(f, "a message of {n} bytes, over {MOST_BYTES}"),
-            MessageError::Spoilt(why) => write!(f, "a message that cannot be read: {why}"),
+            MessageError::TooLong(n) => write!(f, "a message of {n} bytes, over {MAX_MESSAGE_BYTES}"),
+            MessageError::Malformed(why) => write!(f, "a message that cannot be read: {why}"),
             MessageError::Unknown => f.write_str("a message of no known kind"),
             MessageError::Field(why) => write!(f, "a message with {why}"),
         }
@@ -266,18 +266,18 @@
 
     /// Reads one whole message. Errors: over [`MOST_BYTES`], unreadable, of no known kind, or with a field out of bounds.
     pub fn from_bytes(bytes: &[u8]) -> Result<Message, MessageError> {
-        if bytes.len() > MOST_BYTES {
+        if bytes.len() > MAX_MESSAGE_BYTES {
             return Err(MessageError::TooLong(bytes.len()));
         }
-        let message = Message::decode(bytes).map_err(|e| MessageError::Spoilt(e.to_string()))?;
+        let message = Message::decode(bytes).map_err(|e| MessageError::Malformed(e.to_string()))?;
         let body = message.body.as_ref().ok_or(MessageError::Unknown)?;
-        if body.work().is_some_and(|(_, id)| id.is_empty() || id.len() > MOST_ID) {
+        if body.work().is_some_and(|(_, id)| id.is_empty() || id.len() > MAX_ID_BYTES) {
             return Err(MessageError::Field("an id that is empty or too long"));
         }
         let record = match body {
             Body::Accept(a) => Some(a.record.as_ref().ok_or(MessageError::Field("no record"))?),
             Body::Promised(p) => p.record.as_ref(),
-            Body::Ask(a) if a.parts.len() > MOST_PARTS => return Err(MessageError::Field("too many parts")),
+            Body::Ask(a) if a.parts.len() > MAX_PARTS => return Err(MessageError::Field("too many parts")),
             _ => None,
         };
         match record.and_then(Record::fault) {
--- a/src/cluster/takeover/mod.rs
+++ b/src/cluster/takeover/mod.rs
@@ -3,79 +3,82 @@
 //!
 //! Whatever is said may be lost, doubled, late or out of order: what is owed is said again by [`Works::tick`] until it
 //! is answered or over. What a member says to itself goes through the same doors, in [`Works::ready`].
+mod acceptor;
 mod api;
-mod entry;
 mod executor;
-mod guard;
+mod leader;
 mod lease;
-mod led;
 pub mod message;
 mod opening;
-mod owner;
+mod proposer;
 pub mod record;
 #[doc(hidden)]
 pub mod slot;
+mod submission;
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::rc::Rc;
 
-pub use api::{Act, Ask, ClassRule, Counts, Guards, Key, Limits, May, Reply, Token, WhenFull};
+pub use api::{
+    Action, ClassRule, ClientReply, ClientToken, Counters, ExecutionKey, Limits, SafetyChecks, SendDecision,
+    SubmitRequest, WhenFull,
+};
 pub use message::{Message, MessageError};
 pub use record::{Part, Record};
 
 use super::{Configuration, MemberId, Micros};
-use entry::Entry;
+use leader::LeaderState;
 use lease::Leases;
-use led::Led;
 use message::Body;
-use slot::Slot;
+use slot::AcceptorSlot;
+use submission::PendingSubmission;
 
 /// Configurations kept: as many epochs may have work open at one time. The fifth closes the first.
-const EPOCHS: usize = 4;
+const MAX_OPEN_EPOCHS: usize = 4;
 
 /// A piece of work: its epoch and id.
 type WorkId = (u64, Rc<str>);
 
 /// One member's share of all work in hand.
-pub struct Works {
+pub struct TakeoverState {
     me: MemberId,
     rules: Vec<Option<ClassRule>>,
     limits: Limits,
-    guards: Guards,
+    guards: SafetyChecks,
     /// Oldest first, at most [`EPOCHS`].
     configs: VecDeque<Configuration>,
     /// Bounded by `limits.works` and `limits.bytes`.
-    slots: BTreeMap<WorkId, Slot>,
+    slots: BTreeMap<WorkId, AcceptorSlot>,
     /// At most one for each slot that this member has, or is about to have.
-    led: BTreeMap<WorkId, Led>,
-    keys: BTreeMap<Key, WorkId>,
+    led: BTreeMap<WorkId, LeaderState>,
+    keys: BTreeMap<ExecutionKey, WorkId>,
     /// By id; bounded by `limits.works`.
-    asks: BTreeMap<Rc<str>, Entry>,
-    tokens: BTreeMap<Token, Rc<str>>,
+    asks: BTreeMap<Rc<str>, PendingSubmission>,
+    tokens: BTreeMap<ClientToken, Rc<str>>,
     leases: Leases,
     /// Rumours: they choose whom to ask first, and nothing more.
     dead: BTreeSet<MemberId>,
     now: Micros,
     /// What this member says to itself; emptied by every [`Works::ready`].
     own: VecDeque<Body>,
-    acts: Vec<Act>,
+    acts: Vec<Action>,
     dirty: BTreeSet<WorkId>,
     renew: Option<Micros>,
     scan: Option<Micros>,
     next_key: u64,
     bytes: usize,
-    counts: Counts,
+    counts: Counters,
 }
 
-impl Works {
+impl TakeoverState {
     /// `rules` by class; none: that class is not protected.
-    pub fn new(me: MemberId, rules: Vec<Option<ClassRule>>, limits: Limits) -> Works {
+    pub fn new(me: MemberId, rules: Vec<Option<ClassRule>>, limits: Limits) -> TakeoverState {
         let leases = Leases::new(limits.lease, limits.drift);
-        Works {
+        TakeoverState {
             me,
             rules,
             limits,
-            guards: Guards::default(),
+            guards: SafetyChecks::default(),
             configs: VecDeque::new(),
             slots: BTreeMap::new(),
             led: BTreeMap::new(),
@@ -92,13 +95,13 @@
             scan: None,
             next_key: 1,
             bytes: 0,
-            counts: Counts::default(),
+            counts: Counters::default(),
         }
     }
 
     /// Takes guards of the protocol out; for tests alone.
     #[doc(hidden)]
-    pub fn set_guards(&mut self, guards: Guards) {
+    pub fn set_guards(&mut self, guards: SafetyChecks) {
         self.guards = guards;
     }
 
@@ -118,7 +121,7 @@
             return;
         }
         self.configs.push_back(config);
-        if self.configs.len() > EPOCHS {
+        if self.configs.len() > MAX_OPEN_EPOCHS {
             let closed = self.configs.front().map_or(0, Configuration::epoch);
             self.close(now, closed);
         }
@@ -213,7 +216,7 @@
     }
 
     /// What is to be done, since the last time.
-    pub fn ready(&mut self) -> Vec<Act> {
+    pub fn ready(&mut self) -> Vec<Action> {
         loop {
             while let Some(body) = self.own.pop_front() {
                 self.handle(self.me.clone(), body);
@@ -224,8 +227,8 @@
         std::mem::take(&mut self.acts)
     }
 
-    pub fn counts(&self) -> Counts {
-        Counts { works: self.slots.len() as u64, bytes: self.bytes as u64, ..self.counts }
+    pub fn counts(&self) -> Counters {
+        Counters { works: self.slots.len() as u64, bytes: self.bytes as u64, ..self.counts }
     }
 
     fn send(&mut self, to: &MemberId, body: Body) {
@@ -233,7 +236,7 @@
             self.own.push_back(body);
         } else {
             self.counts.sent += 1;
-            self.acts.push(Act::Send { to: to.clone(), message: body.into() });
+            self.acts.push(Action::Send { to: to.clone(), message: body.into() });
         }
     }
 
--- a/src/cluster/takeover/opening.rs
+++ b/src/cluster/takeover/opening.rs
@@ -3,14 +3,14 @@
 
 use bytes::Bytes;
 
-use super::led::{majority, next_ballot, Led, Old, Phase};
-use super::message::{Asked, Sealed, What};
-use super::slot::{self, Slot, NEVER};
-use super::{Configuration, MemberId, Part, Record, WhenFull, WorkId, Works};
+use super::leader::{majority, next_ballot, LeaderState, Phase, PreviousGroup};
+use super::message::{Fenced, ForwardedSubmit, SubmitStatus};
+use super::slot::{self, AcceptorSlot, FENCED_BALLOT};
+use super::{Configuration, MemberId, Part, Record, TakeoverState, WhenFull, WorkId};
 
-impl Works {
+impl TakeoverState {
     /// A client's ask has come to this member as one of the group.
-    pub(super) fn asked(&mut self, from: MemberId, m: Asked) {
+    pub(super) fn asked(&mut self, from: MemberId, m: ForwardedSubmit) {
         let work: WorkId = (m.epoch, m.id.as_str().into());
         let Some(group) = self.group(&work, m.class) else {
             if m.epoch < self.newest() {
@@ -23,15 +23,15 @@
             return;
         };
         let same = |r: &Record| r.class == m.class && r.text == m.text || !self.guards.same_text;
-        if let Some(record) = self.slots.get(&work).and_then(Slot::record) {
+        if let Some(record) = self.slots.get(&work).and_then(AcceptorSlot::record) {
             // Invariant: an id stands for one text and class.
             if !same(record) {
                 self.counts.other_text += 1;
-                return self.tell(&from, &work, What::OtherText, Bytes::new());
+                return self.tell(&from, &work, SubmitStatus::IdConflict, Bytes::new());
             }
             // No majority had room: whoever asks later is not left waiting for what will not come.
             if self.led.get(&work).is_some_and(|l| l.refused) {
-                return self.tell(&from, &work, What::Refused, Bytes::new());
+                return self.tell(&from, &work, SubmitStatus::Refused, Bytes::new());
             }
             return self.join(&from, &work);
         }
@@ -39,10 +39,10 @@
             // Of another text it is not known yet which of the two stands: it is asked again.
             return match led.seed.as_ref().is_some_and(same) {
                 true => self.join(&from, &work),
-                false => self.tell(&from, &work, What::InHand, Bytes::new()),
+                false => self.tell(&from, &work, SubmitStatus::InProgress, Bytes::new()),
             };
         }
-        let sealed = self.slots.get(&work).is_some_and(|s| s.acceptor.promised == Some(NEVER));
+        let sealed = self.slots.get(&work).is_some_and(|s| s.acceptor.promised == Some(FENCED_BALLOT));
         if sealed || m.epoch < self.newest() {
             return self.elsewhere(&from, &work, self.newest());
         }
@@ -56,14 +56,14 @@
         match self.slots.get_mut(work) {
             Some(slot) if slot.decided.is_none() => {
                 slot.wait(from);
-                self.tell(from, work, What::InHand, Bytes::new());
+                self.tell(from, work, SubmitStatus::InProgress, Bytes::new());
             }
             Some(_) => self.tell_outcome(from, work),
-            None => self.tell(from, work, What::InHand, Bytes::new()),
+            None => self.tell(from, work, SubmitStatus::InProgress, Bytes::new()),
         }
     }
 
-    fn open(&mut self, from: MemberId, work: WorkId, group: Rc<[MemberId]>, rank: usize, m: Asked) {
+    fn open(&mut self, from: MemberId, work: WorkId, group: Rc<[MemberId]>, rank: usize, m: ForwardedSubmit) {
         let (repeats, when_full) =
             self.rule(m.class).map_or((false, WhenFull::Refuse), |r| (r.repeats, r.when_full));
         let granted = if repeats { self.most_tries().min(2) } else { 1 };
@@ -80,25 +80,25 @@
             parts: shards.into_iter().map(part).collect(),
             outcome: None,
             failed: false,
-            opened: key.0.wrapping_mul(slot::MOST_WAITERS as u64).wrapping_add(rank as u64),
+            opened: key.0.wrapping_mul(slot::MAX_WAITERS as u64).wrapping_add(rank as u64),
         };
         let bytes = record.bytes();
         let room = self.slots.contains_key(&work) || self.slots.len() < self.limits.works;
         if !room || self.bytes + bytes > self.limits.bytes || bytes > self.limits.record {
             let what = match when_full {
-                WhenFull::Refuse => What::Refused,
-                WhenFull::Unprotected => What::Unprotected,
+                WhenFull::Refuse => SubmitStatus::Refused,
+                WhenFull::Unprotected => SubmitStatus::Unprotected,
             };
             return self.tell(&from, &work, what, Bytes::new());
         }
-        let mut led = Led::new(key, group, rank, self.now);
+        let mut led = LeaderState::new(key, group, rank, self.now);
         led.deadline = self.now.saturating_add(m.left_us);
         led.keep = led.deadline.saturating_add(self.slack(m.class));
         led.olds = if self.guards.seal { self.olds(&work, m.class) } else { Vec::new() };
         led.seed = Some(record);
         // The slot is made now, so that there is somewhere to wait.
         let (left, slack, now) = (m.left_us, self.slack(m.class), self.now);
-        let slot = self.slots.entry(work.clone()).or_insert_with(|| Slot::new(now));
+        let slot = self.slots.entry(work.clone()).or_insert_with(|| AcceptorSlot::new(now));
         slot.until(now, left, slack);
         slot.waiters.clear();
         slot.wait(&from);
@@ -111,17 +111,17 @@
 
     /// Groups of older epochs that are still open. Invariant: an id is opened in an epoch only once a majority of its
     /// group in each older one has promised never to open it there.
-    fn olds(&self, work: &WorkId, class: u32) -> Vec<Old> {
+    fn olds(&self, work: &WorkId, class: u32) -> Vec<PreviousGroup> {
         let older = self.configs.iter().map(Configuration::epoch).filter(|e| *e < work.0);
         let group = |epoch| self.group(&(epoch, work.1.clone()), class).map(|g| (epoch, g.to_vec()));
         let old = |(epoch, group): (u64, Vec<MemberId>)| {
             let none = vec![false; group.len()];
-            Old { epoch, group, sealed: none.clone(), exists: none.clone(), full: none }
+            PreviousGroup { epoch, group, sealed: none.clone(), exists: none.clone(), full: none }
         };
         older.filter_map(group).map(old).collect()
     }
 
-    pub(super) fn sealed(&mut self, from: MemberId, m: Sealed) {
+    pub(super) fn sealed(&mut self, from: MemberId, m: Fenced) {
         let id: Rc<str> = m.id.as_str().into();
         let works = self.led.iter_mut().filter(|(w, l)| w.1 == id && l.phase == Phase::Seal);
         let mut changed = Vec::new();
@@ -162,7 +162,7 @@
                 }
                 // Nothing was written yet, so nobody holds what is refused here.
                 if led.olds.iter().any(|o| yes(&o.full) > o.group.len() - majority(o.group.len())) {
-                    self.give_up(work, |works, to| works.tell(to, work, What::Refused, Bytes::new()));
+                    self.give_up(work, |works, to| works.tell(to, work, SubmitStatus::Refused, Bytes::new()));
                 }
             }
             Phase::Prepare => {
@@ -186,7 +186,7 @@
             self.dirty.insert(work.clone());
             return;
         }
-        match next_ballot(promised.filter(|p| *p != NEVER), led.group.len(), led.rank) {
+        match next_ballot(promised.filter(|p| *p != FENCED_BALLOT), led.group.len(), led.rank) {
             Some(ballot) => led.prepare(ballot),
             None => return self.lose(work),
         }
--- a/src/cluster/takeover/owner.rs
+++ b/src/cluster/takeover/proposer.rs
@@ -3,15 +3,15 @@
 
 use bytes::Bytes;
 
-use super::led::{majority, next_ballot, Led, Phase};
+use super::leader::{majority, next_ballot, LeaderState, Phase};
 use super::message::{Accept, Accepted, Body, Decided, Prepare, Promised, Rejected, Renew};
-use super::message::{Seal, What};
-use super::slot::{self, NEVER};
-use super::{Act, Key, MemberId, Micros, WorkId, Works};
+use super::message::{Fence, SubmitStatus};
+use super::slot::{self, FENCED_BALLOT};
+use super::{Action, ExecutionKey, MemberId, Micros, TakeoverState, WorkId};
 
-impl Works {
-    pub(super) fn new_key(&mut self) -> Key {
-        let key = Key(self.next_key);
+impl TakeoverState {
+    pub(super) fn new_key(&mut self) -> ExecutionKey {
+        let key = ExecutionKey(self.next_key);
         self.next_key += 1;
         key
     }
@@ -29,11 +29,11 @@
         if !led.started && !led.record.over() && (majority_seq >= led.first || !record_first) {
             led.started = true;
             self.keys.insert(key, work.clone());
-            let start = Act::Start { key, record: Rc::new(led.record.clone()), takeover: led.takeover };
+            let start = Action::Start { key, record: Rc::new(led.record.clone()), takeover: led.takeover };
             self.acts.push(start);
         }
         for (step, shard, granted) in led.granted(holds) {
-            self.acts.push(Act::Granted { key, step, shard, granted });
+            self.acts.push(Action::Granted { key, step, shard, granted });
         }
         // Invariant: what is told stood with a majority before, and the ballot still holds.
         if majority_has_outcome && holds {
@@ -56,7 +56,7 @@
     }
 
     /// Does a majority of the group keep the lease on this work, this member among it?
-    pub(super) fn led_holds(&self, led: &Led, now: Micros) -> bool {
+    pub(super) fn led_holds(&self, led: &LeaderState, now: Micros) -> bool {
         let covered = |(rank, member): (usize, &MemberId)| {
             let vote = led.votes.get(rank);
             vote.is_some_and(|v| {
@@ -143,11 +143,11 @@
             Phase::Prepare if m.wait_us > 0 => {
                 led.resend = now.saturating_add(m.wait_us.clamp(pause, 20 * pause))
             }
-            Phase::Prepare if m.promised == NEVER && led.hopeless(|v| v.rejected) => {
+            Phase::Prepare if m.promised == FENCED_BALLOT && led.hopeless(|v| v.rejected) => {
                 let newest = self.newest();
                 self.give_up(&work, |works, to| works.elsewhere(to, &work, newest));
             }
-            Phase::Prepare if m.promised == NEVER => {}
+            Phase::Prepare if m.promised == FENCED_BALLOT => {}
             Phase::Prepare => match next {
                 // Two that ask at once wait unlike times.
                 Some(ballot) => {
@@ -172,7 +172,7 @@
     fn refuse(&mut self, work: &WorkId) {
         let waiters = self.slots.get_mut(work).map(|s| std::mem::take(&mut s.waiters)).unwrap_or_default();
         for waiter in waiters {
-            self.tell(&waiter, work, What::Refused, Bytes::new());
+            self.tell(&waiter, work, SubmitStatus::Refused, Bytes::new());
         }
         let Some(led) = self.led.get_mut(work) else { return };
         led.refused = true;
@@ -191,13 +191,13 @@
         led.record.parts.iter_mut().for_each(|p| p.value = None);
         if led.started {
             self.keys.remove(&led.key);
-            self.acts.push(Act::Stop { key: led.key });
+            self.acts.push(Action::Stop { key: led.key });
         }
         self.counts.failed += 1;
         self.dirty.insert(work.clone());
     }
 
-    pub(super) fn give_up(&mut self, work: &WorkId, tell: impl Fn(&mut Works, &MemberId)) {
+    pub(super) fn give_up(&mut self, work: &WorkId, tell: impl Fn(&mut TakeoverState, &MemberId)) {
         let waiters = self.slots.get_mut(work).map(|s| std::mem::take(&mut s.waiters)).unwrap_or_default();
         self.lose(work);
         for waiter in waiters {
@@ -210,12 +210,12 @@
         if let Some(led) = self.drop_led(work) {
             self.counts.lost_ballots += u64::from(led.phase == Phase::Lead);
             if led.started {
-                self.acts.push(Act::Stop { key: led.key });
+                self.acts.push(Action::Stop { key: led.key });
             }
         }
     }
 
-    pub(super) fn drop_led(&mut self, work: &WorkId) -> Option<Led> {
+    pub(super) fn drop_led(&mut self, work: &WorkId) -> Option<LeaderState> {
         let led = self.led.remove(work)?;
         self.keys.remove(&led.key);
         self.dirty.remove(work);
@@ -235,7 +235,7 @@
                 for old in &led.olds {
                     let silent = old.group.iter().zip(old.sealed.iter().zip(&old.exists));
                     for (member, _) in silent.filter(|(_, (s, e))| !**s && !**e) {
-                        let seal = Seal { epoch: old.epoch, id: id.clone(), class, left_us };
+                        let seal = Fence { epoch: old.epoch, id: id.clone(), class, left_us };
                         owed.push((member.clone(), Body::Seal(seal)));
                     }
                 }
@@ -265,7 +265,7 @@
 
     pub(super) fn tick_led(&mut self) {
         let now = self.now;
-        let due = |l: &Led| l.resend <= now || l.write_by.is_some_and(|at| at <= now);
+        let due = |l: &LeaderState| l.resend <= now || l.write_by.is_some_and(|at| at <= now);
         let due: Vec<WorkId> = self.led.iter().filter(|(_, l)| due(l)).map(|(w, _)| w.clone()).collect();
         for work in due {
             let Some(led) = self.led.get(&work) else { continue };
--- a/src/cluster/takeover/record.rs
+++ b/src/cluster/takeover/record.rs
@@ -2,10 +2,10 @@
 use bytes::Bytes;
 
 /// The longest id of a piece of work, in bytes.
-pub const MOST_ID: usize = 128;
+pub const MAX_ID_BYTES: usize = 128;
 /// Parts of one piece of work at most: far over any query's, and bounded so that a message cannot ask for more memory
 /// than its own size warrants.
-pub const MOST_PARTS: usize = 16_384;
+pub const MAX_PARTS: usize = 16_384;
 
 /// One piece of work. What `text` and `outcome` hold is the fronts' affair.
 #[derive(Clone, PartialEq, Eq, Hash, prost::Message)]
@@ -73,7 +73,7 @@
     pub(super) fn part_mut(&mut self, step: u8, shard: u32) -> Option<&mut Part> {
         let at = match self.place(step, shard) {
             Ok(at) => at,
-            Err(_) if self.parts.len() >= MOST_PARTS => return None,
+            Err(_) if self.parts.len() >= MAX_PARTS => return None,
             Err(at) => {
                 self.parts.insert(at, Part { step: step.into(), shard, ..Part::default() });
                 at
@@ -92,9 +92,9 @@
             [a, b] => (a.step, a.shard) < (b.step, b.shard),
             _ => true,
         });
-        if self.id.is_empty() || self.id.len() > MOST_ID {
+        if self.id.is_empty() || self.id.len() > MAX_ID_BYTES {
             Some("a record whose id is empty or too long")
-        } else if self.parts.len() > MOST_PARTS {
+        } else if self.parts.len() > MAX_PARTS {
             Some("a record with too many parts")
         } else if !sorted {
             Some("a record whose parts are out of order")
--- a/src/cluster/takeover/slot.rs
+++ b/src/cluster/takeover/slot.rs
@@ -6,7 +6,7 @@
 use crate::cluster::{MemberId, Micros};
 
 /// A promise that nothing fulfils: the slot is sealed.
-pub const NEVER: u64 = u64::MAX;
+pub const FENCED_BALLOT: u64 = u64::MAX;
 
 /// What is accepted: which opening it belongs to.
 pub trait Opening: Clone {
@@ -75,7 +75,7 @@
     /// nothing yet does not stand against it: that one will be refused.
     pub fn seal(&mut self) -> bool {
         if self.accepted.is_none() {
-            self.promised = Some(NEVER);
+            self.promised = Some(FENCED_BALLOT);
         }
         self.accepted.is_none()
     }
@@ -83,7 +83,7 @@
 
 /// One piece of work at one guard.
 #[derive(Debug)]
-pub struct Slot {
+pub struct AcceptorSlot {
     pub acceptor: Acceptor,
     /// The client's end, on the own clock.
     pub deadline: Micros,
@@ -100,11 +100,11 @@
 }
 
 /// A client asks two or three members, not more; who is not in this list learns the outcome when it asks again.
-pub const MOST_WAITERS: usize = 16;
+pub const MAX_WAITERS: usize = 16;
 
-impl Slot {
-    pub fn new(now: Micros) -> Slot {
-        Slot {
+impl AcceptorSlot {
+    pub fn new(now: Micros) -> AcceptorSlot {
+        AcceptorSlot {
             acceptor: Acceptor::default(),
             deadline: now,
             keep: now,
@@ -126,7 +126,7 @@
     }
 
     pub fn wait(&mut self, member: &MemberId) {
-        if self.waiters.len() < MOST_WAITERS && !self.waiters.contains(member) {
+        if self.waiters.len() < MAX_WAITERS && !self.waiters.contains(member) {
             self.waiters.push(member.clone());
         }
     }
--- a/src/cluster/takeover/entry.rs
+++ b/src/cluster/takeover/submission.rs
@@ -4,13 +4,15 @@
 
 use bytes::Bytes;
 
-use super::message::{Asked, Body, Told, What};
-use super::record::{MOST_ID, MOST_PARTS};
-use super::slot::Slot;
-use super::{Act, Ask, MemberId, Micros, Reply, Token, WhenFull, WorkId, Works};
+use super::message::{Body, ForwardedSubmit, SubmitReply, SubmitStatus};
+use super::record::{MAX_ID_BYTES, MAX_PARTS};
+use super::slot::AcceptorSlot;
+use super::{
+    Action, ClientReply, ClientToken, MemberId, Micros, SubmitRequest, TakeoverState, WhenFull, WorkId,
+};
 
 /// Clients of one process that wait for one id.
-const MOST_TOKENS: usize = 1024;
+const MAX_CLIENTS_PER_ID: usize = 1024;
 
 /// Seconds after which a client that was refused may come again: a little over what most queries take.
 const RETRY_AFTER: f64 = 0.5;
@@ -24,10 +26,10 @@
 
 /// An ask that waits for its reply.
 #[derive(Debug)]
-pub struct Entry {
-    ask: Ask,
+pub struct PendingSubmission {
+    ask: SubmitRequest,
     text: Bytes,
-    tokens: Vec<Token>,
+    tokens: Vec<ClientToken>,
     pub deadline: Micros,
     epoch: u64,
     /// Whom it asks.
@@ -39,38 +41,38 @@
     pub next: Micros,
 }
 
-impl Works {
+impl TakeoverState {
     /// A client asks. Its reply comes as [`Act::Answer`], by its end at the latest.
-    pub fn submit(&mut self, now: Micros, unix_ms: u64, token: Token, ask: Ask) {
+    pub fn submit(&mut self, now: Micros, unix_ms: u64, token: ClientToken, ask: SubmitRequest) {
         self.now = self.now.max(now);
         let Some(when_full) = self.rule(ask.class.into()).map(|r| r.when_full) else {
             self.counts.unprotected += 1;
-            return self.answer(token, Reply::Unprotected);
+            return self.answer(token, ClientReply::Unprotected);
         };
         let left = ask.ends.saturating_sub(unix_ms).saturating_mul(1000);
         if left == 0 {
-            return self.answer(token, Reply::Late);
+            return self.answer(token, ClientReply::DeadlineExceeded);
         }
         if let Some(entry) = self.asks.get_mut(&ask.id) {
             if self.guards.same_text && (entry.ask.class != ask.class || entry.ask.text != ask.text) {
                 self.counts.other_text += 1;
-                return self.answer(token, Reply::OtherText);
+                return self.answer(token, ClientReply::IdConflict);
             }
-            if entry.tokens.len() < MOST_TOKENS {
+            if entry.tokens.len() < MAX_CLIENTS_PER_ID {
                 entry.tokens.push(token);
                 self.tokens.insert(token, ask.id);
                 return;
             }
             return self.full(token, when_full);
         }
-        let fits = (1..=MOST_ID).contains(&ask.id.len())
+        let fits = (1..=MAX_ID_BYTES).contains(&ask.id.len())
             && ask.text.len() <= self.limits.record
-            && ask.parts.len() <= MOST_PARTS;
+            && ask.parts.len() <= MAX_PARTS;
         if !fits || self.asks.len() >= self.limits.works || self.configs.is_empty() {
             return self.full(token, when_full);
         }
         let id = Rc::clone(&ask.id);
-        let entry = Entry {
+        let entry = PendingSubmission {
             text: Bytes::copy_from_slice(&ask.text),
             ask,
             tokens: vec![token],
@@ -87,7 +89,7 @@
     }
 
     /// That client has gone; its work goes on.
-    pub fn leave(&mut self, token: Token) {
+    pub fn leave(&mut self, token: ClientToken) {
         let Some(id) = self.tokens.remove(&token) else { return };
         if let Some(entry) = self.asks.get_mut(&id) {
             entry.tokens.retain(|t| *t != token);
@@ -98,21 +100,21 @@
     }
 
     /// It cannot be held: what its class says is done.
-    fn full(&mut self, token: Token, when_full: WhenFull) {
+    fn full(&mut self, token: ClientToken, when_full: WhenFull) {
         match when_full {
             WhenFull::Refuse => {
                 self.counts.refused += 1;
-                self.answer(token, Reply::Refused { retry_after: RETRY_AFTER });
+                self.answer(token, ClientReply::Refused { retry_after: RETRY_AFTER });
             }
             WhenFull::Unprotected => {
                 self.counts.unprotected += 1;
-                self.answer(token, Reply::Unprotected);
+                self.answer(token, ClientReply::Unprotected);
             }
         }
     }
 
-    fn answer(&mut self, token: Token, reply: Reply) {
-        self.acts.push(Act::Answer { token, reply });
+    fn answer(&mut self, token: ClientToken, reply: ClientReply) {
+        self.acts.push(Action::Answer { token, reply });
     }
 
     /// Says the ask to whom it is for now; one of whom nobody says that it is dead, if there is such.
@@ -132,7 +134,7 @@
             (entry.rank, entry.since, entry.heard) = (rank, now, false);
         }
         let Some(to) = group.get(rank).cloned() else { return };
-        let ask = Asked {
+        let ask = ForwardedSubmit {
             epoch,
             id: id.to_string(),
             class,
@@ -170,7 +172,7 @@
         for id in due {
             let Some(entry) = self.asks.get_mut(&id) else { continue };
             if entry.deadline <= now {
-                self.reply(&id, Reply::Late);
+                self.reply(&id, ClientReply::DeadlineExceeded);
                 continue;
             }
             // Silent for most of a lease: the next rank is asked.
@@ -181,14 +183,14 @@
         }
     }
 
-    pub(super) fn told(&mut self, from: MemberId, m: Told) {
+    pub(super) fn told(&mut self, from: MemberId, m: SubmitReply) {
         let id: Rc<str> = m.id.as_str().into();
         let Some((epoch, class)) = self.asks.get(&id).map(|e| (e.epoch, u32::from(e.ask.class))) else {
             return;
         };
         let group = self.group(&(m.epoch, Rc::clone(&id)), class);
         let rank = group.as_ref().and_then(|g| self.rank(g, &from));
-        let (Some(group), Some(rank), Ok(what)) = (group, rank, What::try_from(m.what)) else {
+        let (Some(group), Some(rank), Ok(what)) = (group, rank, SubmitStatus::try_from(m.what)) else {
             self.counts.strangers += 1;
             return;
         };
@@ -196,20 +198,20 @@
         let Some(entry) = self.asks.get_mut(&id) else { return };
         let ours = print_of(class, &entry.text) == m.of || !self.guards.same_text;
         match what {
-            What::Outcome | What::Failed if !ours => {}
-            What::Outcome => self.reply(&id, Reply::Outcome(m.outcome.to_vec().into())),
-            What::Failed => self.reply(&id, Reply::Late),
-            What::OtherText => self.reply(&id, Reply::OtherText),
-            What::Refused => {
+            SubmitStatus::Outcome | SubmitStatus::Failed if !ours => {}
+            SubmitStatus::Outcome => self.reply(&id, ClientReply::Outcome(m.outcome.to_vec().into())),
+            SubmitStatus::Failed => self.reply(&id, ClientReply::DeadlineExceeded),
+            SubmitStatus::IdConflict => self.reply(&id, ClientReply::IdConflict),
+            SubmitStatus::Refused => {
                 let retry_after =
                     if m.retry_after.is_finite() { m.retry_after.clamp(0.0, 60.0) } else { RETRY_AFTER };
-                self.reply(&id, Reply::Refused { retry_after })
+                self.reply(&id, ClientReply::Refused { retry_after })
             }
-            What::Unprotected => self.reply(&id, Reply::Unprotected),
-            What::InHand if m.epoch == epoch && rank == entry.rank % group.len() => {
+            SubmitStatus::Unprotected => self.reply(&id, ClientReply::Unprotected),
+            SubmitStatus::InProgress if m.epoch == epoch && rank == entry.rank % group.len() => {
                 (entry.since, entry.heard) = (now, true);
             }
-            What::Elsewhere if m.epoch == epoch && rank == entry.rank % group.len() && known => {
+            SubmitStatus::Redirected if m.epoch == epoch && rank == entry.rank % group.len() && known => {
                 (entry.since, entry.heard) = (now, false);
                 if m.at_epoch < epoch {
                     (entry.epoch, entry.rank) = (m.at_epoch, 0);
@@ -221,37 +223,47 @@
                 }
                 self.lead(&id);
             }
-            What::InHand | What::Elsewhere => {}
+            SubmitStatus::InProgress | SubmitStatus::Redirected => {}
         }
     }
 
     /// Everybody who waits for it here gets the reply.
-    fn reply(&mut self, id: &Rc<str>, reply: Reply) {
+    fn reply(&mut self, id: &Rc<str>, reply: ClientReply) {
         let Some(entry) = self.asks.remove(id) else { return };
         for token in entry.tokens {
             self.tokens.remove(&token);
             match reply {
-                Reply::Refused { .. } => self.counts.refused += 1,
-                Reply::Unprotected => self.counts.unprotected += 1,
-                Reply::OtherText => self.counts.other_text += 1,
-                Reply::Outcome(_) | Reply::Late => {}
+                ClientReply::Refused { .. } => self.counts.refused += 1,
+                ClientReply::Unprotected => self.counts.unprotected += 1,
+                ClientReply::IdConflict => self.counts.other_text += 1,
+                ClientReply::Outcome(_) | ClientReply::DeadlineExceeded => {}
             }
             self.answer(token, reply.clone());
         }
     }
 
-    pub(super) fn tell(&mut self, to: &MemberId, work: &WorkId, what: What, outcome: Bytes) {
+    pub(super) fn tell(&mut self, to: &MemberId, work: &WorkId, what: SubmitStatus, outcome: Bytes) {
         let (epoch, id) = (work.0, work.1.to_string());
-        let record = self.slots.get(work).and_then(Slot::record);
+        let record = self.slots.get(work).and_then(AcceptorSlot::record);
         let of = record.map_or(0, |r| print_of(r.class, &r.text));
-        let told =
-            Told { epoch, id, what: what.into(), outcome, retry_after: RETRY_AFTER, at_epoch: work.0, of };
+        let told = SubmitReply {
+            epoch,
+            id,
+            what: what.into(),
+            outcome,
+            retry_after: RETRY_AFTER,
+            at_epoch: work.0,
+            of,
+        };
         self.send(to, Body::Told(told));
     }
 
     pub(super) fn elsewhere(&mut self, to: &MemberId, work: &WorkId, at_epoch: u64) {
         let (epoch, id) = (work.0, work.1.to_string());
-        let (what, outcome) = (What::Elsewhere.into(), Bytes::new());
-        self.send(to, Body::Told(Told { epoch, id, what, outcome, retry_after: 0.0, at_epoch, of: 0 }));
+        let (what, outcome) = (SubmitStatus::Redirected.into(), Bytes::new());
+        self.send(
+            to,
+            Body::Told(SubmitReply { epoch, id, what, outcome, retry_after: 0.0, at_epoch, of: 0 }),
+        );
     }
 }
--- a/src/config/operator/cluster.rs
+++ b/src/config/operator/cluster.rs
@@ -8,8 +8,8 @@
 
 use super::Seg;
 use crate::balancer::interface::Idempotency;
-use crate::cluster::configuration::MOST_GUARDS;
-use crate::cluster::takeover::message::MOST_BYTES;
+use crate::cluster::configuration::MAX_GROUP_SIZE;
+use crate::cluster::takeover::message::MAX_MESSAGE_BYTES;
 use crate::cluster::takeover::{self, ClassRule, WhenFull};
 use crate::cluster::{Configuration, Member, MemberId};
 use crate::config::settings::Deployment;
@@ -151,10 +151,10 @@
         let l = &file.limits;
         let bounds = [
             ("works", l.works, 1, 1 << 20),
-            ("record", l.record, 1024, MOST_BYTES - ENVELOPE),
+            ("record", l.record, 1024, MAX_MESSAGE_BYTES - ENVELOPE),
             ("bytes", l.bytes, l.record, 1 << 40),
             ("taken_over", l.taken_over, 1, 1 << 20),
-            ("frame", l.frame, l.record + ENVELOPE, MOST_BYTES),
+            ("frame", l.frame, l.record + ENVELOPE, MAX_MESSAGE_BYTES),
             ("queue", l.queue, 16, 1 << 20),
         ];
         for (key, value, least, most) in bounds {
@@ -175,8 +175,8 @@
                 return bad(&["protect", name], "there is no query_api that could execute it");
             }
             // A majority of two is both: one guard would make the work depend on more members, not on fewer.
-            if !(3..=MOST_GUARDS).contains(&protect.guards) {
-                return bad(&here("guards"), &format!("must be 3 to {MOST_GUARDS}"));
+            if !(3..=MAX_GROUP_SIZE).contains(&protect.guards) {
+                return bad(&here("guards"), &format!("must be 3 to {MAX_GROUP_SIZE}"));
             }
             if !(0.0..=3600.0).contains(&protect.slack_s) {
                 return bad(&here("slack_s"), "must be 0 to 3600");
--- a/src/net/cluster/driver.rs
+++ b/src/net/cluster/driver.rs
@@ -14,11 +14,13 @@
 use slog::{debug, info, warn, Logger};
 
 use super::clock::Clock;
-use super::execution::{Execute, Hold, Machine, Run};
+use super::execution::{Execution, ExecutionHandle, TakeoverStateMachine, WorkExecutor};
 use super::frames::{Frame, FrameError, Hello, VERSION};
 use super::outbox::Outbox;
 use crate::cluster::bootstrap::first_configuration::{self, Founding};
-use crate::cluster::takeover::{Act, Ask, Counts, Key, May, Reply, Token, Works};
+use crate::cluster::takeover::{
+    Action, ClientReply, ClientToken, Counters, ExecutionKey, SendDecision, SubmitRequest, TakeoverState,
+};
 use crate::cluster::{Configuration, Member, MemberId, Micros};
 use crate::config::operator::ClusterConfig;
 use crate::coordinator::CancellationToken;
@@ -34,7 +36,7 @@
     members: Rc<[Member]>,
     most_frame: usize,
     clock: Clock,
-    works: RefCell<Works>,
+    works: RefCell<TakeoverState>,
     founding: RefCell<Founding>,
     config: RefCell<Option<Configuration>>,
     /// The latest life of each name that was seen.
@@ -43,10 +45,10 @@
     outboxes: BTreeMap<Rc<str>, Rc<Outbox>>,
     /// Whether each member is reached, as last reported.
     alive: RefCell<BTreeMap<Rc<str>, bool>>,
-    waiting: RefCell<HashMap<Token, Sender<Reply>>>,
-    runs: RefCell<HashMap<Key, Weak<Run>>>,
-    executes: RefCell<Option<Rc<dyn Execute>>>,
-    last_token: Cell<Token>,
+    waiting: RefCell<HashMap<ClientToken, Sender<ClientReply>>>,
+    runs: RefCell<HashMap<ExecutionKey, Weak<Execution>>>,
+    executes: RefCell<Option<Rc<dyn WorkExecutor>>>,
+    last_token: Cell<ClientToken>,
     /// Actions are being carried out further up the stack.
     busy: Cell<bool>,
     /// When the timer runs out, and what makes it be set anew.
@@ -61,7 +63,7 @@
     pub fn new(setup: &ClusterConfig, log: Logger) -> Rc<Driver> {
         let clock = Clock::start();
         let me = MemberId::new(&setup.name, clock.started_unix_us);
-        let works = Works::new(me.clone(), setup.rules.clone(), setup.limits.clone());
+        let works = TakeoverState::new(me.clone(), setup.rules.clone(), setup.limits.clone());
         let founding = Founding::new(clock.now(), me.clone(), setup.members.clone());
         let others = setup.members.iter().filter(|m| m.id.name != me.name);
         let outbox = |m: &Member| (m.id.name.clone(), Rc::new(Outbox::new(setup.queue, setup.frame)));
@@ -112,7 +114,7 @@
         self.config.borrow().clone()
     }
 
-    pub fn counts(&self) -> Counts {
+    pub fn counts(&self) -> Counters {
         self.works.borrow().counts()
     }
 
@@ -121,7 +123,7 @@
         self.outboxes.values().map(|o| o.dropped.get()).sum()
     }
 
-    pub fn executes(&self, front: Rc<dyn Execute>) {
+    pub fn executes(&self, front: Rc<dyn WorkExecutor>) {
         *self.executes.borrow_mut() = Some(front);
     }
 
@@ -130,14 +132,14 @@
     }
 
     /// Pass an event to the machine and carry out the actions that follow.
-    fn work<T>(self: &Rc<Self>, what: impl FnOnce(&mut Works, Micros) -> T) -> T {
+    fn work<T>(self: &Rc<Self>, what: impl FnOnce(&mut TakeoverState, Micros) -> T) -> T {
         let given = what(&mut self.works.borrow_mut(), self.clock.now());
         self.carry_out();
         given
     }
 
     /// A client's ask; its reply comes by `reply`.
-    pub fn submit(self: &Rc<Self>, ask: Ask, reply: Sender<Reply>) -> Token {
+    pub fn submit(self: &Rc<Self>, ask: SubmitRequest, reply: Sender<ClientReply>) -> ClientToken {
         let (token, unix_ms) = (self.last_token.get() + 1, self.clock.unix_ms());
         self.last_token.set(token);
         self.waiting.borrow_mut().insert(token, reply);
@@ -146,7 +148,7 @@
     }
 
     /// That client no longer waits.
-    pub fn leave(self: &Rc<Self>, token: Token) {
+    pub fn leave(self: &Rc<Self>, token: ClientToken) {
         if self.waiting.borrow_mut().remove(&token).is_some() {
             self.work(|works, _| works.leave(token));
         }
@@ -295,38 +297,38 @@
         }
     }
 
-    fn act_on_work(self: &Rc<Self>, act: Act) {
+    fn act_on_work(self: &Rc<Self>, act: Action) {
         match act {
-            Act::Send { to, message } => self.send(&to, &Frame::Work(message)),
-            Act::Start { key, record, takeover } => {
-                let machine: Rc<dyn Machine> = self.clone();
-                let run = Run::new(key, Rc::downgrade(&machine));
+            Action::Send { to, message } => self.send(&to, &Frame::Work(message)),
+            Action::Start { key, record, takeover } => {
+                let machine: Rc<dyn TakeoverStateMachine> = self.clone();
+                let run = Execution::new(key, Rc::downgrade(&machine));
                 self.runs.borrow_mut().insert(key, Rc::downgrade(&run));
                 debug!(self.log, "protected work begun"; "id" => &record.id, "takeover" => takeover);
                 let front = self.executes.borrow().clone();
                 match front {
-                    Some(front) => front.start(key, record, takeover, Hold::new(run)),
+                    Some(front) => front.start(key, record, takeover, ExecutionHandle::new(run)),
                     None => self.warn("nobody executes protected work here", &"", &record.id),
                 }
             }
-            Act::Granted { key, .. } => {
+            Action::Granted { key, .. } => {
                 if let Some(run) = self.run(key) {
                     run.granted();
                 }
             }
-            Act::Stop { key } => {
+            Action::Stop { key } => {
                 if let Some(run) = self.run(key) {
                     run.stop();
                 }
             }
-            Act::Answer { token, reply } => {
+            Action::Answer { token, reply } => {
                 let waits = self.waiting.borrow_mut().remove(&token);
                 drop(waits.map(|w| w.try_send(reply)));
             }
         }
     }
 
-    fn run(&self, key: Key) -> Option<Rc<Run>> {
+    fn run(&self, key: ExecutionKey) -> Option<Rc<Execution>> {
         self.runs.borrow().get(&key).and_then(Weak::upgrade)
     }
 
@@ -355,28 +357,28 @@
     }
 }
 
-impl Machine for Driver {
-    fn may_send(self: Rc<Self>, key: Key, step: u8, shard: u32, attempt: u8) -> May {
+impl TakeoverStateMachine for Driver {
+    fn may_send(self: Rc<Self>, key: ExecutionKey, step: u8, shard: u32, attempt: u8) -> SendDecision {
         self.work(|works, now| works.may_send(now, key, step, shard, attempt))
     }
 
-    fn holds(&self, key: Key) -> bool {
+    fn holds(&self, key: ExecutionKey) -> bool {
         self.works.borrow().holds(self.clock.now(), key)
     }
 
-    fn cleared(self: Rc<Self>, key: Key, step: u8, shard: u32) {
+    fn cleared(self: Rc<Self>, key: ExecutionKey, step: u8, shard: u32) {
         self.work(|works, now| works.cleared(now, key, step, shard));
     }
 
-    fn value(self: Rc<Self>, key: Key, step: u8, shard: u32, value: Rc<[u8]>, score: f64) {
+    fn value(self: Rc<Self>, key: ExecutionKey, step: u8, shard: u32, value: Rc<[u8]>, score: f64) {
         self.work(|works, now| works.value(now, key, step, shard, value, score));
     }
 
-    fn finish(self: Rc<Self>, key: Key, outcome: Rc<[u8]>) {
+    fn finish(self: Rc<Self>, key: ExecutionKey, outcome: Rc<[u8]>) {
         self.work(|works, now| works.finish(now, key, outcome));
     }
 
-    fn over(&self, key: Key) {
+    fn over(&self, key: ExecutionKey) {
         self.runs.borrow_mut().remove(&key);
         self.idle.notify(usize::MAX);
     }
--- a/src/net/cluster/execution.rs
+++ b/src/net/cluster/execution.rs
@@ -4,43 +4,43 @@
 
 use event_listener::Event as Wake;
 
-use crate::cluster::takeover::{Key, May, Record};
+use crate::cluster::takeover::{ExecutionKey, Record, SendDecision};
 
 /// A front that executes the work of which this process is the owner, from its start or by takeover.
-pub trait Execute {
+pub trait WorkExecutor {
     /// Begin to execute `record`. Must not block: what takes time goes into a task of its own. To `takeover` belongs
     /// a record in which parts may have been granted, cleared and answered before.
-    fn start(self: Rc<Self>, key: Key, record: Rc<Record>, takeover: bool, hold: Hold);
+    fn start(self: Rc<Self>, key: ExecutionKey, record: Rc<Record>, takeover: bool, hold: ExecutionHandle);
 }
 
 /// The machine that decides over a piece of work, as a hold asks it. Whoever owns the machine carries out what it says.
-pub(super) trait Machine {
-    fn may_send(self: Rc<Self>, key: Key, step: u8, shard: u32, attempt: u8) -> May;
+pub(super) trait TakeoverStateMachine {
+    fn may_send(self: Rc<Self>, key: ExecutionKey, step: u8, shard: u32, attempt: u8) -> SendDecision;
 
     /// Changes nothing.
-    fn holds(&self, key: Key) -> bool;
+    fn holds(&self, key: ExecutionKey) -> bool;
 
-    fn cleared(self: Rc<Self>, key: Key, step: u8, shard: u32);
+    fn cleared(self: Rc<Self>, key: ExecutionKey, step: u8, shard: u32);
 
-    fn value(self: Rc<Self>, key: Key, step: u8, shard: u32, value: Rc<[u8]>, score: f64);
+    fn value(self: Rc<Self>, key: ExecutionKey, step: u8, shard: u32, value: Rc<[u8]>, score: f64);
 
-    fn finish(self: Rc<Self>, key: Key, outcome: Rc<[u8]>);
+    fn finish(self: Rc<Self>, key: ExecutionKey, outcome: Rc<[u8]>);
 
     /// The last hold on it is gone.
-    fn over(&self, key: Key);
+    fn over(&self, key: ExecutionKey);
 }
 
 /// What is kept of a piece of work that this process executes, for as long as a [`Hold`] on it lives.
-pub(super) struct Run {
-    key: Key,
-    machine: Weak<dyn Machine>,
+pub(super) struct Execution {
+    key: ExecutionKey,
+    machine: Weak<dyn TakeoverStateMachine>,
     stopped: Cell<bool>,
     wake: Wake,
 }
 
-impl Run {
-    pub(super) fn new(key: Key, machine: Weak<dyn Machine>) -> Rc<Run> {
-        Rc::new(Run { key, machine, stopped: Cell::new(false), wake: Wake::new() })
+impl Execution {
+    pub(super) fn new(key: ExecutionKey, machine: Weak<dyn TakeoverStateMachine>) -> Rc<Execution> {
+        Rc::new(Execution { key, machine, stopped: Cell::new(false), wake: Wake::new() })
     }
 
     /// More attempts of one of its parts were granted.
@@ -55,7 +55,7 @@
     }
 }
 
-impl Drop for Run {
+impl Drop for Execution {
     fn drop(&mut self) {
         if let Some(machine) = self.machine.upgrade() {
             machine.over(self.key);
@@ -66,14 +66,14 @@
 /// A piece of work that this process executes. Copies refer to the same work; dropping the last one says that the front
 /// will do no more of it.
 #[derive(Clone)]
-pub struct Hold(Rc<Run>);
+pub struct ExecutionHandle(Rc<Execution>);
 
-impl Hold {
-    pub(super) fn new(run: Rc<Run>) -> Hold {
-        Hold(run)
+impl ExecutionHandle {
+    pub(super) fn new(run: Rc<Execution>) -> ExecutionHandle {
+        ExecutionHandle(run)
     }
 
-    pub fn key(&self) -> Key {
+    pub fn key(&self) -> ExecutionKey {
         self.0.key
     }
 
@@ -87,9 +87,9 @@
             }
             let Some(machine) = self.0.machine.upgrade() else { return false };
             match machine.may_send(self.0.key, step, shard, attempt) {
-                May::Now => return true,
-                May::Never => return false,
-                May::Later => {}
+                SendDecision::Now => return true,
+                SendDecision::Never => return false,
+                SendDecision::Later => {}
             }
             wake.await;
         }
@@ -132,7 +132,7 @@
         }
     }
 
-    fn tell(&self, what: impl FnOnce(Rc<dyn Machine>)) {
+    fn tell(&self, what: impl FnOnce(Rc<dyn TakeoverStateMachine>)) {
         if let Some(machine) = self.0.machine.upgrade().filter(|_| !self.is_stopped()) {
             what(machine);
         }
--- a/src/net/cluster/mod.rs
+++ b/src/net/cluster/mod.rs
@@ -20,9 +20,9 @@
 use slog::{info, Logger};
 
 use self::driver::Driver;
-pub use self::execution::{Execute, Hold};
+pub use self::execution::{ExecutionHandle, WorkExecutor};
 use super::timeout_at;
-use crate::cluster::takeover::{Ask, Counts, Reply, Token};
+use crate::cluster::takeover::{ClientReply, ClientToken, Counters, SubmitRequest};
 use crate::cluster::{Configuration, MemberId};
 use crate::config::operator::ClusterConfig;
 
@@ -53,7 +53,7 @@
     }
 
     /// Who executes the works that this process owns or takes over. Set before [`Fleet::begin`].
-    pub fn executes(&self, front: Rc<dyn Execute>) {
+    pub fn executes(&self, front: Rc<dyn WorkExecutor>) {
         self.driver.executes(front);
     }
 
@@ -92,17 +92,17 @@
 
     /// Ask for a piece of work: led to the one under its id, or begun. Whoever drops this waits no more; the work
     /// goes on.
-    pub async fn ask(&self, ask: Ask) -> Reply {
+    pub async fn ask(&self, ask: SubmitRequest) -> ClientReply {
         if self.leaving.get() {
-            return Reply::Refused { retry_after: ELSEWHERE };
+            return ClientReply::Refused { retry_after: ELSEWHERE };
         }
         let (send, reply) = async_channel::bounded(1);
         let token = self.driver.submit(ask, send);
         let _asked = Asked { driver: self.driver.clone(), token };
-        reply.recv().await.unwrap_or(Reply::Late)
+        reply.recv().await.unwrap_or(ClientReply::DeadlineExceeded)
     }
 
-    pub fn counts(&self) -> Counts {
+    pub fn counts(&self) -> Counters {
         self.driver.counts()
     }
 
@@ -139,7 +139,7 @@
 /// A client that waits.
 struct Asked {
     driver: Rc<Driver>,
-    token: Token,
+    token: ClientToken,
 }
 
 impl Drop for Asked {
--- a/src/net/opensearch/protected.rs
+++ b/src/net/opensearch/protected.rs
@@ -13,10 +13,10 @@
 use super::search::{error, Front, Joined, Ready};
 use super::servers::Notes;
 use crate::balancer::interface::ShardId;
-use crate::cluster::takeover::{Ask, Key, Part, Record, Reply};
+use crate::cluster::takeover::{ClientReply, ExecutionKey, Part, Record, SubmitRequest};
 use crate::coordinator::{AttemptGate, PendingGrant, PriorProgress, TakeoverProtection, Value};
 use crate::net::buffer::Buffer;
-use crate::net::cluster::{ClusterNode, Execute, Hold};
+use crate::net::cluster::{ClusterNode, ExecutionHandle, WorkExecutor};
 use crate::net::http::{Answer, Message};
 use crate::net::timeout_at;
 
@@ -41,7 +41,7 @@
         message: &Message,
         buffer: &Buffer,
         ready: &Ready,
-    ) -> Option<(Rc<ClusterNode>, Ask)> {
+    ) -> Option<(Rc<ClusterNode>, SubmitRequest)> {
         let fleet = &self.joined.get()?.fleet;
         let class = ready.query.class.0;
         let Some(Ok(id)) = message.only(buffer, "X-Opaque-Id").filter(|_| fleet.protects(class)) else {
@@ -55,35 +55,46 @@
         let ends = fleet.unix_ms().saturating_add(u64::try_from(left).unwrap_or(u64::MAX));
         let text = Text { target: &Text::untimed(target), body: &body }.encode().into();
         let parts = ready.parts.iter().map(|s| s.0).collect();
-        Some((fleet.clone(), Ask { id: id.into(), class, text, ends, parts }))
+        Some((fleet.clone(), SubmitRequest { id: id.into(), class, text, ends, parts }))
     }
 
     /// The fleet's answer to a search. `None`: it is to be run here, without protection.
-    pub(super) async fn asked(&self, fleet: &ClusterNode, ask: Ask, deadline: Instant) -> Option<Answer> {
+    pub(super) async fn asked(
+        &self,
+        fleet: &ClusterNode,
+        ask: SubmitRequest,
+        deadline: Instant,
+    ) -> Option<Answer> {
         let latest = deadline.checked_add(FORGOTTEN).unwrap_or(deadline);
-        let reply = timeout_at(latest, fleet.ask(ask)).await.unwrap_or(Reply::Late);
+        let reply = timeout_at(latest, fleet.ask(ask)).await.unwrap_or(ClientReply::DeadlineExceeded);
         Some(match reply {
-            Reply::Outcome(bytes) => match outcome::decode(&bytes) {
+            ClientReply::Outcome(bytes) => match outcome::decode(&bytes) {
                 Ok(answer) => answer,
                 Err(e) => {
                     self.spoilt("spoilt outcome of a protected search", &e);
                     error(500, "outcome_exception", "the outcome cannot be read")
                 }
             },
-            Reply::OtherText => {
+            ClientReply::IdConflict => {
                 error(409, "id_conflict_exception", "the id is that of another search that is not over yet")
             }
-            Reply::Refused { retry_after } => Answer {
+            ClientReply::Refused { retry_after } => Answer {
                 retry_after: Some(retry_after),
                 ..error(429, "rejected_execution_exception", "the fleet cannot take the search now")
             },
-            Reply::Late => error(504, "timeout_exception", "the search ran out of time"),
-            Reply::Unprotected => return None,
+            ClientReply::DeadlineExceeded => error(504, "timeout_exception", "the search ran out of time"),
+            ClientReply::Unprotected => return None,
         })
     }
 
     /// From the record to its outcome, for as long as the hold on it lasts.
-    async fn execute(self: Rc<Self>, record: Rc<Record>, takeover: bool, ends: Instant, hold: Hold) {
+    async fn execute(
+        self: Rc<Self>,
+        record: Rc<Record>,
+        takeover: bool,
+        ends: Instant,
+        hold: ExecutionHandle,
+    ) {
         let lost = async {
             hold.stopped().await;
             None
@@ -95,7 +106,13 @@
         }
     }
 
-    async fn executed(&self, record: &Record, takeover: bool, ends: Instant, hold: &Hold) -> Answer {
+    async fn executed(
+        &self,
+        record: &Record,
+        takeover: bool,
+        ends: Instant,
+        hold: &ExecutionHandle,
+    ) -> Answer {
         let text = match Text::decode(&record.text) {
             Ok(text) => text,
             Err(e) => {
@@ -132,8 +149,8 @@
     }
 }
 
-impl Execute for Front {
-    fn start(self: Rc<Self>, _: Key, record: Rc<Record>, takeover: bool, hold: Hold) {
+impl WorkExecutor for Front {
+    fn start(self: Rc<Self>, _: ExecutionKey, record: Rc<Record>, takeover: bool, hold: ExecutionHandle) {
         let Some(Joined { fleet, executor }) = self.joined.get() else { return };
         let left = Duration::from_millis(record.ends.saturating_sub(fleet.unix_ms()));
         let now = Instant::now();
@@ -156,7 +173,7 @@
 
 /// The fleet's hold on a search, as the core asks for it.
 struct Held {
-    hold: Hold,
+    hold: ExecutionHandle,
     notes: Rc<RefCell<Notes>>,
 }
 
--- a/tests/fleet_links.rs
+++ b/tests/fleet_links.rs
@@ -9,11 +9,11 @@
 use async_executor::LocalExecutor;
 use async_io::Async;
 use marlgap::cluster::bootstrap::first_configuration::{Kind, Note, Round};
-use marlgap::cluster::takeover::{Ask, Key, Record, Reply};
+use marlgap::cluster::takeover::{ClientReply, ExecutionKey, Record, SubmitRequest};
 use marlgap::cluster::Configuration;
 use marlgap::config::operator::OperatorConfig;
 use marlgap::net::cluster::frames::{parse, Frame, Hello};
-use marlgap::net::cluster::{ClusterNode, Execute, Hold};
+use marlgap::net::cluster::{ClusterNode, ExecutionHandle, WorkExecutor};
 use slog::{o, Drain, Logger};
 
 const PATIENCE: Duration = Duration::from_secs(20);
@@ -46,8 +46,8 @@
     idles: bool,
 }
 
-impl Execute for Front {
-    fn start(self: Rc<Self>, _: Key, record: Rc<Record>, takeover: bool, hold: Hold) {
+impl WorkExecutor for Front {
+    fn start(self: Rc<Self>, _: ExecutionKey, record: Rc<Record>, takeover: bool, hold: ExecutionHandle) {
         let executor = self.executor.clone();
         let run = async move {
             for part in &record.parts {
@@ -94,11 +94,17 @@
             let serve = async move {
                 while let Ok((id, size, reply)) = asked.recv().await {
                     let (text, parts) = (vec![7; size].into(), [1, 2, 3][..].into());
-                    let ask = Ask { id: id.into(), class: 1, text, ends: asking.unix_ms() + 15_000, parts };
+                    let ask = SubmitRequest {
+                        id: id.into(),
+                        class: 1,
+                        text,
+                        ends: asking.unix_ms() + 15_000,
+                        parts,
+                    };
                     let fleet = asking.clone();
                     let answered = async move {
                         let outcome = match fleet.ask(ask).await {
-                            Reply::Outcome(by) => String::from_utf8(by.to_vec()).ok(),
+                            ClientReply::Outcome(by) => String::from_utf8(by.to_vec()).ok(),
                             _ => None,
                         };
                         let _ = reply.send(outcome);
--- a/tests/fleet_work/check.rs
+++ b/tests/fleet_work/check.rs
@@ -2,8 +2,8 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::rc::Rc;
 
-use marlgap::cluster::takeover::slot::{Acceptor, NEVER};
-use marlgap::cluster::takeover::{Record, Reply, Works};
+use marlgap::cluster::takeover::slot::{Acceptor, FENCED_BALLOT};
+use marlgap::cluster::takeover::{ClientReply, Record, TakeoverState};
 use marlgap::cluster::MemberId;
 
 use crate::sim::World;
@@ -21,7 +21,8 @@
     fn group_of(&self, epoch: u64, id: &str) -> Vec<Option<(Acceptor, Option<u64>)>> {
         let Some(config) = self.configs.iter().find(|c| c.epoch() == epoch) else { return Vec::new() };
         let live = self.nodes.iter().map(|n| (&n.id, &n.works));
-        let all: Vec<(&MemberId, &Works)> = live.chain(self.graves.iter().map(|(m, w)| (m, w))).collect();
+        let all: Vec<(&MemberId, &TakeoverState)> =
+            live.chain(self.graves.iter().map(|(m, w)| (m, w))).collect();
         let group = config.group(id.as_bytes(), self.plan.group);
         let works = |m: &MemberId| all.iter().rev().find(|(id, _)| *id == m).map(|(_, w)| *w);
         group.iter().map(|m| works(&m.id).and_then(|w| w.inspect(epoch, id))).collect()
@@ -36,7 +37,8 @@
     fn lost(&self, n: usize, id: &str) -> bool {
         let Some((epoch, ballot)) = self.led_by(n, id) else { return false };
         let group = self.group_of(epoch, id);
-        let higher = |(a, _): &&(Acceptor, Option<u64>)| a.promised.is_some_and(|p| p > ballot && p != NEVER);
+        let higher =
+            |(a, _): &&(Acceptor, Option<u64>)| a.promised.is_some_and(|p| p > ballot && p != FENCED_BALLOT);
         group.iter().flatten().filter(higher).count() > group.len() / 2
     }
 
@@ -72,8 +74,8 @@
         }
     }
 
-    pub fn answered(&mut self, client: usize, reply: &Reply) {
-        let Reply::Outcome(outcome) = reply else { return };
+    pub fn answered(&mut self, client: usize, reply: &ClientReply) {
+        let ClientReply::Outcome(outcome) = reply else { return };
         let (id, text) = (Rc::clone(&self.clients[client].id), Rc::clone(&self.clients[client].text));
         let first = self.history.outcomes.entry(Rc::clone(&id)).or_insert_with(|| Rc::clone(outcome));
         if first != outcome {
@@ -101,7 +103,12 @@
             if alive && client.replies.is_empty() {
                 self.history.wrong.insert("an ask without a reply");
             }
-            if calm && client.replies.iter().any(|r| matches!(r, Reply::Late | Reply::Refused { .. })) {
+            if calm
+                && client
+                    .replies
+                    .iter()
+                    .any(|r| matches!(r, ClientReply::DeadlineExceeded | ClientReply::Refused { .. }))
+            {
                 self.history.wrong.insert("out of time though all was well again");
             }
         }
--- a/tests/fleet_work/main.rs
+++ b/tests/fleet_work/main.rs
@@ -7,7 +7,7 @@
 use std::collections::BTreeMap;
 use std::thread;
 
-use marlgap::cluster::takeover::{Guards, Reply};
+use marlgap::cluster::takeover::{ClientReply, SafetyChecks};
 use sim::{Plan, World, SECOND};
 
 fn plan(seed: u64) -> Plan {
@@ -45,7 +45,7 @@
 }
 
 impl Found {
-    fn one(seed: u64, plan: Plan, guards: Guards) -> Found {
+    fn one(seed: u64, plan: Plan, guards: SafetyChecks) -> Found {
         let mut world = World::new(seed, plan, guards);
         world.run(plan.calm + 5 * SECOND);
         world.check_end(!plan.restarts);
@@ -59,9 +59,9 @@
         }
         for reply in world.clients.iter().flat_map(|c| &c.replies) {
             match reply {
-                Reply::Outcome(_) => found.outcomes += 1,
-                Reply::OtherText => found.other_text += 1,
-                Reply::Refused { .. } => found.refused += 1,
+                ClientReply::Outcome(_) => found.outcomes += 1,
+                ClientReply::IdConflict => found.other_text += 1,
+                ClientReply::Refused { .. } => found.refused += 1,
                 _ => found.late += 1,
             }
         }
@@ -86,7 +86,7 @@
     }
 }
 
-fn play(seeds: std::ops::Range<u64>, guards: Guards, plan: fn(u64) -> Plan) -> Found {
+fn play(seeds: std::ops::Range<u64>, guards: SafetyChecks, plan: fn(u64) -> Plan) -> Found {
     let cores = thread::available_parallelism().map_or(1, |n| n.get()).min(8) as u64;
     let part = move |first: u64| {
         let seeds = (seeds.start + first..seeds.end).step_by(cores as usize);
@@ -101,7 +101,8 @@
 
 #[test]
 fn nothing_goes_wrong_in_eight_thousand_seeds() {
-    let found = play(0..6000, Guards::default(), plan).add(play(0..2000, Guards::default(), tight));
+    let found =
+        play(0..6000, SafetyChecks::default(), plan).add(play(0..2000, SafetyChecks::default(), tight));
     println!("{found:?}");
     assert!(found.wrong.is_empty(), "{:?}", found.wrong);
     // The runs must have had in them what they are to show.
@@ -122,7 +123,7 @@
         restarts: true,
         ..Plan::default()
     };
-    let found = play(0..2, Guards::default(), plan);
+    let found = play(0..2, SafetyChecks::default(), plan);
     println!("{found:?}");
     assert!(found.wrong.is_empty(), "{:?}", found.wrong);
     assert!(found.taken_over > 100 && found.outcomes > 2000, "{found:?}");
@@ -131,7 +132,7 @@
 #[test]
 fn groups_of_five_lose_two() {
     let five = |seed| Plan { members: 6 + seed as usize % 4, group: 5, ..plan(seed) };
-    let found = play(0..1000, Guards::default(), five);
+    let found = play(0..1000, SafetyChecks::default(), five);
     println!("{found:?}");
     assert!(found.wrong.is_empty(), "{:?}", found.wrong);
     assert!(found.taken_over > 200 && found.outcomes > 20 * found.late, "{found:?}");
@@ -141,17 +142,18 @@
 #[test]
 fn what_cannot_be_held_is_refused() {
     let full = |seed| Plan { ids: 20, works: Some(3), ..plan(seed) };
-    let mut found = play(0..500, Guards::default(), full);
+    let mut found = play(0..500, SafetyChecks::default(), full);
     println!("{found:?}");
     found.wrong.remove("out of time though all was well again");
     assert!(found.wrong.is_empty(), "{:?}", found.wrong);
     assert!(found.refused > 500 && found.outcomes > 500, "{found:?}");
     // Nor is it where older groups have no room for a seal.
     let changed = |seed| Plan { ids: 20, works: Some(3), ..plan(8 * seed + 6) };
-    let changed = play(0..60, Guards::default(), changed);
+    let changed = play(0..60, SafetyChecks::default(), changed);
     assert!(changed.refused > 500 && changed.late == 0, "{changed:?}");
     // Without faults nobody is left waiting: who is not refused gets the outcome.
-    let calm = play(0..60, Guards::default(), |seed| Plan { ids: 20, works: Some(3), ..plan(8 * seed) });
+    let calm =
+        play(0..60, SafetyChecks::default(), |seed| Plan { ids: 20, works: Some(3), ..plan(8 * seed) });
     assert!(calm.refused > 500 && calm.outcomes > 300 && calm.late == 0, "{calm:?}");
 }
 
@@ -159,17 +161,17 @@
 #[test]
 fn a_query_costs_its_messages() {
     let plan = |_| Plan { members: 9, ids: 1, plain: true, calm: 1, ..Plan::default() };
-    let found = play(0..100, Guards::default(), plan);
+    let found = play(0..100, SafetyChecks::default(), plan);
     println!("messages a query: {}", found.messages as f64 / 100.0);
     assert!(found.messages < 100 * 30, "{found:?}");
 }
 
 /// With one guard taken out, the seeds find what it was for; with it in they find nothing, as above.
-fn finds(guards: Guards, wrong: &[&str]) {
+fn finds(guards: SafetyChecks, wrong: &[&str]) {
     finds_in(plan, guards, wrong);
 }
 
-fn finds_in(plan: fn(u64) -> Plan, guards: Guards, wrong: &[&str]) {
+fn finds_in(plan: fn(u64) -> Plan, guards: SafetyChecks, wrong: &[&str]) {
     let all_found = |f: &Found| wrong.iter().all(|w| f.wrong.contains_key(w));
     let mut found = Found::default();
     for first in (0..6000).step_by(500) {
@@ -185,45 +187,59 @@
 
 #[test]
 fn finder_of_the_promise() {
-    finds(Guards { promise: false, ..Guards::default() }, &["two outcomes"]);
+    finds(SafetyChecks { promise: false, ..SafetyChecks::default() }, &["two outcomes"]);
 }
 
 #[test]
 fn finder_of_the_guards_wait_for_the_lease() {
-    finds_in(tight, Guards { lease_wait: false, ..Guards::default() }, &["sent under a lost ballot"]);
+    finds_in(
+        tight,
+        SafetyChecks { lease_wait: false, ..SafetyChecks::default() },
+        &["sent under a lost ballot"],
+    );
 }
 
 #[test]
 fn finder_of_the_owners_lease() {
-    finds_in(tight, Guards { lease_hold: false, ..Guards::default() }, &["sent under a lost ballot"]);
+    finds_in(
+        tight,
+        SafetyChecks { lease_hold: false, ..SafetyChecks::default() },
+        &["sent under a lost ballot"],
+    );
 }
 
 #[test]
 fn finder_of_the_grant() {
-    finds(Guards { grant: false, ..Guards::default() }, &["ran twice"]);
+    finds(SafetyChecks { grant: false, ..SafetyChecks::default() }, &["ran twice"]);
 }
 
 #[test]
 fn finder_of_the_outcome_first() {
-    finds(Guards { outcome_first: false, ..Guards::default() }, &["answered before it stood"]);
+    finds(SafetyChecks { outcome_first: false, ..SafetyChecks::default() }, &["answered before it stood"]);
 }
 
 #[test]
 fn finder_of_the_incarnation() {
-    finds(Guards { incarnation: false, ..Guards::default() }, &["answered before it stood", "ran twice"]);
+    finds(
+        SafetyChecks { incarnation: false, ..SafetyChecks::default() },
+        &["answered before it stood", "ran twice"],
+    );
 }
 
 #[test]
 fn finder_of_the_record_first() {
-    finds(Guards { record_first: false, ..Guards::default() }, &["begun before its record stood"]);
+    finds(
+        SafetyChecks { record_first: false, ..SafetyChecks::default() },
+        &["begun before its record stood"],
+    );
 }
 
 #[test]
 fn finder_of_the_seal() {
-    finds(Guards { seal: false, ..Guards::default() }, &["two outcomes"]);
+    finds(SafetyChecks { seal: false, ..SafetyChecks::default() }, &["two outcomes"]);
 }
 
 #[test]
 fn finder_of_the_same_text() {
-    finds(Guards { same_text: false, ..Guards::default() }, &["the outcome of another text"]);
+    finds(SafetyChecks { same_text: false, ..SafetyChecks::default() }, &["the outcome of another text"]);
 }
--- a/tests/fleet_work/sim.rs
+++ b/tests/fleet_work/sim.rs
@@ -7,7 +7,8 @@
 use std::rc::Rc;
 
 use marlgap::cluster::takeover::{
-    Ask, ClassRule, Guards, Key, Limits, Message, Record, Reply, Token, WhenFull, Works,
+    ClassRule, ClientReply, ClientToken, ExecutionKey, Limits, Message, Record, SafetyChecks, SubmitRequest,
+    TakeoverState, WhenFull,
 };
 use marlgap::cluster::{Configuration, Member, MemberId};
 use rand_core::{RngCore, SeedableRng};
@@ -64,7 +65,7 @@
     Deliver(usize, MemberId, Rc<Message>),
     Wake(usize),
     Ask { node: usize, client: usize },
-    Ran { node: usize, life: u64, key: Key, shard: u32, how: How },
+    Ran { node: usize, life: u64, key: ExecutionKey, shard: u32, how: How },
     Cut(usize, usize, bool),
     Stop(usize, u64),
     Continue(usize),
@@ -86,7 +87,7 @@
     pub class: u16,
     pub text: Rc<[u8]>,
     pub ends: u64,
-    pub replies: Vec<Reply>,
+    pub replies: Vec<ClientReply>,
     pub asked: bool,
     at: usize,
 }
@@ -101,8 +102,8 @@
 
 pub struct Node {
     pub id: MemberId,
-    pub works: Works,
-    runs: BTreeMap<Key, Run>,
+    pub works: TakeoverState,
+    runs: BTreeMap<ExecutionKey, Run>,
     rate: f64,
     stopped: bool,
     pub up: bool,
@@ -118,18 +119,18 @@
     count: u64,
     pub nodes: Vec<Node>,
     /// Those that died: what they held still counts for what stood.
-    pub graves: Vec<(MemberId, Works)>,
+    pub graves: Vec<(MemberId, TakeoverState)>,
     cut: Vec<Vec<bool>>,
     pub configs: Vec<Configuration>,
     pub clients: Vec<Client>,
     pub plan: Plan,
-    guards: Guards,
+    guards: SafetyChecks,
     pub history: History,
     pub messages: u64,
 }
 
 impl World {
-    pub fn new(seed: u64, plan: Plan, guards: Guards) -> World {
+    pub fn new(seed: u64, plan: Plan, guards: SafetyChecks) -> World {
         let rng = Pcg64Mcg::seed_from_u64(seed);
         let mut world = World {
             now: 0,
@@ -168,7 +169,7 @@
         };
         let limits = Limits::default();
         let limits = Limits { works: self.plan.works.unwrap_or(limits.works), ..limits };
-        let mut works = Works::new(id.clone(), vec![rule(false), rule(true)], limits);
+        let mut works = TakeoverState::new(id.clone(), vec![rule(false), rule(true)], limits);
         works.set_guards(self.guards);
         let rate = 1.0 + self.below(99) as f64 / 10_000.0;
         Node {
@@ -307,8 +308,8 @@
                 let c = &mut self.clients[client];
                 (c.at, c.asked) = (n, true);
                 let (id, text, parts) = (Rc::clone(&c.id), Rc::clone(&c.text), [1, 2].into());
-                let ask = Ask { id, class: c.class, text, ends: c.ends, parts };
-                self.nodes[n].works.submit(now, unix, client as Token, ask);
+                let ask = SubmitRequest { id, class: c.class, text, ends: c.ends, parts };
+                self.nodes[n].works.submit(now, unix, client as ClientToken, ask);
                 self.act(n);
             }
             Event::Ran { node, life, key, shard, how } => {
--- a/tests/fleet_work/sim/acts.rs
+++ b/tests/fleet_work/sim/acts.rs
@@ -2,7 +2,7 @@
 use std::rc::Rc;
 
 use marlgap::cluster::takeover::message::Body;
-use marlgap::cluster::takeover::{Act, Key, May, Message, Part};
+use marlgap::cluster::takeover::{Action, ExecutionKey, Message, Part, SendDecision};
 use marlgap::cluster::MemberId;
 use rand_core::RngCore;
 
@@ -18,8 +18,8 @@
             }
             for act in acts {
                 match act {
-                    Act::Send { to, message } => self.post(n, to, message),
-                    Act::Start { key, record, takeover } => {
+                    Action::Send { to, message } => self.post(n, to, message),
+                    Action::Start { key, record, takeover } => {
                         self.begun(n, &record.id);
                         let next = |p: &Part| {
                             let first = if takeover { p.granted as u8 } else { 0 };
@@ -36,14 +36,14 @@
                         shards.into_iter().for_each(|s| self.attempt(n, key, s));
                         self.finish(n, key);
                     }
-                    Act::Granted { key, shard, .. } => {
+                    Action::Granted { key, shard, .. } => {
                         self.attempt(n, key, shard);
                         self.finish(n, key);
                     }
-                    Act::Stop { key } => {
+                    Action::Stop { key } => {
                         self.nodes[n].runs.remove(&key);
                     }
-                    Act::Answer { token, reply } => {
+                    Action::Answer { token, reply } => {
                         let client = token as usize;
                         self.answered(client, &reply);
                         self.clients[client].replies.push(reply);
@@ -81,13 +81,13 @@
         }
     }
 
-    fn attempt(&mut self, n: usize, key: Key, shard: u32) {
+    fn attempt(&mut self, n: usize, key: ExecutionKey, shard: u32) {
         let now = self.clock(n);
         let Some(run) = self.nodes[n].runs.get(&key) else { return };
         let Some(Some(attempt)) = run.next.get(&shard).copied() else { return };
         let (record, life) = (Rc::clone(&run.record), self.nodes[n].id.incarnation);
         match self.nodes[n].works.may_send(now, key, 0, shard, attempt) {
-            May::Now => {
+            SendDecision::Now => {
                 let how = match self.below(if self.plan.plain { 70 } else { 100 }) {
                     0..=69 => How::Value,
                     70..=84 => How::NeverRan,
@@ -98,8 +98,8 @@
                 let after = MS + self.below(150 * MS);
                 self.later(after, Event::Ran { node: n, life, key, shard, how });
             }
-            May::Later => {}
-            May::Never => {
+            SendDecision::Later => {}
+            SendDecision::Never => {
                 if let Some(run) = self.nodes[n].runs.get_mut(&key) {
                     run.next.insert(shard, None);
                 }
@@ -107,7 +107,7 @@
         }
     }
 
-    pub(super) fn ran(&mut self, n: usize, key: Key, shard: u32, how: How) {
+    pub(super) fn ran(&mut self, n: usize, key: ExecutionKey, shard: u32, how: How) {
         let now = self.clock(n);
         let Some(run) = self.nodes[n].runs.get_mut(&key) else { return };
         let Some(next) = run.next.get_mut(&shard) else { return };
@@ -126,7 +126,7 @@
         self.finish(n, key);
     }
 
-    fn finish(&mut self, n: usize, key: Key) {
+    fn finish(&mut self, n: usize, key: ExecutionKey) {
         let (now, nonce) = (self.clock(n), self.rng.next_u64());
         let Some(run) = self.nodes[n].runs.get_mut(&key) else { return };
         if !run.done && run.next.values().all(Option::is_none) {
--- a/tests/golden_wire/work.rs
+++ b/tests/golden_wire/work.rs
@@ -1,7 +1,8 @@
 //! What members say to each other about work in hand: a message of each kind, each field with a value of its own.
 use bytes::Bytes;
 use marlgap::cluster::takeover::message::{
-    Accept, Accepted, Asked, Body, Decided, Prepare, Promised, Rejected, Renew, Seal, Sealed, Told, What,
+    Accept, Accepted, Body, Decided, Fence, Fenced, ForwardedSubmit, Prepare, Promised, Rejected, Renew,
+    SubmitReply, SubmitStatus,
 };
 use marlgap::cluster::takeover::{Message, Part, Record};
 
@@ -30,8 +31,8 @@
     }
 }
 
-fn asked() -> Asked {
-    Asked {
+fn asked() -> ForwardedSubmit {
+    ForwardedSubmit {
         epoch: 101,
         id: "asked-id".to_owned(),
         class: 12,
@@ -42,8 +43,8 @@
     }
 }
 
-fn told(what: What) -> Told {
-    Told {
+fn told(what: SubmitStatus) -> SubmitReply {
+    SubmitReply {
         epoch: 102,
         id: "told-id".to_owned(),
         what: what.into(),
@@ -95,19 +96,19 @@
         failed: true,
         opened: 0x1112_1314_1516_1718,
     };
-    let seal = Seal { epoch: 109, id: "seal-id".to_owned(), class: 14, left_us: 2_500_009 };
-    let sealed = Sealed { epoch: 110, id: "sealed-id".to_owned(), exists: true, full: true };
-    let sealed_exists = Sealed { epoch: 111, id: "sealed-id".to_owned(), exists: true, full: false };
-    let sealed_full = Sealed { epoch: 112, id: "sealed-id".to_owned(), exists: false, full: true };
+    let seal = Fence { epoch: 109, id: "seal-id".to_owned(), class: 14, left_us: 2_500_009 };
+    let sealed = Fenced { epoch: 110, id: "sealed-id".to_owned(), exists: true, full: true };
+    let sealed_exists = Fenced { epoch: 111, id: "sealed-id".to_owned(), exists: true, full: false };
+    let sealed_full = Fenced { epoch: 112, id: "sealed-id".to_owned(), exists: false, full: true };
     vec![
         ("ask", Body::Ask(asked())),
-        ("told_in_hand", Body::Told(told(What::InHand))),
-        ("told_outcome", Body::Told(told(What::Outcome))),
-        ("told_other_text", Body::Told(told(What::OtherText))),
-        ("told_refused", Body::Told(told(What::Refused))),
-        ("told_unprotected", Body::Told(told(What::Unprotected))),
-        ("told_failed", Body::Told(told(What::Failed))),
-        ("told_elsewhere", Body::Told(told(What::Elsewhere))),
+        ("told_in_hand", Body::Told(told(SubmitStatus::InProgress))),
+        ("told_outcome", Body::Told(told(SubmitStatus::Outcome))),
+        ("told_other_text", Body::Told(told(SubmitStatus::IdConflict))),
+        ("told_refused", Body::Told(told(SubmitStatus::Refused))),
+        ("told_unprotected", Body::Told(told(SubmitStatus::Unprotected))),
+        ("told_failed", Body::Told(told(SubmitStatus::Failed))),
+        ("told_elsewhere", Body::Told(told(SubmitStatus::Redirected))),
         ("accept", Body::Accept(accept())),
         ("accepted", Body::Accepted(accepted)),
         ("prepare", Body::Prepare(prepare)),
