--- a/benches/scale/control/plane/workers.rs
+++ b/benches/scale/control/plane/workers.rs
@@ -1,4 +1,4 @@
-//! Hollow members that hold works for each other: the program's own [`Works`] with its messages and frames, and an
+//! Hollow members that hold works for each other: the program's own [`TakeoverState`] with its messages and frames, and an
 //! executor that never ends, so that the number of works in hand stays as it was set.
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::rc::Rc;
@@ -72,11 +72,11 @@
         let all = (0..count).map(|i| seat(i).member).collect();
         let config = Configuration::new(1, all).map_err(|e| e.to_string())?;
         let rule = ClassRule {
-            repeats: true,
-            guards: GROUP,
-            slack_ms: 5_000,
-            when_full: WhenFull::Refuse,
-            worth: 1.0,
+            idempotent: true,
+            group_size: GROUP,
+            outcome_retention_ms: 5_000,
+            when_full: WhenFull::Reject,
+            priority_weight: 1.0,
         };
         let worker = |i| {
             let id = seat(i).member.id;
@@ -142,7 +142,7 @@
         let mut holding = BTreeMap::new();
         for member in self.members.iter().filter(|m| of(m.place)) {
             let Some(works) = &member.works else { continue };
-            for (id, _) in member.runs.iter().filter(|(_, key)| works.holds(now, **key)) {
+            for (id, _) in member.runs.iter().filter(|(_, key)| works.holds_lease(now, **key)) {
                 *holding.entry(id.clone()).or_default() += 1;
             }
         }
@@ -161,7 +161,7 @@
         }
         self.members[to].traffic.received.add(bytes.len());
         match frames::parse(bytes, bytes.len()) {
-            Ok(Some((Frame::Work(message), _))) => {
+            Ok(Some((Frame::Takeover(message), _))) => {
                 self.with(to, |works, now, unix| works.receive(now, unix, &id, message));
             }
             other => self.broken = Some(format!("a frame is read as {other:?}")),
@@ -175,8 +175,8 @@
         let Some(works) = &mut member.works else { return };
         let begun = Instant::now();
         call(works, now, UNIX + now / MS);
-        let acts = works.ready();
-        let due = works.due();
+        let acts = works.take_actions();
+        let due = works.next_due();
         member.traffic.took(begun.elapsed());
         if let Some(due) = due.filter(|due| member.wakes.is_none_or(|wakes| *due < wakes)) {
             member.wakes = Some(due);
@@ -189,7 +189,7 @@
         match act {
             Action::Send { to, message } => {
                 let Some(to) = self.names.get(&to.name).copied() else { return };
-                let bytes = Frame::Work(message).bytes();
+                let bytes = Frame::Takeover(message).bytes();
                 let member = &mut self.members[i];
                 member.traffic.sent.add(bytes.len());
                 member.peers.insert(to as u32);
@@ -229,9 +229,9 @@
                 let ask = SubmitRequest {
                     id: format!("work-{i:04}-{n:04}").as_str().into(),
                     class: 0,
-                    text: vec![b't'; TEXT].into(),
-                    ends: UNIX + 600_000,
-                    parts: [1, 2, 3].into(),
+                    payload: vec![b't'; TEXT].into(),
+                    deadline_unix_ms: UNIX + 600_000,
+                    shards: [1, 2, 3].into(),
                 };
                 self.with(i, |works, now, unix| {
                     works.submit(now, unix, n + 1, ask);
--- a/src/cluster/takeover/api.rs
+++ b/src/cluster/takeover/api.rs
@@ -1,198 +1,232 @@
-//! The plain types that go in and out of [`super::Works`].
+//! The types that go into and out of [`super::TakeoverState`].
 use std::rc::Rc;
 
 use super::message::Message;
 use super::record::Record;
+use super::slot::PromiseCheck;
 use crate::cluster::{MemberId, Micros};
 
-/// A waiting client of this process.
+/// A client of this process that waits for a reply.
 pub type ClientToken = u64;
 
-/// A piece of work that this process executes: new for each [`Act::Start`].
+/// A work item that this process executes: a new one for each [`Action::Start`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct ExecutionKey(pub u64);
 
-/// What a client asks for.
+/// A client's request.
 #[derive(Clone, Debug)]
 pub struct SubmitRequest {
-    /// 1 to 128 bytes.
+    /// The client's id of it, 1 to 128 bytes. Requests under one id with one payload and class have one outcome.
     pub id: Rc<str>,
+    /// The class of the query, by its place in the settings.
     pub class: u16,
-    /// What its front needs to run it again.
-    pub text: Rc<[u8]>,
-    /// The client's end, Unix milliseconds.
-    pub ends: u64,
+    /// What an executor needs to run it; opaque here.
+    pub payload: Rc<[u8]>,
+    /// The client's deadline, Unix milliseconds.
+    pub deadline_unix_ms: u64,
     /// The shards of step 0.
-    pub parts: Rc<[u32]>,
+    pub shards: Rc<[u32]>,
 }
 
-/// What is done with a piece of work that can't be held.
+/// What is done with a request for which there is no capacity.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum WhenFull {
-    Refuse,
+    /// The client is rejected and may retry.
+    Reject,
+    /// It runs where it was submitted, without protection.
     Unprotected,
 }
 
 /// How a class is protected.
 #[derive(Clone, Debug)]
 pub struct ClassRule {
-    /// May a part run more than once?
-    pub repeats: bool,
+    /// Whether a part may run more than once.
+    pub idempotent: bool,
     /// Members of a group, the owner among them.
-    pub guards: usize,
-    /// How long an outcome is kept past the client's end, milliseconds.
-    pub slack_ms: u64,
+    pub group_size: usize,
+    /// How long an outcome is retained past the client's deadline, in milliseconds.
+    pub outcome_retention_ms: u64,
+    /// What is done when there is no capacity.
     pub when_full: WhenFull,
-    /// Of two works with as much time left, the one worth more is taken over first.
-    pub worth: f64,
+    /// Of two work items with as much time left, the one of higher weight is taken over first.
+    pub priority_weight: f64,
 }
 
-/// Bounds of one member.
+/// Bounds and times of one member.
 #[derive(Clone, Debug)]
 pub struct Limits {
-    /// Works held as owner or guard; also the asks of own clients that wait.
-    pub works: usize,
+    /// Work items held as owner or acceptor; also the requests of own clients that wait.
+    pub max_work_items: usize,
     /// Bytes of all records held.
-    pub bytes: usize,
+    pub max_total_bytes: usize,
     /// Bytes of one record.
-    pub record: usize,
-    /// Works taken over and not finished at one time.
-    pub taken_over: usize,
-    /// Attempts of a part over all owners.
-    pub most_tries: u8,
+    pub max_record_bytes: usize,
+    /// Work items taken over and not finished at one time.
+    pub max_takeovers: usize,
+    /// Attempts of a part over all owners, at most 8.
+    pub max_attempts: u8,
+    /// How long a lease lasts after a renewal was sent.
     pub lease: Micros,
-    /// By how much one member's clock may run faster than another's, as a share.
-    pub drift: f64,
+    /// By how much one member's clock may run faster than another's, as a ratio.
+    pub drift_ratio: f64,
 }
 
 impl Default for Limits {
     fn default() -> Limits {
         Limits {
-            works: 4096,
-            bytes: 64 << 20,
-            record: 256 << 10,
-            taken_over: 256,
-            most_tries: 4,
+            max_work_items: 4096,
+            max_total_bytes: 64 << 20,
+            max_record_bytes: 256 << 10,
+            max_takeovers: 256,
+            max_attempts: 4,
             lease: 300_000,
-            drift: 0.01,
+            drift_ratio: 0.01,
         }
     }
 }
 
-/// May this attempt be sent?
+/// Whether an attempt may be sent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum SendDecision {
-    /// Now, in this very call's turn; the attempt counts as made.
+    /// Now, in the turn of this very call; the attempt counts as made.
     Now,
-    /// Ask again when [`Act::Granted`] has come.
-    Later,
+    /// Not yet: ask again when [`Action::Granted`] has come.
+    AwaitGrant,
+    /// Not by this process.
     Never,
 }
 
-/// What is to be done.
+/// What the caller must do, in the order in which it is returned.
 #[derive(Clone, Debug)]
 pub enum Action {
+    /// Send a message; it may be lost.
     Send {
+        /// The incarnation it is for: it must not reach another one.
         to: MemberId,
+        /// The message.
         message: Message,
     },
-    /// Run it. Attempts are numbered on from each part's `granted` after a takeover, from 0 else.
+    /// Run it. Attempts are numbered from each part's `granted` after a takeover, and from 0 otherwise.
     Start {
+        /// Names the execution in all calls about it.
         key: ExecutionKey,
+        /// What to run, and how far an earlier owner has come.
         record: Rc<Record>,
+        /// An earlier owner has begun it.
         takeover: bool,
     },
+    /// More attempts of a part are granted than the executor was last told.
     Granted {
+        /// The execution.
         key: ExecutionKey,
+        /// The step of the part.
         step: u8,
+        /// The shard of the part.
         shard: u32,
+        /// Attempts granted by now, over all owners.
         granted: u8,
     },
-    /// Call off all of it, answer nothing.
+    /// Cancel all of it, and answer nothing.
     Stop {
+        /// The execution.
         key: ExecutionKey,
     },
+    /// Answer a client.
     Answer {
+        /// The client.
         token: ClientToken,
+        /// The answer.
         reply: ClientReply,
     },
 }
 
+/// The answer to a [`SubmitRequest`].
 #[derive(Clone, Debug, PartialEq)]
 pub enum ClientReply {
+    /// The outcome of the executor.
     Outcome(Rc<[u8]>),
-    /// The id is in use with another text or class.
+    /// The id is in use with another payload or class.
     IdConflict,
-    /// Come again after so many seconds.
-    Refused {
-        retry_after: f64,
+    /// There is no capacity.
+    Rejected {
+        /// When the client may retry, in seconds.
+        retry_after_s: f64,
     },
     /// Run it here, without protection.
     Unprotected,
-    /// Its end passed, or it was given up.
+    /// Its deadline passed, or it ended without an outcome.
     DeadlineExceeded,
 }
 
-/// What happened so far.
+/// Counts since the start, and what is held now.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Counters {
+    /// Work items opened by this member.
     pub opened: u64,
+    /// Work items taken over by this member.
     pub taken_over: u64,
+    /// Outcomes announced.
     pub finished: u64,
-    /// Ended without an outcome of its executor.
+    /// Ended without an outcome of the executor.
     pub failed: u64,
-    pub refused: u64,
+    /// Clients rejected for want of capacity.
+    pub rejected: u64,
+    /// Clients whose requests run without protection.
     pub unprotected: u64,
+    /// Ballots lost to another member.
     pub lost_ballots: u64,
-    /// Prepares that a live lease held off here.
-    pub leases_kept: u64,
-    pub sealed: u64,
-    /// Asks for an id with another text.
-    pub other_text: u64,
-    /// Messages from whoever is not of the group, or under a ballot not its own.
-    pub strangers: u64,
-    pub sent: u64,
-    /// Held now.
-    pub works: u64,
-    pub bytes: u64,
+    /// Prepares that were put off by a lease that holds here.
+    pub lease_deferrals: u64,
+    /// Ids fenced here.
+    pub fenced: u64,
+    /// Requests for an id in use with another payload or class.
+    pub id_conflicts: u64,
+    /// Messages from a member that is not of the group, or under a ballot that is not its own.
+    pub rejected_messages: u64,
+    /// Messages to other members.
+    pub messages_sent: u64,
+    /// Work items held now.
+    pub work_items: u64,
+    /// Bytes of all records held now.
+    pub record_bytes: u64,
 }
 
-/// The guards of the protocol, all on. Tests alone take one out, to show that it is needed.
+/// The safety rules of the protocol, all on. Only tests switch one off, to show that it is needed.
 #[doc(hidden)]
 #[derive(Clone, Copy, Debug)]
 pub struct SafetyChecks {
-    /// A guard accepts and promises nothing under its promise.
-    pub promise: bool,
-    /// A guard promises nothing while the lease of another lives.
-    pub lease_wait: bool,
-    /// An owner sends and answers only under its lease.
-    pub lease_hold: bool,
-    /// A grant stands with a majority before the attempt is sent.
-    pub grant: bool,
-    /// The outcome stands with a majority before it is answered.
+    /// An acceptor accepts and promises nothing under its promise.
+    pub promise: PromiseCheck,
+    /// An acceptor promises nothing while the lease of another member holds.
+    pub acceptor_lease: bool,
+    /// A leader sends and answers only under its lease.
+    pub leader_lease: bool,
+    /// A majority holds a grant before the attempt is sent.
+    pub grant_first: bool,
+    /// A majority holds the outcome before it is answered.
     pub outcome_first: bool,
-    /// Groups go by lives, not by names.
+    /// Members of a group are incarnations, not names.
     pub incarnation: bool,
-    /// The record stands with a majority before it is run.
+    /// A majority holds the record before it is run.
     pub record_first: bool,
-    /// Older epochs are sealed before an id is opened.
-    pub seal: bool,
-    /// An id stands for one text.
-    pub same_text: bool,
+    /// Earlier epochs are fenced before an id is opened.
+    pub fence: bool,
+    /// An id stands for one payload and class.
+    pub id_conflict: bool,
 }
 
 impl Default for SafetyChecks {
     fn default() -> SafetyChecks {
         SafetyChecks {
-            promise: true,
-            lease_wait: true,
-            lease_hold: true,
-            grant: true,
+            promise: PromiseCheck::Enforced,
+            acceptor_lease: true,
+            leader_lease: true,
+            grant_first: true,
             outcome_first: true,
             incarnation: true,
             record_first: true,
-            seal: true,
-            same_text: true,
+            fence: true,
+            id_conflict: true,
         }
     }
 }
--- a/src/cluster/takeover/executor.rs
+++ b/src/cluster/takeover/executor.rs
@@ -1,4 +1,4 @@
-//! What whoever executes a started work asks and says.
+//! Calls of the executor of a running work item: grants of attempts, values, and the outcome.
 use std::rc::Rc;
 
 use bytes::Bytes;
@@ -7,23 +7,23 @@
 use super::{ExecutionKey, Micros, SendDecision, TakeoverState, WorkId};
 
 impl TakeoverState {
-    pub(super) fn most_tries(&self) -> u8 {
-        // One bit is kept for each.
-        self.limits.most_tries.clamp(1, 8)
+    pub(super) fn max_attempts(&self) -> u8 {
+        // Attempts are one bit each of a byte.
+        self.limits.max_attempts.clamp(1, 8)
     }
 
-    fn started(&mut self, now: Micros, key: ExecutionKey) -> Option<(WorkId, &mut LeaderState)> {
+    fn running(&mut self, now: Micros, key: ExecutionKey) -> Option<(WorkId, &mut LeaderState)> {
         self.now = self.now.max(now);
-        let work = self.keys.get(&key)?.clone();
-        let led = self.led.get_mut(&work).filter(|l| l.key == key && l.phase == Phase::Lead)?;
-        (!led.record.over()).then_some((work, led))
+        let work = self.executions.get(&key)?.clone();
+        let leader = self.leaders.get_mut(&work).filter(|l| l.key == key && l.phase == Phase::Leading)?;
+        (!leader.record.is_finished()).then_some((work, leader))
     }
 
-    /// May this attempt be sent now? [`May::Now`] is said once for each, and counts it as made.
+    /// Whether this attempt may be sent now. [`SendDecision::Now`] is returned once for each, and counts it as made.
     ///
-    /// Invariants: an attempt is made only once it is granted with a majority, so that whoever takes over counts it. A
-    /// part that must not repeat gets another only when all before it are proved never to have run. No part gets more
-    /// than `most_tries`, over all owners.
+    /// Invariants: an attempt is made only once a majority holds its grant, so that a successor counts it. A part that is
+    /// not idempotent gets another attempt only when all before it are proved never to have run. No part gets more than
+    /// `max_attempts`, over all owners.
     pub fn may_send(
         &mut self,
         now: Micros,
@@ -32,53 +32,56 @@
         shard: u32,
         attempt: u8,
     ) -> SendDecision {
-        let (most, grant) = (self.most_tries(), self.guards.grant);
-        let holds = self.holds(now, key);
-        let Some((work, class)) = self.started(now, key).map(|(w, l)| (w, l.record.class)) else {
-            return SendDecision::Never;
-        };
-        let repeats = self.rule(class).is_some_and(|r| r.repeats);
-        let Some(led) = self.led.get_mut(&work) else { return SendDecision::Never };
-        if attempt >= most || led.deadline <= now {
+        let max_attempts = self.max_attempts();
+        let grant_first = self.checks.grant_first;
+        let lease_holds = self.holds_lease(now, key);
+        let Some((work, leader)) = self.running(now, key) else { return SendDecision::Never };
+        let class = leader.record.class;
+        let idempotent = self.rule(class).is_some_and(|rule| rule.idempotent);
+        let Some(leader) = self.leaders.get_mut(&work) else { return SendDecision::Never };
+        if attempt >= max_attempts || leader.deadline <= now {
             return SendDecision::Never;
         }
-        let Some(part) = led.record.part_mut(step, shard) else { return SendDecision::Never };
-        let state = led.parts.entry((step, shard)).or_default();
-        let unproved = !repeats && part.cleared < u32::from(attempt);
-        if attempt < state.base || state.made & (1 << attempt) != 0 || unproved {
+        let Some(part) = leader.record.part_or_insert(step, shard) else { return SendDecision::Never };
+        let grants = leader.parts.entry((step, shard)).or_default();
+        let already_made = attempt < grants.inherited || grants.made & (1 << attempt) != 0;
+        let may_have_run = !idempotent && part.cleared < u32::from(attempt);
+        if already_made || may_have_run {
             return SendDecision::Never;
         }
-        if holds && (state.stable > attempt || !grant) {
-            state.made |= 1 << attempt;
+        if lease_holds && (grants.committed > attempt || !grant_first) {
+            grants.made |= 1 << attempt;
             return SendDecision::Now;
         }
-        state.waits = state.waits.max(attempt + 1);
-        let opening = part.granted == 0 && repeats && attempt == 0;
-        let granted = if opening { most.min(2) } else { attempt + 1 };
+        grants.awaited = grants.awaited.max(attempt + 1);
+        let is_first = part.granted == 0 && idempotent && attempt == 0;
+        let granted = if is_first { max_attempts.min(2) } else { attempt + 1 };
         if part.granted < u32::from(granted) {
             part.granted = granted.into();
-            self.dirty.insert(work);
+            self.unwritten.insert(work);
         }
-        SendDecision::Later
+        SendDecision::AwaitGrant
     }
 
-    /// The ballot and the lease: the last look before a byte.
-    pub fn holds(&self, now: Micros, key: ExecutionKey) -> bool {
-        let led = self.keys.get(&key).and_then(|w| self.led.get(w));
-        led.is_some_and(|l| l.key == key && self.led_holds(l, self.now.max(now)))
+    /// Whether ballot and lease are held now: the last check before bytes are written to a socket. Changes nothing.
+    pub fn holds_lease(&self, now: Micros, key: ExecutionKey) -> bool {
+        let leader = self.executions.get(&key).and_then(|work| self.leaders.get(work));
+        leader.is_some_and(|l| l.key == key && self.leader_holds_lease(l, self.now.max(now)))
     }
 
     /// One more attempt of this owner is proved never to have run.
-    pub fn cleared(&mut self, now: Micros, key: ExecutionKey, step: u8, shard: u32) {
-        let Some((_, led)) = self.started(now, key) else { return };
-        let made = led.parts.get(&(step, shard)).map_or(0, |s| u32::from(s.base) + s.made.count_ones());
-        if let Some(part) = led.record.part_mut(step, shard) {
+    pub fn record_cleared(&mut self, now: Micros, key: ExecutionKey, step: u8, shard: u32) {
+        let Some((_, leader)) = self.running(now, key) else { return };
+        let grants = leader.parts.get(&(step, shard));
+        let made = grants.map_or(0, |grants| u32::from(grants.inherited) + grants.made.count_ones());
+        if let Some(part) = leader.record.part_or_insert(step, shard) {
             part.cleared = (part.cleared + 1).min(made).min(part.granted);
         }
     }
 
-    /// A part's value. It follows to the guards within a sixth of a lease, as far as the record's bound allows.
-    pub fn value(
+    /// The value of a part. It is replicated within a sixth of a lease, as far as the record's bound allows; a later value
+    /// of the same part changes nothing.
+    pub fn record_value(
         &mut self,
         now: Micros,
         key: ExecutionKey,
@@ -87,28 +90,29 @@
         value: Rc<[u8]>,
         score: f64,
     ) {
-        let (most, pause) = (self.limits.record, self.pause());
-        let Some((_, led)) = self.started(now, key) else { return };
-        if led.record.bytes() + value.len() > most {
+        let max_bytes = self.limits.max_record_bytes;
+        let write_by = now.saturating_add(self.resend_interval());
+        let Some((_, leader)) = self.running(now, key) else { return };
+        if leader.record.memory_bytes() + value.len() > max_bytes {
             return;
         }
-        if let Some(part) = led.record.part_mut(step, shard).filter(|p| p.value.is_none()) {
-            (part.value, part.score) = (Some(Bytes::copy_from_slice(&value)), score);
-            let by = now.saturating_add(pause);
-            led.write_by = Some(led.write_by.map_or(by, |at| at.min(by)));
+        let part = leader.record.part_or_insert(step, shard);
+        if let Some(part) = part.filter(|part| part.value.is_none()) {
+            part.value = Some(Bytes::copy_from_slice(&value));
+            part.score = score;
+            leader.write_by = Some(leader.write_by.map_or(write_by, |at| at.min(write_by)));
         }
     }
 
-    /// The outcome. It is told once it stands with a majority; one over the record's bound makes the work fail.
+    /// The outcome. Clients get it once a majority holds it; one over the record's bound makes the work item fail.
     pub fn finish(&mut self, now: Micros, key: ExecutionKey, outcome: Rc<[u8]>) {
-        let most = self.limits.record;
-        let Some((work, led)) = self.started(now, key) else { return };
-        if outcome.len() > most {
+        let max_bytes = self.limits.max_record_bytes;
+        let Some((work, leader)) = self.running(now, key) else { return };
+        if outcome.len() > max_bytes {
             return self.fail(&work);
         }
-        led.record.outcome = Some(Bytes::copy_from_slice(&outcome));
-        // Nobody needs them any more.
-        led.record.parts.iter_mut().for_each(|p| p.value = None);
-        self.dirty.insert(work);
+        leader.record.outcome = Some(Bytes::copy_from_slice(&outcome));
+        leader.record.drop_values();
+        self.unwritten.insert(work);
     }
 }
--- /dev/null
+++ b/src/cluster/takeover/failover.rs
@@ -0,0 +1,118 @@
+//! The acceptor's watch over owners: finds work items whose owner is silent, takes them over, and forgets those that are
+//! past their retention.
+use std::rc::Rc;
+
+use super::leader::{next_ballot, LeaderState};
+use super::slot::{AcceptorSlot, FENCED_BALLOT};
+use super::{TakeoverState, WorkId};
+use crate::cluster::Micros;
+
+/// Work items whose deadlines fall into one such step are taken over by priority: 100 ms.
+const DEADLINE_STEP: Micros = 100_000;
+
+/// A work item whose owner is silent.
+struct Candidate {
+    work: WorkId,
+    deadline: Micros,
+    priority_weight: f64,
+}
+
+impl TakeoverState {
+    /// Looks over all slots, and sets when to do so again.
+    pub(super) fn scan_slots(&mut self) {
+        let now = self.now;
+        let expired = self.slots.iter().filter(|(_, slot)| slot.retain_until <= now);
+        let expired: Vec<WorkId> = expired.map(|(work, _)| work.clone()).collect();
+        for work in expired {
+            self.forget(&work);
+        }
+        let any_open = self.slots.values().any(is_open);
+        self.take_over_silent(self.silent_owners());
+        self.scan_at = if any_open {
+            Some(now.saturating_add(self.resend_interval()))
+        } else {
+            self.slots.values().map(|slot| slot.retain_until).min()
+        };
+    }
+
+    fn silent_owners(&self) -> Vec<Candidate> {
+        let mut candidates = Vec::new();
+        for (work, slot) in self.slots.iter().filter(|(_, slot)| is_open(slot)) {
+            let Some(record) = slot.record() else { continue };
+            if !self.leaders.contains_key(work) && self.owner_is_silent(work, slot, record.class) {
+                let priority_weight = self.rule(record.class).map_or(0.0, |rule| rule.priority_weight);
+                candidates.push(Candidate { work: work.clone(), deadline: slot.deadline, priority_weight });
+            }
+        }
+        candidates
+    }
+
+    /// Takes over by the time left, in steps, and by priority within a step. Those past their deadline come first: they
+    /// only get their end, and do not count against the limit.
+    fn take_over_silent(&mut self, mut candidates: Vec<Candidate>) {
+        let now = self.now;
+        let step = |candidate: &Candidate| candidate.deadline.saturating_sub(now) / DEADLINE_STEP;
+        candidates.sort_by(|a, b| {
+            let by_priority = || b.priority_weight.total_cmp(&a.priority_weight);
+            step(a).cmp(&step(b)).then_with(by_priority).then_with(|| a.work.cmp(&b.work))
+        });
+        let in_progress = self.leaders.values().filter(|leader| leader.takeover).count();
+        let mut capacity = self.limits.max_takeovers.saturating_sub(in_progress);
+        for candidate in candidates {
+            if candidate.deadline > now {
+                if capacity == 0 {
+                    continue;
+                }
+                capacity -= 1;
+            }
+            self.take_over(&candidate.work);
+        }
+    }
+
+    /// Whether the owner of the highest ballot has been silent for a lease, and for this member's turn on top. Its turn
+    /// comes after those of lower ranks that are not suspected to be dead.
+    fn owner_is_silent(&self, work: &WorkId, slot: &AcceptorSlot, class: u32) -> bool {
+        let Some(group) = self.group(work, class) else { return false };
+        let Some(own_rank) = self.rank(&group, &self.me) else { return false };
+        let owner_rank = (slot.acceptor.promised.unwrap_or(0) % group.len() as u64) as usize;
+        let renewed_at = group.get(owner_rank).and_then(|owner| self.leases.last_renewal(owner));
+        let last_heard = renewed_at.unwrap_or(0).max(slot.last_ballot_at);
+        let ranks = group.iter().enumerate();
+        let before =
+            ranks.filter(|(rank, m)| *rank < own_rank && *rank != owner_rank && !self.suspected.contains(m));
+        let turn = before.count() as u64 * self.resend_interval();
+        self.now > last_heard.saturating_add(self.leases.acceptor_duration()).saturating_add(turn)
+    }
+
+    fn take_over(&mut self, work: &WorkId) {
+        let Some(slot) = self.slots.get(work) else { return };
+        let Some(record) = slot.record().map(Rc::clone) else { return };
+        let deadline = slot.deadline;
+        let retain_until = slot.retain_until;
+        let promised = slot.acceptor.promised;
+        let Some(group) = self.group(work, record.class) else { return };
+        let Some(rank) = self.rank(&group, &self.me) else { return };
+        let Some(ballot) = next_ballot(promised, group.len(), rank) else { return };
+        let mut leader = LeaderState::new(self.allocate_key(), group, rank, self.now);
+        leader.record = (*record).clone();
+        leader.takeover = true;
+        leader.deadline = deadline;
+        leader.retain_until = retain_until;
+        leader.prepare(ballot);
+        self.leaders.insert(work.clone(), leader);
+        self.retransmit(work);
+    }
+
+    /// Drops all that is held of a work item.
+    pub(super) fn forget(&mut self, work: &WorkId) {
+        if let Some(slot) = self.slots.remove(work) {
+            self.record_bytes -= slot.bytes;
+        }
+        self.abandon(work);
+    }
+}
+
+/// Whether the slot holds a record without a decision, and is not fenced.
+fn is_open(slot: &AcceptorSlot) -> bool {
+    slot.record().is_some() && slot.decision.is_none() && slot.acceptor.promised != Some(FENCED_BALLOT)
+}
--- a/src/cluster/takeover/mod.rs
+++ b/src/cluster/takeover/mod.rs
@@ -1,17 +1,24 @@
-//! Work that outlives its coordinator: a record of each protected query with an owner and its guards, and the protocol
-//! by which one of them goes on when the owner is gone. docs/design-takeover.md has the argument.
+//! Work that outlives its coordinator: a replicated record of each protected query, with an owner and further acceptors,
+//! and the protocol by which one of them continues when the owner is gone. `docs/design-takeover.md` has the argument.
 //!
-//! Whatever is said may be lost, doubled, late or out of order: what is owed is said again by [`Works::tick`] until it
-//! is answered or over. What a member says to itself goes through the same doors, in [`Works::ready`].
+//! Owns ballots, grants, leases and fences of the work items that this member leads or accepts for. Does no I/O, reads no
+//! clock and draws no random numbers: messages, calls and time come in, [`Action`]s go out by
+//! [`TakeoverState::take_actions`].
+//!
+//! Messages may be lost, duplicated, delayed or reordered: [`TakeoverState::tick`] sends again what is unanswered. What a
+//! member sends to itself takes the same path, in [`TakeoverState::take_actions`].
+#![warn(missing_docs)]
 mod acceptor;
 mod api;
 mod executor;
+mod failover;
 mod leader;
 mod lease;
 pub mod message;
 mod opening;
 mod proposer;
 pub mod record;
+mod retransmission;
 #[doc(hidden)]
 pub mod slot;
 mod submission;
@@ -33,210 +40,217 @@
 use slot::AcceptorSlot;
 use submission::PendingSubmission;
 
-/// Configurations kept: as many epochs may have work open at one time. The fifth closes the first.
+/// Epochs that may have work open at one time. One more closes the oldest.
 const MAX_OPEN_EPOCHS: usize = 4;
 
-/// A piece of work: its epoch and id.
+/// A work item: its epoch and id.
 type WorkId = (u64, Rc<str>);
 
-/// One member's share of all work in hand.
+/// One member's share of all work items.
 pub struct TakeoverState {
     me: MemberId,
+    /// By class; `None` where it is not protected.
     rules: Vec<Option<ClassRule>>,
     limits: Limits,
-    guards: SafetyChecks,
-    /// Oldest first, at most [`EPOCHS`].
-    configs: VecDeque<Configuration>,
-    /// Bounded by `limits.works` and `limits.bytes`.
+    checks: SafetyChecks,
+    /// Oldest first, at most [`MAX_OPEN_EPOCHS`].
+    configurations: VecDeque<Configuration>,
+    /// Bounded by `limits.max_work_items` and `limits.max_total_bytes`.
     slots: BTreeMap<WorkId, AcceptorSlot>,
     /// At most one for each slot that this member has, or is about to have.
-    led: BTreeMap<WorkId, LeaderState>,
-    keys: BTreeMap<ExecutionKey, WorkId>,
-    /// By id; bounded by `limits.works`.
-    asks: BTreeMap<Rc<str>, PendingSubmission>,
-    tokens: BTreeMap<ClientToken, Rc<str>>,
+    leaders: BTreeMap<WorkId, LeaderState>,
+    executions: BTreeMap<ExecutionKey, WorkId>,
+    /// Requests of own clients, by id; bounded by `limits.max_work_items`.
+    submissions: BTreeMap<Rc<str>, PendingSubmission>,
+    clients: BTreeMap<ClientToken, Rc<str>>,
     leases: Leases,
-    /// Rumours: they choose whom to ask first, and nothing more.
-    dead: BTreeSet<MemberId>,
+    /// Members that gossip holds for dead: this changes whom to turn to first, and no decision.
+    suspected: BTreeSet<MemberId>,
     now: Micros,
-    /// What this member says to itself; emptied by every [`Works::ready`].
-    own: VecDeque<Body>,
-    acts: Vec<Action>,
-    dirty: BTreeSet<WorkId>,
-    renew: Option<Micros>,
-    scan: Option<Micros>,
+    /// Messages to itself; emptied by every [`TakeoverState::take_actions`].
+    loopback: VecDeque<Body>,
+    actions: Vec<Action>,
+    /// Led work items whose record changed and must be written.
+    unwritten: BTreeSet<WorkId>,
+    renew_at: Option<Micros>,
+    scan_at: Option<Micros>,
     next_key: u64,
-    bytes: usize,
-    counts: Counters,
+    /// Bytes of all records held.
+    record_bytes: usize,
+    counters: Counters,
 }
 
 impl TakeoverState {
-    /// `rules` by class; none: that class is not protected.
+    /// A member that knows no configuration yet. `rules` by class; `None`: that class is not protected.
     pub fn new(me: MemberId, rules: Vec<Option<ClassRule>>, limits: Limits) -> TakeoverState {
-        let leases = Leases::new(limits.lease, limits.drift);
+        let leases = Leases::new(limits.lease, limits.drift_ratio);
         TakeoverState {
             me,
             rules,
             limits,
-            guards: SafetyChecks::default(),
-            configs: VecDeque::new(),
+            checks: SafetyChecks::default(),
+            configurations: VecDeque::new(),
             slots: BTreeMap::new(),
-            led: BTreeMap::new(),
-            keys: BTreeMap::new(),
-            asks: BTreeMap::new(),
-            tokens: BTreeMap::new(),
+            leaders: BTreeMap::new(),
+            executions: BTreeMap::new(),
+            submissions: BTreeMap::new(),
+            clients: BTreeMap::new(),
             leases,
-            dead: BTreeSet::new(),
+            suspected: BTreeSet::new(),
             now: 0,
-            own: VecDeque::new(),
-            acts: Vec::new(),
-            dirty: BTreeSet::new(),
-            renew: None,
-            scan: None,
+            loopback: VecDeque::new(),
+            actions: Vec::new(),
+            unwritten: BTreeSet::new(),
+            renew_at: None,
+            scan_at: None,
             next_key: 1,
-            bytes: 0,
-            counts: Counters::default(),
+            record_bytes: 0,
+            counters: Counters::default(),
         }
     }
 
-    /// Takes guards of the protocol out; for tests alone.
+    /// Switches rules of the protocol off; for tests alone.
     #[doc(hidden)]
-    pub fn set_guards(&mut self, guards: SafetyChecks) {
-        self.guards = guards;
+    pub fn set_safety_checks(&mut self, checks: SafetyChecks) {
+        self.checks = checks;
     }
 
-    /// What stands here of a work, for a checker that sees all members at once.
+    /// Acceptor and led ballot of a work item, for a checker that sees all members at once.
     #[doc(hidden)]
     pub fn inspect(&self, epoch: u64, id: &str) -> Option<(slot::Acceptor, Option<u64>)> {
         let work = (epoch, Rc::from(id));
         let slot = self.slots.get(&work)?;
-        Some((slot.acceptor.clone(), self.led.get(&work).map(|l| l.ballot)))
+        Some((slot.acceptor.clone(), self.leaders.get(&work).map(|leader| leader.ballot)))
     }
 
     /// A configuration was agreed. One that is not newer than those known changes nothing.
-    pub fn configure(&mut self, now: Micros, config: Configuration) {
+    pub fn configure(&mut self, now: Micros, configuration: Configuration) {
         self.now = self.now.max(now);
-        let epoch = config.epoch();
-        if self.configs.back().is_some_and(|c| c.epoch() >= epoch) {
+        let epoch = configuration.epoch();
+        if self.configurations.back().is_some_and(|newest| newest.epoch() >= epoch) {
             return;
         }
-        self.configs.push_back(config);
-        if self.configs.len() > MAX_OPEN_EPOCHS {
-            let closed = self.configs.front().map_or(0, Configuration::epoch);
-            self.close(now, closed);
+        self.configurations.push_back(configuration);
+        if self.configurations.len() > MAX_OPEN_EPOCHS {
+            let oldest = self.oldest_epoch();
+            self.close_epochs(now, oldest);
         }
-        self.ask_in(epoch);
+        self.resubmit_to(epoch);
     }
 
-    /// The last work of this epoch and of all before it is over; the newest is never closed. Whoever calls this must know
-    /// it from the log: an id of a closed epoch may be opened again.
-    pub fn close(&mut self, now: Micros, epoch: u64) {
+    /// The last work item of this epoch and of all earlier ones is finished; the newest epoch is never closed. The caller
+    /// must know this from the log: an id of a closed epoch may be opened again.
+    pub fn close_epochs(&mut self, now: Micros, last_closed: u64) {
         self.now = self.now.max(now);
-        while self.configs.len() > 1 && self.configs.front().is_some_and(|c| c.epoch() <= epoch) {
-            self.configs.pop_front();
+        let closed = |oldest: &Configuration| oldest.epoch() <= last_closed;
+        while self.configurations.len() > 1 && self.configurations.front().is_some_and(closed) {
+            self.configurations.pop_front();
         }
-        let oldest = self.configs.front().map_or(0, Configuration::epoch);
-        let gone: Vec<WorkId> = self.led.keys().filter(|w| w.0 < oldest).cloned().collect();
-        for work in gone {
-            self.lose(&work);
+        let oldest = self.oldest_epoch();
+        let led: Vec<WorkId> = self.leaders.keys().filter(|work| work.0 < oldest).cloned().collect();
+        for work in led {
+            self.abandon(&work);
         }
-        let gone: Vec<WorkId> = self.slots.keys().filter(|w| w.0 < oldest).cloned().collect();
-        for work in gone {
+        let held: Vec<WorkId> = self.slots.keys().filter(|work| work.0 < oldest).cloned().collect();
+        for work in held {
             self.forget(&work);
         }
-        let configs = &self.configs;
-        self.leases.keep_only(|m| configs.iter().any(|c| c.counts(m)));
-        self.dead.retain(|m| configs.iter().any(|c| c.counts(m)));
+        let configurations = &self.configurations;
+        let is_member = |member: &MemberId| configurations.iter().any(|c| c.contains(member));
+        self.leases.retain_members(is_member);
+        self.suspected.retain(is_member);
     }
 
-    /// Takes what another member said. Whatever is not that member's to say is counted and changes nothing.
+    /// Handles another member's message. One that this member must not send is counted and changes nothing.
     pub fn receive(&mut self, now: Micros, _unix_ms: u64, from: &MemberId, message: Message) {
         self.now = self.now.max(now);
         match message.body {
             Some(body) if *from != self.me => self.handle(from.clone(), body),
-            _ => self.counts.strangers += 1,
+            _ => self.counters.rejected_messages += 1,
         }
     }
 
-    /// What is said of a member; changes whom this one turns to first.
-    pub fn rumour(&mut self, now: Micros, member: &MemberId, alive: bool) {
+    /// Gossip holds a member for alive or dead. This changes whom this member turns to first, and no decision.
+    pub fn record_gossip(&mut self, now: Micros, member: &MemberId, alive: bool) {
         self.now = self.now.max(now);
         if alive {
-            self.dead.remove(member);
-        } else if self.configs.iter().any(|c| c.counts(member)) && self.dead.insert(member.clone()) {
-            self.turn_from(member);
+            self.suspected.remove(member);
+        } else if self.is_member(member) && self.suspected.insert(member.clone()) {
+            self.resend_submissions_soon();
         }
     }
 
     fn handle(&mut self, from: MemberId, body: Body) {
         match body {
-            Body::Ask(m) => self.asked(from, m),
-            Body::Told(m) => self.told(from, m),
-            Body::Accept(m) => self.accept(from, m),
-            Body::Accepted(m) => self.accepted(from, m),
-            Body::Prepare(m) => self.prepare(from, m),
-            Body::Promised(m) => self.promised(from, m),
-            Body::Rejected(m) => self.rejected(from, m),
-            Body::Decided(m) => self.decided(from, m),
-            Body::Seal(m) => self.seal(from, m),
-            Body::Sealed(m) => self.sealed(from, m),
-            Body::Renew(m) => {
-                if self.configs.iter().any(|c| c.counts(&from)) {
-                    self.leases.heard(self.now, &from);
-                    self.send(&from, Body::Renewed(m));
-                }
+            Body::Submit(message) => self.handle_submit(from, message),
+            Body::SubmitReply(message) => self.handle_submit_reply(from, message),
+            Body::Accept(message) => self.handle_accept(from, message),
+            Body::Accepted(message) => self.handle_accepted(from, message),
+            Body::Prepare(message) => self.handle_prepare(from, message),
+            Body::Promised(message) => self.handle_promised(from, message),
+            Body::Rejected(message) => self.handle_rejected(from, message),
+            Body::Decided(message) => self.handle_decided(from, message),
+            Body::Fence(message) => self.handle_fence(from, message),
+            Body::Fenced(message) => self.handle_fenced(from, message),
+            Body::Renew(message) if self.is_member(&from) => {
+                self.leases.record_renewal(self.now, &from);
+                self.send(&from, Body::Renewed(message));
             }
-            Body::Renewed(m) => {
-                if self.configs.iter().any(|c| c.counts(&from)) {
-                    self.leases.acked(self.now, &from, m.sent);
-                }
+            Body::Renewed(message) if self.is_member(&from) => {
+                self.leases.record_acknowledgement(self.now, &from, message.sent_us);
             }
+            Body::Renew(_) | Body::Renewed(_) => {}
         }
     }
 
-    /// Says again what is owed, renews leases, takes over from the silent, ends what is out of time, forgets what is
-    /// long over.
+    /// Runs what is due: sends again what is unanswered, renews leases, takes over from silent owners, ends what is past
+    /// its deadline, forgets what is past its retention.
     pub fn tick(&mut self, now: Micros, _unix_ms: u64) {
         self.now = self.now.max(now);
-        self.tick_asks();
-        self.tick_led();
-        if self.scan.is_some_and(|at| at <= self.now) {
+        self.tick_submissions();
+        self.tick_leaders();
+        if self.scan_at.is_some_and(|at| at <= self.now) {
             self.scan_slots();
         }
     }
 
-    /// When [`Works::tick`] wants to be called.
-    pub fn due(&self) -> Option<Micros> {
-        if !self.own.is_empty() || !self.dirty.is_empty() {
+    /// When [`TakeoverState::tick`] must be called next; `None`: not before another call.
+    pub fn next_due(&self) -> Option<Micros> {
+        if !self.loopback.is_empty() || !self.unwritten.is_empty() {
             return Some(self.now);
         }
-        let asks = self.asks.values().map(|e| e.next.min(e.deadline)).min();
-        let led = self.led.values().map(|l| l.write_by.unwrap_or(l.resend).min(l.resend)).min();
-        [asks, led, self.scan, self.renew].into_iter().flatten().min()
+        let submissions = self.submissions.values().map(PendingSubmission::due_at).min();
+        let leaders = self.leaders.values().map(LeaderState::due_at).min();
+        [submissions, leaders, self.scan_at, self.renew_at].into_iter().flatten().min()
     }
 
-    /// What is to be done, since the last time.
-    pub fn ready(&mut self) -> Vec<Action> {
+    /// Takes the actions that have arisen since the last call; the caller must carry them out in their order.
+    pub fn take_actions(&mut self) -> Vec<Action> {
         loop {
-            while let Some(body) = self.own.pop_front() {
+            while let Some(body) = self.loopback.pop_front() {
                 self.handle(self.me.clone(), body);
             }
-            let Some(work) = self.dirty.pop_first() else { break };
-            self.write(&work);
+            let Some(work) = self.unwritten.pop_first() else { break };
+            self.write_record(&work);
         }
-        std::mem::take(&mut self.acts)
+        std::mem::take(&mut self.actions)
     }
 
-    pub fn counts(&self) -> Counters {
-        Counters { works: self.slots.len() as u64, bytes: self.bytes as u64, ..self.counts }
+    /// Counts since the start, and what is held now.
+    pub fn counters(&self) -> Counters {
+        Counters {
+            work_items: self.slots.len() as u64,
+            record_bytes: self.record_bytes as u64,
+            ..self.counters
+        }
     }
 
     fn send(&mut self, to: &MemberId, body: Body) {
         if *to == self.me {
-            self.own.push_back(body);
+            self.loopback.push_back(body);
         } else {
-            self.counts.sent += 1;
-            self.acts.push(Action::Send { to: to.clone(), message: body.into() });
+            self.counters.messages_sent += 1;
+            self.actions.push(Action::Send { to: to.clone(), message: body.into() });
         }
     }
 
@@ -244,32 +258,43 @@
         self.rules.get(class as usize).and_then(Option::as_ref)
     }
 
-    fn slack(&self, class: u32) -> Micros {
-        self.rule(class).map_or(0, |r| r.slack_ms.saturating_mul(1000))
+    /// How long an outcome of this class is retained past the client's deadline.
+    fn outcome_retention(&self, class: u32) -> Micros {
+        self.rule(class).map_or(0, |rule| rule.outcome_retention_ms.saturating_mul(1000))
+    }
+
+    fn configuration(&self, epoch: u64) -> Option<&Configuration> {
+        self.configurations.iter().find(|c| c.epoch() == epoch)
+    }
+
+    fn oldest_epoch(&self) -> u64 {
+        self.configurations.front().map_or(0, Configuration::epoch)
     }
 
-    fn config(&self, epoch: u64) -> Option<&Configuration> {
-        self.configs.iter().find(|c| c.epoch() == epoch)
+    fn newest_epoch(&self) -> u64 {
+        self.configurations.back().map_or(0, Configuration::epoch)
     }
 
-    fn newest(&self) -> u64 {
-        self.configs.back().map_or(0, Configuration::epoch)
+    /// Whether it is a member of a configuration that is still open.
+    fn is_member(&self, member: &MemberId) -> bool {
+        self.configurations.iter().any(|c| c.contains(member))
     }
 
-    /// The group of a piece of work: the lives that were agreed on, in the order of their ranks.
+    /// The group of a work item: the incarnations that were agreed on, in the order of their ranks.
     fn group(&self, work: &WorkId, class: u32) -> Option<Rc<[MemberId]>> {
-        let guards = self.rule(class)?.guards;
-        let group = self.config(work.0)?.group(work.1.as_bytes(), guards);
-        Some(group.into_iter().map(|m| m.id.clone()).collect())
+        let size = self.rule(class)?.group_size;
+        let group = self.configuration(work.0)?.group(work.1.as_bytes(), size);
+        Some(group.into_iter().map(|member| member.id.clone()).collect())
     }
 
-    /// Invariant: only the life that was agreed on is of the group. One that restarted has forgotten its promises.
+    /// A member's place in a group. Invariant: only the incarnation that was agreed on has one. A member that restarted has
+    /// forgotten its promises.
     fn rank(&self, group: &[MemberId], member: &MemberId) -> Option<usize> {
-        group.iter().position(|m| m == member || !self.guards.incarnation && m.name == member.name)
+        group.iter().position(|m| m == member || !self.checks.incarnation && m.name == member.name)
     }
 
-    /// A sixth of a lease: how long an answer may take before it is asked for again, and how long a value may wait.
-    fn pause(&self) -> Micros {
+    /// A sixth of a lease: how long an answer may take before the message is sent again, and a value wait to be written.
+    fn resend_interval(&self) -> Micros {
         (self.limits.lease / 6).max(1)
     }
 }
--- a/src/cluster/takeover/opening.rs
+++ b/src/cluster/takeover/opening.rs
@@ -1,140 +1,168 @@
-//! How a work comes to be led: older epochs are sealed, a majority promises, and what stands is gone on from.
+//! How a work item comes to be led: a submitted request opens it, earlier epochs are fenced, a majority promises, and the
+//! highest accepted state is continued.
 use std::rc::Rc;
 
-use bytes::Bytes;
-
-use super::leader::{majority, next_ballot, LeaderState, Phase, PreviousGroup};
+use super::leader::{majority, next_ballot, LeaderState, Phase, PreviousGroup, RecordOrigin};
 use super::message::{Fenced, ForwardedSubmit, SubmitStatus};
 use super::slot::{self, AcceptorSlot, FENCED_BALLOT};
 use super::{Configuration, MemberId, Part, Record, TakeoverState, WhenFull, WorkId};
 
 impl TakeoverState {
-    /// A client's ask has come to this member as one of the group.
-    pub(super) fn asked(&mut self, from: MemberId, m: ForwardedSubmit) {
-        let work: WorkId = (m.epoch, m.id.as_str().into());
-        let Some(group) = self.group(&work, m.class) else {
-            if m.epoch < self.newest() {
-                self.elsewhere(&from, &work, self.newest());
+    /// A client's request has come to this member as one of the group.
+    pub(super) fn handle_submit(&mut self, from: MemberId, message: ForwardedSubmit) {
+        let work: WorkId = (message.epoch, message.id.as_str().into());
+        let Some(group) = self.group(&work, message.class) else {
+            if message.epoch < self.newest_epoch() {
+                self.redirect(&from, &work, self.newest_epoch());
             }
             return;
         };
         let Some(rank) = self.rank(&group, &self.me) else {
-            self.counts.strangers += 1;
+            self.counters.rejected_messages += 1;
             return;
         };
-        let same = |r: &Record| r.class == m.class && r.text == m.text || !self.guards.same_text;
         if let Some(record) = self.slots.get(&work).and_then(AcceptorSlot::record) {
-            // Invariant: an id stands for one text and class.
-            if !same(record) {
-                self.counts.other_text += 1;
-                return self.tell(&from, &work, SubmitStatus::IdConflict, Bytes::new());
-            }
-            // No majority had room: whoever asks later is not left waiting for what will not come.
-            if self.led.get(&work).is_some_and(|l| l.refused) {
-                return self.tell(&from, &work, SubmitStatus::Refused, Bytes::new());
+            let same = self.is_same_request(record, &message);
+            return self.answer_existing(&from, &work, same);
+        }
+        if let Some(leader) = self.leaders.get(&work) {
+            let proposal = leader.proposal.as_ref();
+            if proposal.is_some_and(|record| self.is_same_request(record, &message)) {
+                return self.join(&from, &work);
             }
-            return self.join(&from, &work);
+            // Which of the two payloads stands is not known yet: this one is submitted again.
+            return self.send_status(&from, &work, SubmitStatus::InProgress);
         }
-        if let Some(led) = self.led.get(&work) {
-            // Of another text it is not known yet which of the two stands: it is asked again.
-            return match led.seed.as_ref().is_some_and(same) {
-                true => self.join(&from, &work),
-                false => self.tell(&from, &work, SubmitStatus::InProgress, Bytes::new()),
-            };
+        let fenced = self.slots.get(&work).is_some_and(|slot| slot.acceptor.promised == Some(FENCED_BALLOT));
+        if fenced || message.epoch < self.newest_epoch() {
+            return self.redirect(&from, &work, self.newest_epoch());
+        }
+        if message.remaining_us > 0 {
+            self.open(from, work, group, rank, message);
         }
-        let sealed = self.slots.get(&work).is_some_and(|s| s.acceptor.promised == Some(FENCED_BALLOT));
-        if sealed || m.epoch < self.newest() {
-            return self.elsewhere(&from, &work, self.newest());
+    }
+
+    fn is_same_request(&self, record: &Record, message: &ForwardedSubmit) -> bool {
+        record.class == message.class && record.payload == message.payload || !self.checks.id_conflict
+    }
+
+    /// Answers a request whose id has a record here. Invariant: an id stands for one payload and class.
+    fn answer_existing(&mut self, from: &MemberId, work: &WorkId, same_request: bool) {
+        if !same_request {
+            self.counters.id_conflicts += 1;
+            return self.send_status(from, work, SubmitStatus::IdConflict);
         }
-        if m.left_us > 0 {
-            self.open(from, work, group, rank, m);
+        // No majority had capacity: a later client must not wait for what will not come.
+        if self.leaders.get(work).is_some_and(|leader| leader.capacity_rejected) {
+            return self.send_status(from, work, SubmitStatus::Rejected);
         }
+        self.join(from, work);
     }
 
-    /// Whoever asks is told the outcome, now or when it is there.
+    /// Notifies a member of the outcome, now or once it is decided.
     fn join(&mut self, from: &MemberId, work: &WorkId) {
         match self.slots.get_mut(work) {
-            Some(slot) if slot.decided.is_none() => {
-                slot.wait(from);
-                self.tell(from, work, SubmitStatus::InProgress, Bytes::new());
+            Some(slot) if slot.decision.is_none() => {
+                slot.add_waiter(from);
+                self.send_status(from, work, SubmitStatus::InProgress);
             }
-            Some(_) => self.tell_outcome(from, work),
-            None => self.tell(from, work, SubmitStatus::InProgress, Bytes::new()),
+            Some(_) => self.send_outcome(from, work),
+            None => self.send_status(from, work, SubmitStatus::InProgress),
         }
     }
 
-    fn open(&mut self, from: MemberId, work: WorkId, group: Rc<[MemberId]>, rank: usize, m: ForwardedSubmit) {
-        let (repeats, when_full) =
-            self.rule(m.class).map_or((false, WhenFull::Refuse), |r| (r.repeats, r.when_full));
-        let granted = if repeats { self.most_tries().min(2) } else { 1 };
-        let mut shards = m.parts;
+    /// Opens a new work item, if this member has capacity for it.
+    fn open(
+        &mut self,
+        from: MemberId,
+        work: WorkId,
+        group: Rc<[MemberId]>,
+        rank: usize,
+        message: ForwardedSubmit,
+    ) {
+        let class = message.class;
+        let remaining = message.remaining_us;
+        let key = self.allocate_key();
+        let opening_id = key.0.wrapping_mul(slot::MAX_WAITERS as u64).wrapping_add(rank as u64);
+        let record = self.new_record(message, opening_id);
+        if !self.has_capacity(&work, &record) {
+            let status = match self.rule(class).map_or(WhenFull::Reject, |rule| rule.when_full) {
+                WhenFull::Reject => SubmitStatus::Rejected,
+                WhenFull::Unprotected => SubmitStatus::Unprotected,
+            };
+            return self.send_status(&from, &work, status);
+        }
+        let now = self.now;
+        let retention = self.outcome_retention(class);
+        let mut leader = LeaderState::new(key, group, rank, now);
+        leader.phase = Phase::Fencing;
+        leader.deadline = now.saturating_add(remaining);
+        leader.retain_until = leader.deadline.saturating_add(retention);
+        leader.previous_groups =
+            if self.checks.fence { self.previous_groups(&work, class) } else { Vec::new() };
+        leader.proposal = Some(record);
+        // The slot is made now, so that the client's member has a place to wait.
+        let slot = self.slots.entry(work.clone()).or_insert_with(|| AcceptorSlot::new(now));
+        slot.extend(now, remaining, retention);
+        slot.waiters.clear();
+        slot.add_waiter(&from);
+        self.leaders.insert(work.clone(), leader);
+        self.scan_at = Some(self.scan_at.unwrap_or(now).min(now.saturating_add(self.resend_interval())));
+        self.retransmit(&work);
+        self.advance(&work);
+    }
+
+    fn new_record(&self, message: ForwardedSubmit, opening_id: u64) -> Record {
+        let idempotent = self.rule(message.class).is_some_and(|rule| rule.idempotent);
+        let granted = if idempotent { self.max_attempts().min(2) } else { 1 };
+        let mut shards = message.shards;
         shards.sort_unstable();
         shards.dedup();
         let part = |shard| Part { shard, granted: granted.into(), ..Part::default() };
-        let key = self.new_key();
-        let record = Record {
-            id: m.id,
-            class: m.class,
-            ends: m.ends,
-            text: m.text,
+        Record {
+            id: message.id,
+            class: message.class,
+            deadline_unix_ms: message.deadline_unix_ms,
+            payload: message.payload,
             parts: shards.into_iter().map(part).collect(),
             outcome: None,
             failed: false,
-            opened: key.0.wrapping_mul(slot::MAX_WAITERS as u64).wrapping_add(rank as u64),
-        };
-        let bytes = record.bytes();
-        let room = self.slots.contains_key(&work) || self.slots.len() < self.limits.works;
-        if !room || self.bytes + bytes > self.limits.bytes || bytes > self.limits.record {
-            let what = match when_full {
-                WhenFull::Refuse => SubmitStatus::Refused,
-                WhenFull::Unprotected => SubmitStatus::Unprotected,
-            };
-            return self.tell(&from, &work, what, Bytes::new());
-        }
-        let mut led = LeaderState::new(key, group, rank, self.now);
-        led.deadline = self.now.saturating_add(m.left_us);
-        led.keep = led.deadline.saturating_add(self.slack(m.class));
-        led.olds = if self.guards.seal { self.olds(&work, m.class) } else { Vec::new() };
-        led.seed = Some(record);
-        // The slot is made now, so that there is somewhere to wait.
-        let (left, slack, now) = (m.left_us, self.slack(m.class), self.now);
-        let slot = self.slots.entry(work.clone()).or_insert_with(|| AcceptorSlot::new(now));
-        slot.until(now, left, slack);
-        slot.waiters.clear();
-        slot.wait(&from);
-        led.phase = Phase::Seal;
-        self.led.insert(work.clone(), led);
-        self.scan = Some(self.scan.unwrap_or(now).min(now.saturating_add(self.pause())));
-        self.say_again(&work);
-        self.advance(&work);
+            opening_id,
+        }
+    }
+
+    fn has_capacity(&self, work: &WorkId, record: &Record) -> bool {
+        let bytes = record.memory_bytes();
+        let has_slot = self.slots.contains_key(work) || self.slots.len() < self.limits.max_work_items;
+        has_slot
+            && self.record_bytes + bytes <= self.limits.max_total_bytes
+            && bytes <= self.limits.max_record_bytes
     }
 
-    /// Groups of older epochs that are still open. Invariant: an id is opened in an epoch only once a majority of its
-    /// group in each older one has promised never to open it there.
-    fn olds(&self, work: &WorkId, class: u32) -> Vec<PreviousGroup> {
-        let older = self.configs.iter().map(Configuration::epoch).filter(|e| *e < work.0);
-        let group = |epoch| self.group(&(epoch, work.1.clone()), class).map(|g| (epoch, g.to_vec()));
-        let old = |(epoch, group): (u64, Vec<MemberId>)| {
-            let none = vec![false; group.len()];
-            PreviousGroup { epoch, group, sealed: none.clone(), exists: none.clone(), full: none }
+    /// Groups of earlier epochs that are still open. Invariant: an id is opened in an epoch only once a majority of its
+    /// group in each earlier one has promised never to open it there.
+    fn previous_groups(&self, work: &WorkId, class: u32) -> Vec<PreviousGroup> {
+        let earlier = self.configurations.iter().map(Configuration::epoch).filter(|epoch| *epoch < work.0);
+        let group = |epoch| {
+            let members = self.group(&(epoch, work.1.clone()), class)?;
+            Some(PreviousGroup::new(epoch, members.to_vec()))
         };
-        older.filter_map(group).map(old).collect()
+        earlier.filter_map(group).collect()
     }
 
-    pub(super) fn sealed(&mut self, from: MemberId, m: Fenced) {
-        let id: Rc<str> = m.id.as_str().into();
-        let works = self.led.iter_mut().filter(|(w, l)| w.1 == id && l.phase == Phase::Seal);
+    pub(super) fn handle_fenced(&mut self, from: MemberId, message: Fenced) {
+        let id: Rc<str> = message.id.as_str().into();
+        let fencing = self.leaders.iter_mut().filter(|(w, l)| w.1 == id && l.phase == Phase::Fencing);
         let mut changed = Vec::new();
-        for (work, led) in works {
-            for old in led.olds.iter_mut().filter(|o| o.epoch == m.epoch) {
-                let Some(at) = old.group.iter().position(|g| *g == from) else { continue };
-                let list = match (m.exists, m.full) {
-                    (true, _) => &mut old.exists,
-                    (false, true) => &mut old.full,
-                    (false, false) => &mut old.sealed,
-                };
-                if let Some(said) = list.get_mut(at) {
-                    *said = true;
+        for (work, leader) in fencing {
+            for group in leader.previous_groups.iter_mut().filter(|g| g.epoch == message.epoch) {
+                let Some(at) = group.members.iter().position(|m| *m == from) else { continue };
+                if let Some(vote) = group.votes.get_mut(at) {
+                    match (message.exists, message.at_capacity) {
+                        (true, _) => vote.exists = true,
+                        (false, true) => vote.at_capacity = true,
+                        (false, false) => vote.fenced = true,
+                    }
                 }
                 changed.push(work.clone());
             }
@@ -144,81 +172,85 @@
         }
     }
 
-    /// Goes on with a work as far as what is known allows.
+    /// Advances a work item as far as the answers so far allow.
     pub(super) fn advance(&mut self, work: &WorkId) {
-        let Some(led) = self.led.get_mut(work) else { return };
-        match led.phase {
-            Phase::Seal => {
-                let yes = |l: &[bool]| l.iter().filter(|x| **x).count();
-                if led.olds.iter().all(|o| yes(&o.sealed) >= majority(o.group.len())) {
-                    return self.begin(work);
-                }
-                let found = led.olds.iter().find(|o| {
-                    yes(&o.exists) > o.group.len() - majority(o.group.len())
-                        || yes(&o.exists) > 0 && yes(&o.sealed) < majority(o.group.len())
-                });
-                if let Some(epoch) = found.map(|o| o.epoch) {
-                    return self.give_up(work, |works, to| works.elsewhere(to, work, epoch));
-                }
-                // Nothing was written yet, so nobody holds what is refused here.
-                if led.olds.iter().any(|o| yes(&o.full) > o.group.len() - majority(o.group.len())) {
-                    self.give_up(work, |works, to| works.tell(to, work, SubmitStatus::Refused, Bytes::new()));
+        let Some(leader) = self.leaders.get(work) else { return };
+        match leader.phase {
+            Phase::Fencing => self.advance_fencing(work),
+            Phase::Preparing => {
+                if leader.count(|vote| vote.promised) >= majority(leader.votes.len()) {
+                    self.lead_promised(work);
                 }
             }
-            Phase::Prepare => {
-                if led.count(|v| v.promised) >= majority(led.votes.len()) {
-                    self.go_on(work);
-                }
-            }
-            Phase::Lead => self.advance_lead(work),
+            Phase::Leading => self.advance_leader(work),
+        }
+    }
+
+    fn advance_fencing(&mut self, work: &WorkId) {
+        let Some(leader) = self.leaders.get(work) else { return };
+        let groups = &leader.previous_groups;
+        if groups.iter().all(PreviousGroup::is_fenced) {
+            return self.start_ballot(work);
+        }
+        let exists_in = groups.iter().find(|group| {
+            group.blocks_majority(|vote| vote.exists)
+                || group.count(|vote| vote.exists) > 0 && !group.is_fenced()
+        });
+        if let Some(epoch) = exists_in.map(|group| group.epoch) {
+            return self.abandon_and_reply(work, |state, to| state.redirect(to, work, epoch));
+        }
+        // Nothing was written yet, so nobody holds a record of what is rejected here.
+        if groups.iter().any(|group| group.blocks_majority(|vote| vote.at_capacity)) {
+            self.abandon_and_reply(work, |state, to| state.send_status(to, work, SubmitStatus::Rejected));
         }
     }
 
-    /// Nothing stands in the way of opening it: rank 0 writes under ballot 0, which is its own; others ask first.
-    fn begin(&mut self, work: &WorkId) {
-        let promised = self.slots.get(work).and_then(|s| s.acceptor.promised);
-        let Some(led) = self.led.get_mut(work) else { return };
-        if led.rank == 0 && promised.is_none() {
-            let record = led.seed.clone().unwrap_or_default();
-            led.lead(record, 0, false);
-            led.held = self.now;
-            self.counts.opened += 1;
-            self.dirty.insert(work.clone());
+    /// Nothing prevents the opening: rank 0 writes under ballot 0, which is its own; other ranks prepare first.
+    fn start_ballot(&mut self, work: &WorkId) {
+        let promised = self.slots.get(work).and_then(|slot| slot.acceptor.promised);
+        let Some(leader) = self.leaders.get_mut(work) else { return };
+        if leader.rank == 0 && promised.is_none() {
+            let record = leader.proposal.clone().unwrap_or_default();
+            leader.start_leading(record, 0, RecordOrigin::Opened);
+            leader.lease_held_at = self.now;
+            self.counters.opened += 1;
+            self.unwritten.insert(work.clone());
             return;
         }
-        match next_ballot(promised.filter(|p| *p != FENCED_BALLOT), led.group.len(), led.rank) {
-            Some(ballot) => led.prepare(ballot),
-            None => return self.lose(work),
+        let above = promised.filter(|promised| *promised != FENCED_BALLOT);
+        match next_ballot(above, leader.group.len(), leader.rank) {
+            Some(ballot) => leader.prepare(ballot),
+            None => return self.abandon(work),
         }
-        self.say_again(work);
+        self.retransmit(work);
     }
 
-    /// A majority has promised. Invariant: the highest state that any of it accepted is written first, under the own
-    /// ballot, and everything follows from that; only where there is none is a new work opened.
-    fn go_on(&mut self, work: &WorkId) {
+    /// A majority has promised. Invariant: the highest state that any of it accepted is written first, under this ballot,
+    /// and everything continues from that; only where there is none is a new work item opened.
+    fn lead_promised(&mut self, work: &WorkId) {
         let now = self.now;
-        let Some(led) = self.led.get_mut(work) else { return };
-        led.held = now;
-        match (led.best.take(), led.seed.clone()) {
-            (Some(best), seed) => {
-                // Who waited for the seed, perhaps of another text, asks again.
-                if let Some(slot) = self.slots.get_mut(work).filter(|_| seed.is_some()) {
+        let Some(leader) = self.leaders.get_mut(work) else { return };
+        leader.lease_held_at = now;
+        match (leader.highest_accepted.take(), leader.proposal.clone()) {
+            (Some(highest), proposal) => {
+                // Clients that wait for the proposal, perhaps of another payload, ask again.
+                if let Some(slot) = self.slots.get_mut(work).filter(|_| proposal.is_some()) {
                     slot.waiters.clear();
                 }
-                led.lead((*best.record).clone(), best.seq, true);
-                led.takeover = true;
-                self.counts.taken_over += 1;
-                if !led.record.over() && led.deadline <= now {
-                    led.record.failed = true;
-                    self.counts.failed += 1;
+                leader.start_leading((*highest.record).clone(), highest.seq, RecordOrigin::Recovered);
+                leader.takeover = true;
+                self.counters.taken_over += 1;
+                if !leader.record.is_finished() && leader.deadline <= now {
+                    leader.record.failed = true;
+                    self.counters.failed += 1;
                 }
             }
-            (None, Some(seed)) => {
-                led.lead(seed, 0, false);
-                self.counts.opened += 1;
+            (None, Some(proposal)) => {
+                leader.start_leading(proposal, 0, RecordOrigin::Opened);
+                self.counters.opened += 1;
             }
-            (None, None) => return self.lose(work),
+            (None, None) => return self.abandon(work),
         }
-        self.dirty.insert(work.clone());
+        self.unwritten.insert(work.clone());
     }
 }
--- a/src/cluster/takeover/proposer.rs
+++ b/src/cluster/takeover/proposer.rs
@@ -1,317 +1,256 @@
-//! A member as owner or successor: it opens works, collects promises, writes, and concludes.
+//! The proposer's role, as owner or successor: collects promises and acknowledgements, writes, announces the outcome, and
+//! gives up a ballot that is lost.
 use std::rc::Rc;
 
-use bytes::Bytes;
-
 use super::leader::{majority, next_ballot, LeaderState, Phase};
-use super::message::{Accept, Accepted, Body, Decided, Prepare, Promised, Rejected, Renew};
-use super::message::{Fence, SubmitStatus};
+use super::message::{Accepted, Body, Decided, Promised, Rejected, SubmitStatus};
 use super::slot::{self, FENCED_BALLOT};
 use super::{Action, ExecutionKey, MemberId, Micros, TakeoverState, WorkId};
 
 impl TakeoverState {
-    pub(super) fn new_key(&mut self) -> ExecutionKey {
+    pub(super) fn allocate_key(&mut self) -> ExecutionKey {
         let key = ExecutionKey(self.next_key);
         self.next_key += 1;
         key
     }
 
-    pub(super) fn advance_lead(&mut self, work: &WorkId) {
-        let Some(led) = self.led.get(work) else { return };
-        let (holds, majority_seq) = (self.led_holds(led, self.now), led.majority_seq());
-        let record_first = self.guards.record_first;
-        let majority_has_outcome = led.outcome_at.is_some_and(|at| at <= majority_seq)
-            || !self.guards.outcome_first && led.outcome_at.is_some();
+    /// Starts the executor, announces grants, and announces the outcome, each once a majority holds it.
+    pub(super) fn advance_leader(&mut self, work: &WorkId) {
+        let Some(leader) = self.leaders.get(work) else { return };
+        let lease_holds = self.leader_holds_lease(leader, self.now);
+        let majority_seq = leader.majority_seq();
+        let majority_has_outcome =
+            leader.outcome_seq.is_some_and(|seq| seq <= majority_seq || !self.checks.outcome_first);
+        let majority_has_record = majority_seq >= leader.first_seq || !self.checks.record_first;
         let now = self.now;
-        let Some(led) = self.led.get_mut(work) else { return };
-        led.held = if holds { now } else { led.held };
-        let key = led.key;
-        if !led.started && !led.record.over() && (majority_seq >= led.first || !record_first) {
-            led.started = true;
-            self.keys.insert(key, work.clone());
-            let start = Action::Start { key, record: Rc::new(led.record.clone()), takeover: led.takeover };
-            self.acts.push(start);
+        let Some(leader) = self.leaders.get_mut(work) else { return };
+        if lease_holds {
+            leader.lease_held_at = now;
         }
-        for (step, shard, granted) in led.granted(holds) {
-            self.acts.push(Action::Granted { key, step, shard, granted });
+        let key = leader.key;
+        if !leader.started && !leader.record.is_finished() && majority_has_record {
+            leader.started = true;
+            self.executions.insert(key, work.clone());
+            let record = Rc::new(leader.record.clone());
+            self.actions.push(Action::Start { key, record, takeover: leader.takeover });
         }
-        // Invariant: what is told stood with a majority before, and the ballot still holds.
-        if majority_has_outcome && holds {
-            let (outcome, failed) = (led.record.outcome.clone().unwrap_or_default(), led.record.failed);
-            let (group, opened) = (Rc::clone(&led.group), led.record.opened);
-            // Told once.
-            led.outcome_at = None;
-            self.counts.finished += u64::from(!failed);
-            for member in group.iter() {
-                let decided = Decided {
-                    epoch: work.0,
-                    id: work.1.to_string(),
-                    outcome: outcome.clone(),
-                    failed,
-                    opened,
-                };
-                self.send(member, Body::Decided(decided));
-            }
+        for notice in leader.commit_grants(lease_holds) {
+            let (step, shard, granted) = (notice.step, notice.shard, notice.granted);
+            self.actions.push(Action::Granted { key, step, shard, granted });
+        }
+        if majority_has_outcome && lease_holds {
+            self.announce_outcome(work);
+        }
+    }
+
+    /// Invariant: a majority holds what is announced, and the ballot still holds.
+    fn announce_outcome(&mut self, work: &WorkId) {
+        let Some(leader) = self.leaders.get_mut(work) else { return };
+        let failed = leader.record.failed;
+        let opening_id = leader.record.opening_id;
+        let outcome = leader.record.outcome.clone().unwrap_or_default();
+        let group = Rc::clone(&leader.group);
+        // Announced once.
+        leader.outcome_seq = None;
+        self.counters.finished += u64::from(!failed);
+        for member in group.iter() {
+            let outcome = outcome.clone();
+            let decided = Decided { epoch: work.0, id: work.1.to_string(), outcome, failed, opening_id };
+            self.send(member, Body::Decided(decided));
         }
     }
 
-    /// Does a majority of the group keep the lease on this work, this member among it?
-    pub(super) fn led_holds(&self, led: &LeaderState, now: Micros) -> bool {
+    /// Whether a majority of the group keeps the lease on this work item, this member among it.
+    pub(super) fn leader_holds_lease(&self, leader: &LeaderState, now: Micros) -> bool {
         let covered = |(rank, member): (usize, &MemberId)| {
-            let vote = led.votes.get(rank);
-            vote.is_some_and(|v| {
-                !v.rejected
-                    && v.seq >= led.first
-                    && (rank == led.rank || self.leases.covers(now, member, v.sent))
+            leader.votes.get(rank).is_some_and(|vote| {
+                let acknowledged = !vote.rejected && vote.seq >= leader.first_seq;
+                acknowledged && (rank == leader.rank || self.leases.covers(now, member, vote.sent_at))
             })
         };
-        let count = led.group.iter().enumerate().filter(|at| covered(*at)).count();
-        led.phase == Phase::Lead && (count >= majority(led.group.len()) || !self.guards.lease_hold)
+        let count = leader.group.iter().enumerate().filter(|at| covered(*at)).count();
+        let has_majority = count >= majority(leader.group.len());
+        leader.phase == Phase::Leading && (has_majority || !self.checks.leader_lease)
     }
 
     /// Writes what has changed: one accept to each of the group, with the whole record.
-    pub(super) fn write(&mut self, work: &WorkId) {
-        let Some(led) = self.led.get_mut(work).filter(|l| l.phase == Phase::Lead) else { return };
-        led.write();
-        self.say_again(work);
+    pub(super) fn write_record(&mut self, work: &WorkId) {
+        let Some(leader) = self.leaders.get_mut(work).filter(|l| l.phase == Phase::Leading) else { return };
+        leader.write();
+        self.retransmit(work);
         self.advance(work);
     }
 
-    pub(super) fn accepted(&mut self, from: MemberId, m: Accepted) {
-        let work: WorkId = (m.epoch, m.id.as_str().into());
+    pub(super) fn handle_accepted(&mut self, from: MemberId, message: Accepted) {
+        let work: WorkId = (message.epoch, message.id.as_str().into());
         let now = self.now;
-        let Some(led) = self.led.get_mut(&work).filter(|l| l.ballot == m.ballot && l.phase == Phase::Lead)
-        else {
+        let leading = |l: &&mut LeaderState| l.ballot == message.ballot && l.phase == Phase::Leading;
+        let Some(leader) = self.leaders.get_mut(&work).filter(leading) else { return };
+        let rank = voter_rank(&leader.group, &from, self.checks.incarnation);
+        let written = message.seq <= leader.seq && message.sent_us <= now;
+        let Some(vote) = rank.and_then(|rank| leader.votes.get_mut(rank)).filter(|_| written) else {
+            self.counters.rejected_messages += 1;
             return;
         };
-        let rank =
-            led.group.iter().position(|g| *g == from || !self.guards.incarnation && g.name == from.name);
-        let sent = led.seq;
-        let Some(vote) = rank.and_then(|r| led.votes.get_mut(r)).filter(|_| m.seq <= sent && m.sent <= now)
-        else {
-            self.counts.strangers += 1;
-            return;
-        };
-        vote.seq = vote.seq.max(m.seq);
-        vote.sent = vote.sent.max(m.sent);
+        vote.seq = vote.seq.max(message.seq);
+        vote.sent_at = vote.sent_at.max(message.sent_us);
         vote.rejected = false;
-        self.leases.acked(now, &from, m.sent);
+        self.leases.record_acknowledgement(now, &from, message.sent_us);
         self.advance(&work);
     }
 
-    pub(super) fn promised(&mut self, from: MemberId, m: Promised) {
-        let work: WorkId = (m.epoch, m.id.as_str().into());
-        let Some(led) = self.led.get_mut(&work).filter(|l| l.ballot == m.ballot && l.phase == Phase::Prepare)
-        else {
-            return;
-        };
-        let rank =
-            led.group.iter().position(|g| *g == from || !self.guards.incarnation && g.name == from.name);
-        let Some(vote) = rank.and_then(|r| led.votes.get_mut(r)) else {
-            self.counts.strangers += 1;
+    pub(super) fn handle_promised(&mut self, from: MemberId, message: Promised) {
+        let work: WorkId = (message.epoch, message.id.as_str().into());
+        let preparing = |l: &&mut LeaderState| l.ballot == message.ballot && l.phase == Phase::Preparing;
+        let Some(leader) = self.leaders.get_mut(&work).filter(preparing) else { return };
+        let rank = voter_rank(&leader.group, &from, self.checks.incarnation);
+        let Some(vote) = rank.and_then(|rank| leader.votes.get_mut(rank)) else {
+            self.counters.rejected_messages += 1;
             return;
         };
         vote.promised = true;
-        if let Some(record) = m.record.filter(|r| r.fault().is_none()) {
-            let higher = led.best.as_ref().is_none_or(|b| (b.ballot, b.seq) < (m.accepted, m.seq));
-            if higher {
+        if let Some(record) = message.record.filter(|record| record.validation_error().is_none()) {
+            let shown = (message.accepted_ballot, message.seq);
+            let highest = leader.highest_accepted.as_ref();
+            if highest.is_none_or(|highest| (highest.ballot, highest.seq) < shown) {
                 let record = Rc::new(record);
-                led.best = Some(slot::Accepted { ballot: m.accepted, seq: m.seq, record });
+                leader.highest_accepted =
+                    Some(slot::Accepted { ballot: message.accepted_ballot, seq: message.seq, record });
             }
         }
         self.advance(&work);
     }
 
-    pub(super) fn rejected(&mut self, from: MemberId, m: Rejected) {
-        let work: WorkId = (m.epoch, m.id.as_str().into());
-        let (now, pause) = (self.now, self.pause());
-        let Some(led) = self.led.get_mut(&work).filter(|l| l.ballot == m.ballot) else { return };
-        let rank = led.group.iter().position(|g| *g == from);
-        let Some(vote) = rank.and_then(|r| led.votes.get_mut(r)) else { return };
-        (vote.full, vote.rejected) = (m.full, vote.rejected || !m.full && m.wait_us == 0);
-        if m.full {
-            if led.hopeless(|v| v.full) && !led.started && !led.refused {
-                self.refuse(&work);
+    pub(super) fn handle_rejected(&mut self, from: MemberId, message: Rejected) {
+        let work: WorkId = (message.epoch, message.id.as_str().into());
+        let Some(leader) = self.leaders.get_mut(&work).filter(|l| l.ballot == message.ballot) else { return };
+        let rank = leader.group.iter().position(|member| *member == from);
+        let Some(vote) = rank.and_then(|rank| leader.votes.get_mut(rank)) else { return };
+        vote.at_capacity = message.at_capacity;
+        vote.rejected |= !message.at_capacity && message.wait_us == 0;
+        if message.at_capacity {
+            if leader.blocks_majority(|vote| vote.at_capacity) && !leader.started && !leader.capacity_rejected
+            {
+                self.reject_for_capacity(&work);
             }
             return;
         }
-        let next = match m.promised {
-            NEVER => None,
-            promised => next_ballot(Some(promised.max(led.ballot)), led.group.len(), led.rank),
-        };
-        match led.phase {
-            Phase::Prepare if m.wait_us > 0 => {
-                led.resend = now.saturating_add(m.wait_us.clamp(pause, 20 * pause))
+        match leader.phase {
+            Phase::Fencing => {}
+            Phase::Preparing => self.prepare_rejected(&work, &message),
+            Phase::Leading => self.accept_rejected(&work, &message),
+        }
+    }
+
+    /// Waits for a lease to end, goes where the id is, or prepares a higher ballot.
+    fn prepare_rejected(&mut self, work: &WorkId, message: &Rejected) {
+        let now = self.now;
+        let interval = self.resend_interval();
+        let Some(leader) = self.leaders.get_mut(work) else { return };
+        if message.wait_us > 0 {
+            let wait = message.wait_us.clamp(interval, 20 * interval);
+            leader.retransmit_at = now.saturating_add(wait);
+            return;
+        }
+        if message.promised == FENCED_BALLOT {
+            if leader.blocks_majority(|vote| vote.rejected) {
+                let newest = self.newest_epoch();
+                self.abandon_and_reply(work, |state, to| state.redirect(to, work, newest));
             }
-            Phase::Prepare if m.promised == FENCED_BALLOT && led.hopeless(|v| v.rejected) => {
-                let newest = self.newest();
-                self.give_up(&work, |works, to| works.elsewhere(to, &work, newest));
+            return;
+        }
+        match ballot_above(leader, message.promised) {
+            Some(ballot) => {
+                leader.prepare(ballot);
+                // Two that prepare at once wait for different times.
+                let wait = interval.saturating_mul(1 + leader.rank as u64);
+                leader.retransmit_at = now.saturating_add(wait);
             }
-            Phase::Prepare if m.promised == FENCED_BALLOT => {}
-            Phase::Prepare => match next {
-                // Two that ask at once wait unlike times.
-                Some(ballot) => {
-                    led.prepare(ballot);
-                    led.resend = now.saturating_add(pause.saturating_mul(1 + led.rank as u64));
-                }
-                None => self.lose(&work),
-            },
-            Phase::Lead if led.hopeless(|v| v.rejected) => match next {
-                // Nothing was begun, so it may still ask what a majority holds.
-                Some(ballot) if !led.started && led.seed.is_some() => {
-                    led.prepare(ballot);
-                    self.say_again(&work);
-                }
-                _ => self.lose(&work),
-            },
-            _ => {}
+            None => self.abandon(work),
         }
     }
 
-    /// No majority has room. Some may hold the record all the same: they must not run it later, so it fails.
-    fn refuse(&mut self, work: &WorkId) {
-        let waiters = self.slots.get_mut(work).map(|s| std::mem::take(&mut s.waiters)).unwrap_or_default();
-        for waiter in waiters {
-            self.tell(&waiter, work, SubmitStatus::Refused, Bytes::new());
+    /// Gives the ballot up once no majority is left for it, or prepares a higher one if nothing was started.
+    fn accept_rejected(&mut self, work: &WorkId, message: &Rejected) {
+        let Some(leader) = self.leaders.get_mut(work) else { return };
+        if !leader.blocks_majority(|vote| vote.rejected) {
+            return;
+        }
+        let next = match message.promised {
+            FENCED_BALLOT => None,
+            promised => ballot_above(leader, promised),
+        };
+        match next {
+            // Nothing was started, so it may still learn what a majority holds.
+            Some(ballot) if !leader.started && leader.proposal.is_some() => {
+                leader.prepare(ballot);
+                self.retransmit(work);
+            }
+            _ => self.abandon(work),
         }
-        let Some(led) = self.led.get_mut(work) else { return };
-        led.refused = true;
-        if led.phase == Phase::Lead {
-            led.record.failed = true;
-            self.dirty.insert(work.clone());
+    }
+
+    /// No majority has capacity. Some acceptors may hold the record all the same; it must not run later, so it fails.
+    fn reject_for_capacity(&mut self, work: &WorkId) {
+        for waiter in self.take_waiters(work) {
+            self.send_status(&waiter, work, SubmitStatus::Rejected);
+        }
+        let Some(leader) = self.leaders.get_mut(work) else { return };
+        leader.capacity_rejected = true;
+        if leader.phase == Phase::Leading {
+            leader.record.failed = true;
+            self.unwritten.insert(work.clone());
         } else {
-            self.lose(work);
+            self.abandon(work);
         }
     }
 
-    /// Ends a work without an outcome of its executor.
+    /// Ends a work item without an outcome of its executor.
     pub(super) fn fail(&mut self, work: &WorkId) {
-        let Some(led) = self.led.get_mut(work) else { return };
-        led.record.failed = true;
-        led.record.parts.iter_mut().for_each(|p| p.value = None);
-        if led.started {
-            self.keys.remove(&led.key);
-            self.acts.push(Action::Stop { key: led.key });
+        let Some(leader) = self.leaders.get_mut(work) else { return };
+        leader.record.failed = true;
+        leader.record.drop_values();
+        if leader.started {
+            self.executions.remove(&leader.key);
+            self.actions.push(Action::Stop { key: leader.key });
         }
-        self.counts.failed += 1;
-        self.dirty.insert(work.clone());
+        self.counters.failed += 1;
+        self.unwritten.insert(work.clone());
     }
 
-    pub(super) fn give_up(&mut self, work: &WorkId, tell: impl Fn(&mut TakeoverState, &MemberId)) {
-        let waiters = self.slots.get_mut(work).map(|s| std::mem::take(&mut s.waiters)).unwrap_or_default();
-        self.lose(work);
+    /// Abandons a work item, and answers those that wait for it by `reply`.
+    pub(super) fn abandon_and_reply(&mut self, work: &WorkId, reply: impl Fn(&mut TakeoverState, &MemberId)) {
+        let waiters = self.take_waiters(work);
+        self.abandon(work);
         for waiter in waiters {
-            tell(self, &waiter);
+            reply(self, &waiter);
         }
     }
 
     /// The ballot is lost, or there is nothing to lead any more.
-    pub(super) fn lose(&mut self, work: &WorkId) {
-        if let Some(led) = self.drop_led(work) {
-            self.counts.lost_ballots += u64::from(led.phase == Phase::Lead);
-            if led.started {
-                self.acts.push(Action::Stop { key: led.key });
+    pub(super) fn abandon(&mut self, work: &WorkId) {
+        if let Some(leader) = self.remove_leader(work) {
+            self.counters.lost_ballots += u64::from(leader.phase == Phase::Leading);
+            if leader.started {
+                self.actions.push(Action::Stop { key: leader.key });
             }
         }
     }
 
-    pub(super) fn drop_led(&mut self, work: &WorkId) -> Option<LeaderState> {
-        let led = self.led.remove(work)?;
-        self.keys.remove(&led.key);
-        self.dirty.remove(work);
-        Some(led)
-    }
-
-    /// Says what the phase of a work owes to whoever has not answered it.
-    pub(super) fn say_again(&mut self, work: &WorkId) {
-        let (now, pause) = (self.now, self.pause());
-        let Some(led) = self.led.get_mut(work) else { return };
-        led.resend = now.saturating_add(pause);
-        let (epoch, id, left_us) = (work.0, work.1.to_string(), led.deadline.saturating_sub(now));
-        let class = led.seed.as_ref().unwrap_or(&led.record).class;
-        let mut owed: Vec<(MemberId, Body)> = Vec::new();
-        match led.phase {
-            Phase::Seal => {
-                for old in &led.olds {
-                    let silent = old.group.iter().zip(old.sealed.iter().zip(&old.exists));
-                    for (member, _) in silent.filter(|(_, (s, e))| !**s && !**e) {
-                        let seal = Fence { epoch: old.epoch, id: id.clone(), class, left_us };
-                        owed.push((member.clone(), Body::Seal(seal)));
-                    }
-                }
-            }
-            Phase::Prepare => {
-                for (member, _) in led.group.iter().zip(&led.votes).filter(|(_, v)| !v.promised) {
-                    let prepare = Prepare { epoch, id: id.clone(), ballot: led.ballot, class, left_us };
-                    owed.push((member.clone(), Body::Prepare(prepare)));
-                }
-            }
-            Phase::Lead => {
-                for (rank, (member, vote)) in led.group.iter().zip(&led.votes).enumerate() {
-                    let covered = rank == led.rank || self.leases.covers(now, member, vote.sent);
-                    if led.seq > 0 && (vote.seq < led.seq || !covered) {
-                        let (ballot, seq, record) = (led.ballot, led.seq, Some(led.record.clone()));
-                        let accept =
-                            Accept { epoch, id: id.clone(), ballot, seq, sent: now, left_us, record };
-                        owed.push((member.clone(), Body::Accept(accept)));
-                    }
-                }
-            }
-        }
-        for (to, body) in owed {
-            self.send(&to, body);
-        }
+    pub(super) fn remove_leader(&mut self, work: &WorkId) -> Option<LeaderState> {
+        let leader = self.leaders.remove(work)?;
+        self.executions.remove(&leader.key);
+        self.unwritten.remove(work);
+        Some(leader)
     }
+}
 
-    pub(super) fn tick_led(&mut self) {
-        let now = self.now;
-        let due = |l: &LeaderState| l.resend <= now || l.write_by.is_some_and(|at| at <= now);
-        let due: Vec<WorkId> = self.led.iter().filter(|(_, l)| due(l)).map(|(w, _)| w.clone()).collect();
-        for work in due {
-            let Some(led) = self.led.get(&work) else { continue };
-            // Another ballot is about and no majority keeps this one's lease: it will not come back by itself.
-            let lost = led.phase == Phase::Lead && led.count(|v| v.rejected) > 0 && !self.led_holds(led, now);
-            // Nothing is acknowledged any more: who is heard and does not hear must fall silent, or its guards would
-            // keep its lease and nobody take over.
-            let deaf = led.phase == Phase::Lead
-                && now > led.held.saturating_add(2 * self.leases.guarded())
-                && !self.led_holds(led, now);
-            if lost || deaf {
-                self.lose(&work);
-                continue;
-            }
-            let Some(led) = self.led.get_mut(&work) else { continue };
-            let opening = led.phase != Phase::Lead && !led.takeover;
-            if led.keep <= now || opening && led.deadline <= now {
-                self.lose(&work);
-                continue;
-            }
-            if led.phase == Phase::Lead && led.deadline <= now && !led.record.over() {
-                self.fail(&work);
-            } else if led.write_by.is_some_and(|at| at <= now) {
-                self.dirty.insert(work.clone());
-            } else {
-                self.say_again(&work);
-            }
-            self.advance(&work);
-        }
-        self.renew_leases();
-    }
+/// The place of a voter in its group, by incarnation or, in tests alone, by name.
+fn voter_rank(group: &[MemberId], voter: &MemberId, check_incarnation: bool) -> Option<usize> {
+    group.iter().position(|member| member == voter || !check_incarnation && member.name == voter.name)
+}
 
-    /// One renewal to each peer for all works that it guards for this member.
-    fn renew_leases(&mut self) {
-        let now = self.now;
-        let leading = self.led.values().filter(|l| l.phase == Phase::Lead);
-        if self.renew.is_some_and(|at| at > now) {
-            return;
-        }
-        let mut peers: Vec<MemberId> = leading.flat_map(|l| l.group.iter().cloned()).collect();
-        peers.sort();
-        peers.dedup();
-        peers.retain(|p| *p != self.me);
-        for peer in &peers {
-            self.send(peer, Body::Renew(Renew { sent: now }));
-        }
-        self.renew = (!peers.is_empty()).then(|| now.saturating_add((self.limits.lease / 3).max(1)));
-    }
+/// The leader's next ballot above its own and a promised one.
+fn ballot_above(leader: &LeaderState, promised: u64) -> Option<u64> {
+    next_ballot(Some(promised.max(leader.ballot)), leader.group.len(), leader.rank)
 }
--- a/src/cluster/takeover/submission.rs
+++ b/src/cluster/takeover/submission.rs
@@ -1,4 +1,4 @@
-//! A member as entry: it leads the asks of its own clients to the group and hands them the reply.
+//! Requests of this member's own clients: forwards each to its group, follows redirects, and answers the clients.
 use std::hash::Hasher;
 use std::rc::Rc;
 
@@ -14,256 +14,315 @@
 /// Clients of one process that wait for one id.
 const MAX_CLIENTS_PER_ID: usize = 1024;
 
-/// Seconds after which a client that was refused may come again: a little over what most queries take.
-const RETRY_AFTER: f64 = 0.5;
+/// When a rejected client may retry, in seconds: a little over what most queries take.
+const RETRY_AFTER_S: f64 = 0.5;
 
-fn print_of(class: u32, text: &[u8]) -> u64 {
+/// The longest time after which another member may let a client retry, in seconds.
+const MAX_RETRY_AFTER_S: f64 = 60.0;
+
+fn request_fingerprint(class: u32, payload: &[u8]) -> u64 {
     let mut hasher = fnv::FnvHasher::default();
     hasher.write_u32(class);
-    hasher.write(text);
+    hasher.write(payload);
     hasher.finish()
 }
 
-/// An ask that waits for its reply.
+/// A request that waits for its reply.
 #[derive(Debug)]
 pub struct PendingSubmission {
-    ask: SubmitRequest,
-    text: Bytes,
-    tokens: Vec<ClientToken>,
-    pub deadline: Micros,
+    request: SubmitRequest,
+    /// That of the request, for messages.
+    payload: Bytes,
+    clients: Vec<ClientToken>,
+    /// On this member's clock.
+    deadline: Micros,
+    /// The epoch whose group it goes to.
     epoch: u64,
-    /// Whom it asks.
+    /// The rank in that group that it goes to; may be over the group's size, and counts around it then.
     rank: usize,
-    /// When that one was first asked, or last heard.
-    since: Micros,
-    /// It has said that the work is in hand.
-    heard: bool,
-    pub next: Micros,
+    /// When that member was first sent it, or last answered.
+    last_progress_at: Micros,
+    /// That member has answered that the work item is in progress.
+    in_progress: bool,
+    next_send_at: Micros,
+}
+
+impl PendingSubmission {
+    /// When it must be sent again or ended.
+    pub(super) fn due_at(&self) -> Micros {
+        self.next_send_at.min(self.deadline)
+    }
+
+    /// Addresses it to a rank of a group that has not answered yet.
+    fn address_to(&mut self, epoch: u64, rank: usize, now: Micros) {
+        self.epoch = epoch;
+        self.rank = rank;
+        self.last_progress_at = now;
+        self.in_progress = false;
+    }
 }
 
 impl TakeoverState {
-    /// A client asks. Its reply comes as [`Act::Answer`], by its end at the latest.
-    pub fn submit(&mut self, now: Micros, unix_ms: u64, token: ClientToken, ask: SubmitRequest) {
+    /// A client submits a request. It is answered by one [`Action::Answer`], at its deadline at the latest.
+    ///
+    /// Requests of several clients under one id are one; they must agree in payload and class.
+    pub fn submit(&mut self, now: Micros, unix_ms: u64, token: ClientToken, request: SubmitRequest) {
         self.now = self.now.max(now);
-        let Some(when_full) = self.rule(ask.class.into()).map(|r| r.when_full) else {
-            self.counts.unprotected += 1;
+        let Some(when_full) = self.rule(request.class.into()).map(|rule| rule.when_full) else {
+            self.counters.unprotected += 1;
             return self.answer(token, ClientReply::Unprotected);
         };
-        let left = ask.ends.saturating_sub(unix_ms).saturating_mul(1000);
-        if left == 0 {
+        let remaining = request.deadline_unix_ms.saturating_sub(unix_ms).saturating_mul(1000);
+        if remaining == 0 {
             return self.answer(token, ClientReply::DeadlineExceeded);
         }
-        if let Some(entry) = self.asks.get_mut(&ask.id) {
-            if self.guards.same_text && (entry.ask.class != ask.class || entry.ask.text != ask.text) {
-                self.counts.other_text += 1;
-                return self.answer(token, ClientReply::IdConflict);
-            }
-            if entry.tokens.len() < MAX_CLIENTS_PER_ID {
-                entry.tokens.push(token);
-                self.tokens.insert(token, ask.id);
-                return;
-            }
-            return self.full(token, when_full);
+        if self.submissions.contains_key(&request.id) {
+            return self.join_submission(token, request, when_full);
         }
-        let fits = (1..=MAX_ID_BYTES).contains(&ask.id.len())
-            && ask.text.len() <= self.limits.record
-            && ask.parts.len() <= MAX_PARTS;
-        if !fits || self.asks.len() >= self.limits.works || self.configs.is_empty() {
-            return self.full(token, when_full);
+        let valid = (1..=MAX_ID_BYTES).contains(&request.id.len())
+            && request.payload.len() <= self.limits.max_record_bytes
+            && request.shards.len() <= MAX_PARTS;
+        let has_capacity = self.submissions.len() < self.limits.max_work_items;
+        if !valid || !has_capacity || self.configurations.is_empty() {
+            return self.answer_without_capacity(token, when_full);
         }
-        let id = Rc::clone(&ask.id);
-        let entry = PendingSubmission {
-            text: Bytes::copy_from_slice(&ask.text),
-            ask,
-            tokens: vec![token],
-            deadline: self.now.saturating_add(left),
-            epoch: self.newest(),
+        let id = Rc::clone(&request.id);
+        let submission = PendingSubmission {
+            payload: Bytes::copy_from_slice(&request.payload),
+            request,
+            clients: vec![token],
+            deadline: self.now.saturating_add(remaining),
+            epoch: self.newest_epoch(),
             rank: 0,
-            since: self.now,
-            heard: false,
-            next: self.now,
+            last_progress_at: self.now,
+            in_progress: false,
+            next_send_at: self.now,
         };
-        self.tokens.insert(token, Rc::clone(&id));
-        self.asks.insert(Rc::clone(&id), entry);
-        self.lead(&id);
+        self.clients.insert(token, Rc::clone(&id));
+        self.submissions.insert(Rc::clone(&id), submission);
+        self.forward(&id);
     }
 
-    /// That client has gone; its work goes on.
-    pub fn leave(&mut self, token: ClientToken) {
-        let Some(id) = self.tokens.remove(&token) else { return };
-        if let Some(entry) = self.asks.get_mut(&id) {
-            entry.tokens.retain(|t| *t != token);
-            if entry.tokens.is_empty() {
-                self.asks.remove(&id);
+    /// A client submits what another client of this process waits for.
+    fn join_submission(&mut self, token: ClientToken, request: SubmitRequest, when_full: WhenFull) {
+        let Some(submission) = self.submissions.get_mut(&request.id) else { return };
+        let pending = &submission.request;
+        let same = pending.class == request.class && pending.payload == request.payload;
+        if self.checks.id_conflict && !same {
+            self.counters.id_conflicts += 1;
+            return self.answer(token, ClientReply::IdConflict);
+        }
+        if submission.clients.len() >= MAX_CLIENTS_PER_ID {
+            return self.answer_without_capacity(token, when_full);
+        }
+        submission.clients.push(token);
+        self.clients.insert(token, request.id);
+    }
+
+    /// That client has disconnected; its work item continues.
+    pub fn remove_client(&mut self, token: ClientToken) {
+        let Some(id) = self.clients.remove(&token) else { return };
+        if let Some(submission) = self.submissions.get_mut(&id) {
+            submission.clients.retain(|client| *client != token);
+            if submission.clients.is_empty() {
+                self.submissions.remove(&id);
             }
         }
     }
 
-    /// It cannot be held: what its class says is done.
-    fn full(&mut self, token: ClientToken, when_full: WhenFull) {
+    /// Answers as the class's rule says for want of capacity.
+    fn answer_without_capacity(&mut self, token: ClientToken, when_full: WhenFull) {
         match when_full {
-            WhenFull::Refuse => {
-                self.counts.refused += 1;
-                self.answer(token, ClientReply::Refused { retry_after: RETRY_AFTER });
+            WhenFull::Reject => {
+                self.counters.rejected += 1;
+                self.answer(token, ClientReply::Rejected { retry_after_s: RETRY_AFTER_S });
             }
             WhenFull::Unprotected => {
-                self.counts.unprotected += 1;
+                self.counters.unprotected += 1;
                 self.answer(token, ClientReply::Unprotected);
             }
         }
     }
 
     fn answer(&mut self, token: ClientToken, reply: ClientReply) {
-        self.acts.push(Action::Answer { token, reply });
+        self.actions.push(Action::Answer { token, reply });
     }
 
-    /// Says the ask to whom it is for now; one of whom nobody says that it is dead, if there is such.
-    fn lead(&mut self, id: &Rc<str>) {
-        let (now, pause) = (self.now, self.pause());
-        let Some((epoch, class)) = self.asks.get(id).map(|e| (e.epoch, u32::from(e.ask.class))) else {
-            return;
-        };
-        let group = self.group(&(epoch, Rc::clone(id)), class);
-        let Some(entry) = self.asks.get_mut(id) else { return };
-        entry.next = now.saturating_add(if entry.heard { 3 * pause } else { pause });
-        let Some(group) = group.filter(|g| !g.is_empty()) else { return };
+    /// Sends the request to the member that it is addressed to, or to the next of the group that is not suspected to be
+    /// dead, if there is one.
+    fn forward(&mut self, id: &Rc<str>) {
+        let now = self.now;
+        let interval = self.resend_interval();
+        let Some(submission) = self.submissions.get(id) else { return };
+        let class = u32::from(submission.request.class);
+        let group = self.group(&(submission.epoch, Rc::clone(id)), class);
+        let Some(submission) = self.submissions.get_mut(id) else { return };
+        let wait = if submission.in_progress { 3 * interval } else { interval };
+        submission.next_send_at = now.saturating_add(wait);
+        let Some(group) = group.filter(|group| !group.is_empty()) else { return };
         let size = group.len();
-        let sound = |rank: &usize| group.get(*rank % size).is_some_and(|m| !self.dead.contains(m));
-        let rank = (entry.rank..entry.rank + size).find(sound).unwrap_or(entry.rank) % size;
-        if rank != entry.rank {
-            (entry.rank, entry.since, entry.heard) = (rank, now, false);
+        let is_trusted = |rank: &usize| {
+            let member = group.get(*rank % size);
+            member.is_some_and(|member| !self.suspected.contains(member))
+        };
+        let addressed = submission.rank;
+        let rank = (addressed..addressed + size).find(is_trusted).unwrap_or(addressed) % size;
+        if rank != addressed {
+            submission.address_to(submission.epoch, rank, now);
         }
         let Some(to) = group.get(rank).cloned() else { return };
-        let ask = ForwardedSubmit {
-            epoch,
+        let message = ForwardedSubmit {
+            epoch: submission.epoch,
             id: id.to_string(),
             class,
-            ends: entry.ask.ends,
-            left_us: entry.deadline.saturating_sub(now),
-            text: entry.text.clone(),
-            parts: entry.ask.parts.to_vec(),
+            deadline_unix_ms: submission.request.deadline_unix_ms,
+            remaining_us: submission.deadline.saturating_sub(now),
+            payload: submission.payload.clone(),
+            shards: submission.request.shards.to_vec(),
         };
-        self.send(&to, Body::Ask(ask));
+        self.send(&to, Body::Submit(message));
     }
 
-    /// All asks go to the group of a new configuration: what is in hand in an older one is found from there.
-    pub(super) fn ask_in(&mut self, epoch: u64) {
-        for entry in self.asks.values_mut().filter(|e| !e.heard) {
-            (entry.epoch, entry.rank, entry.since, entry.next) = (epoch, 0, self.now, self.now);
+    /// Addresses all requests that are not in progress to the group of a new configuration: from there, what is in progress
+    /// in an earlier one is found.
+    pub(super) fn resubmit_to(&mut self, epoch: u64) {
+        let now = self.now;
+        for submission in self.submissions.values_mut().filter(|s| !s.in_progress) {
+            submission.address_to(epoch, 0, now);
+            submission.next_send_at = now;
         }
     }
 
-    /// Asks that went to a member that is said to be dead go to another at once.
-    pub(super) fn turn_from(&mut self, _member: &MemberId) {
+    /// Sends all requests again at the next tick: those to a suspected member then go to another one.
+    pub(super) fn resend_submissions_soon(&mut self) {
         let soon = self.now.saturating_add(1);
-        for entry in self.asks.values_mut() {
-            entry.next = entry.next.min(soon);
+        for submission in self.submissions.values_mut() {
+            submission.next_send_at = submission.next_send_at.min(soon);
         }
     }
 
-    pub(super) fn tick_asks(&mut self) {
+    pub(super) fn tick_submissions(&mut self) {
         let now = self.now;
-        let due: Vec<Rc<str>> = self
-            .asks
-            .iter()
-            .filter(|(_, e)| e.next.min(e.deadline) <= now)
-            .map(|(id, _)| Rc::clone(id))
-            .collect();
+        let due = self.submissions.iter().filter(|(_, submission)| submission.due_at() <= now);
+        let due: Vec<Rc<str>> = due.map(|(id, _)| Rc::clone(id)).collect();
         for id in due {
-            let Some(entry) = self.asks.get_mut(&id) else { continue };
-            if entry.deadline <= now {
-                self.reply(&id, ClientReply::DeadlineExceeded);
+            let Some(submission) = self.submissions.get_mut(&id) else { continue };
+            if submission.deadline <= now {
+                self.resolve(&id, ClientReply::DeadlineExceeded);
                 continue;
             }
-            // Silent for most of a lease: the next rank is asked.
-            if now.saturating_sub(entry.since) >= self.limits.lease {
-                (entry.rank, entry.since, entry.heard) = (entry.rank + 1, now, false);
+            // No answer for a lease: the next rank is tried.
+            if now.saturating_sub(submission.last_progress_at) >= self.limits.lease {
+                submission.address_to(submission.epoch, submission.rank + 1, now);
             }
-            self.lead(&id);
+            self.forward(&id);
         }
     }
 
-    pub(super) fn told(&mut self, from: MemberId, m: SubmitReply) {
-        let id: Rc<str> = m.id.as_str().into();
-        let Some((epoch, class)) = self.asks.get(&id).map(|e| (e.epoch, u32::from(e.ask.class))) else {
-            return;
-        };
-        let group = self.group(&(m.epoch, Rc::clone(&id)), class);
-        let rank = group.as_ref().and_then(|g| self.rank(g, &from));
-        let (Some(group), Some(rank), Ok(what)) = (group, rank, SubmitStatus::try_from(m.what)) else {
-            self.counts.strangers += 1;
+    pub(super) fn handle_submit_reply(&mut self, from: MemberId, reply: SubmitReply) {
+        let id: Rc<str> = reply.id.as_str().into();
+        let Some(submission) = self.submissions.get(&id) else { return };
+        let class = u32::from(submission.request.class);
+        let fingerprint = request_fingerprint(class, &submission.payload);
+        let is_ours = fingerprint == reply.request_fingerprint || !self.checks.id_conflict;
+        let group = self.group(&(reply.epoch, Rc::clone(&id)), class);
+        let rank = group.as_ref().and_then(|group| self.rank(group, &from));
+        let status = SubmitStatus::try_from(reply.status);
+        let (Some(group), Some(rank), Ok(status)) = (group, rank, status) else {
+            self.counters.rejected_messages += 1;
             return;
         };
-        let (now, newest, known) = (self.now, self.newest(), self.config(m.at_epoch).is_some());
-        let Some(entry) = self.asks.get_mut(&id) else { return };
-        let ours = print_of(class, &entry.text) == m.of || !self.guards.same_text;
-        match what {
-            SubmitStatus::Outcome | SubmitStatus::Failed if !ours => {}
-            SubmitStatus::Outcome => self.reply(&id, ClientReply::Outcome(m.outcome.to_vec().into())),
-            SubmitStatus::Failed => self.reply(&id, ClientReply::DeadlineExceeded),
-            SubmitStatus::IdConflict => self.reply(&id, ClientReply::IdConflict),
-            SubmitStatus::Refused => {
-                let retry_after =
-                    if m.retry_after.is_finite() { m.retry_after.clamp(0.0, 60.0) } else { RETRY_AFTER };
-                self.reply(&id, ClientReply::Refused { retry_after })
-            }
-            SubmitStatus::Unprotected => self.reply(&id, ClientReply::Unprotected),
-            SubmitStatus::InProgress if m.epoch == epoch && rank == entry.rank % group.len() => {
-                (entry.since, entry.heard) = (now, true);
-            }
-            SubmitStatus::Redirected if m.epoch == epoch && rank == entry.rank % group.len() && known => {
-                (entry.since, entry.heard) = (now, false);
-                if m.at_epoch < epoch {
-                    (entry.epoch, entry.rank) = (m.at_epoch, 0);
-                } else if rank + 1 < group.len() {
-                    // It was sent here: another of this group has it.
-                    entry.rank = rank + 1;
+        let is_addressee = reply.epoch == submission.epoch && rank == submission.rank % group.len();
+        match status {
+            SubmitStatus::Outcome | SubmitStatus::Failed if !is_ours => {}
+            SubmitStatus::Outcome => self.resolve(&id, ClientReply::Outcome(reply.outcome.to_vec().into())),
+            SubmitStatus::Failed => self.resolve(&id, ClientReply::DeadlineExceeded),
+            SubmitStatus::IdConflict => self.resolve(&id, ClientReply::IdConflict),
+            SubmitStatus::Rejected => {
+                let retry_after_s = if reply.retry_after_s.is_finite() {
+                    reply.retry_after_s.clamp(0.0, MAX_RETRY_AFTER_S)
                 } else {
-                    (entry.epoch, entry.rank) = (newest, 0);
-                }
-                self.lead(&id);
+                    RETRY_AFTER_S
+                };
+                self.resolve(&id, ClientReply::Rejected { retry_after_s });
+            }
+            SubmitStatus::Unprotected => self.resolve(&id, ClientReply::Unprotected),
+            SubmitStatus::InProgress if is_addressee => self.note_in_progress(&id),
+            SubmitStatus::Redirected
+                if is_addressee && self.configuration(reply.redirect_epoch).is_some() =>
+            {
+                self.follow_redirect(&id, rank, group.len(), reply.redirect_epoch);
             }
             SubmitStatus::InProgress | SubmitStatus::Redirected => {}
         }
     }
 
-    /// Everybody who waits for it here gets the reply.
-    fn reply(&mut self, id: &Rc<str>, reply: ClientReply) {
-        let Some(entry) = self.asks.remove(id) else { return };
-        for token in entry.tokens {
-            self.tokens.remove(&token);
+    fn note_in_progress(&mut self, id: &Rc<str>) {
+        if let Some(submission) = self.submissions.get_mut(id) {
+            submission.last_progress_at = self.now;
+            submission.in_progress = true;
+        }
+    }
+
+    /// The member of that rank has redirected it to another epoch.
+    fn follow_redirect(&mut self, id: &Rc<str>, rank: usize, group_size: usize, redirect_epoch: u64) {
+        let now = self.now;
+        let newest = self.newest_epoch();
+        let Some(submission) = self.submissions.get_mut(id) else { return };
+        if redirect_epoch < submission.epoch {
+            submission.address_to(redirect_epoch, 0, now);
+        } else if rank + 1 < group_size {
+            // It was redirected to this very group: another member of it has it.
+            submission.address_to(submission.epoch, rank + 1, now);
+        } else {
+            submission.address_to(newest, 0, now);
+        }
+        self.forward(id);
+    }
+
+    /// Answers all clients that wait for an id here.
+    fn resolve(&mut self, id: &Rc<str>, reply: ClientReply) {
+        let Some(submission) = self.submissions.remove(id) else { return };
+        for token in submission.clients {
+            self.clients.remove(&token);
             match reply {
-                ClientReply::Refused { .. } => self.counts.refused += 1,
-                ClientReply::Unprotected => self.counts.unprotected += 1,
-                ClientReply::IdConflict => self.counts.other_text += 1,
+                ClientReply::Rejected { .. } => self.counters.rejected += 1,
+                ClientReply::Unprotected => self.counters.unprotected += 1,
+                ClientReply::IdConflict => self.counters.id_conflicts += 1,
                 ClientReply::Outcome(_) | ClientReply::DeadlineExceeded => {}
             }
             self.answer(token, reply.clone());
         }
     }
 
-    pub(super) fn tell(&mut self, to: &MemberId, work: &WorkId, what: SubmitStatus, outcome: Bytes) {
-        let (epoch, id) = (work.0, work.1.to_string());
+    /// Answers a forwarded request without an outcome.
+    pub(super) fn send_status(&mut self, to: &MemberId, work: &WorkId, status: SubmitStatus) {
+        self.send_reply(to, work, status, Bytes::new());
+    }
+
+    pub(super) fn send_reply(&mut self, to: &MemberId, work: &WorkId, status: SubmitStatus, outcome: Bytes) {
         let record = self.slots.get(work).and_then(AcceptorSlot::record);
-        let of = record.map_or(0, |r| print_of(r.class, &r.text));
-        let told = SubmitReply {
-            epoch,
-            id,
-            what: what.into(),
+        let reply = SubmitReply {
+            epoch: work.0,
+            id: work.1.to_string(),
+            status: status.into(),
             outcome,
-            retry_after: RETRY_AFTER,
-            at_epoch: work.0,
-            of,
+            retry_after_s: RETRY_AFTER_S,
+            redirect_epoch: work.0,
+            request_fingerprint: record.map_or(0, |r| request_fingerprint(r.class, &r.payload)),
         };
-        self.send(to, Body::Told(told));
+        self.send(to, Body::SubmitReply(reply));
     }
 
-    pub(super) fn elsewhere(&mut self, to: &MemberId, work: &WorkId, at_epoch: u64) {
-        let (epoch, id) = (work.0, work.1.to_string());
-        let (what, outcome) = (SubmitStatus::Redirected.into(), Bytes::new());
-        self.send(
-            to,
-            Body::Told(SubmitReply { epoch, id, what, outcome, retry_after: 0.0, at_epoch, of: 0 }),
-        );
+    /// Redirects a forwarded request to the group of another epoch.
+    pub(super) fn redirect(&mut self, to: &MemberId, work: &WorkId, redirect_epoch: u64) {
+        let reply = SubmitReply {
+            epoch: work.0,
+            id: work.1.to_string(),
+            status: SubmitStatus::Redirected.into(),
+            redirect_epoch,
+            ..SubmitReply::default()
+        };
+        self.send(to, Body::SubmitReply(reply));
     }
 }
--- a/src/config/operator/cluster.rs
+++ b/src/config/operator/cluster.rs
@@ -1,4 +1,6 @@
-//! The section `fleet`: the members that work together, and which classes of work outlive their coordinator.
+//! The section `fleet`: the members of the cluster, and which classes of queries outlive their coordinator.
+//!
+//! The keys of the file are serde's names here and stay. Every error names the path of its key from the section on.
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
@@ -14,10 +16,17 @@
 use crate::cluster::{Configuration, Member, MemberId};
 use crate::config::settings::Deployment;
 
-/// The most members: far more than any fleet that was measured, few enough that each keeps a link to each other one.
-const MOST_MEMBERS: usize = 4096;
-/// What a message needs beside the record that it carries.
-const ENVELOPE: usize = 4096;
+/// The most members: far more than any cluster that was measured, few enough that each keeps a link to each other one.
+const MAX_MEMBERS: usize = 4096;
+/// What a message needs beside the record that it carries, in bytes.
+const ENVELOPE_BYTES: usize = 4096;
+/// The longest name of a cluster or zone, in bytes.
+const MAX_LABEL_BYTES: usize = 64;
+/// The smallest group: a majority of two is both, so one further acceptor would make the work depend on more members, not
+/// on fewer.
+const MIN_GROUP_SIZE: usize = 3;
+/// The most attempts of a part over all owners.
+const MAX_ATTEMPTS: u32 = 4;
 
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
@@ -25,21 +34,21 @@
     cluster: String,
     name: String,
     listen: SocketAddr,
-    members: Vec<MemberFile>,
+    members: Vec<MemberSection>,
     store: Option<PathBuf>,
     #[serde(default)]
-    protect: BTreeMap<String, ProtectFile>,
-    #[serde(default = "lease_ms")]
+    protect: BTreeMap<String, ProtectSection>,
+    #[serde(default = "default_lease_ms")]
     lease_ms: f64,
-    #[serde(default = "drift")]
-    drift: f64,
+    #[serde(default = "default_drift", rename = "drift")]
+    drift_ratio: f64,
     #[serde(default)]
-    limits: LimitsFile,
+    limits: LimitsSection,
 }
 
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
-struct MemberFile {
+struct MemberSection {
     name: String,
     address: SocketAddr,
     zone: String,
@@ -47,11 +56,11 @@
 
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
-struct ProtectFile {
-    #[serde(default = "guards")]
-    guards: usize,
-    #[serde(default = "slack_s")]
-    slack_s: f64,
+struct ProtectSection {
+    #[serde(default = "default_group_size", rename = "guards")]
+    group_size: usize,
+    #[serde(default = "default_retention_s", rename = "slack_s")]
+    outcome_retention_s: f64,
     #[serde(default)]
     when_full: WhenFullName,
 }
@@ -60,184 +69,240 @@
 #[serde(rename_all = "snake_case")]
 enum WhenFullName {
     #[default]
-    Refuse,
+    #[serde(rename = "refuse")]
+    Reject,
     Unprotected,
 }
 
-/// Sizes in bytes.
+/// Sizes in bytes, counts, and how many of each.
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields, default)]
-struct LimitsFile {
-    works: usize,
-    bytes: usize,
-    record: usize,
-    taken_over: usize,
-    frame: usize,
-    queue: usize,
+struct LimitsSection {
+    #[serde(rename = "works")]
+    max_work_items: usize,
+    #[serde(rename = "bytes")]
+    max_total_bytes: usize,
+    #[serde(rename = "record")]
+    max_record_bytes: usize,
+    #[serde(rename = "taken_over")]
+    max_takeovers: usize,
+    #[serde(rename = "frame")]
+    max_frame_bytes: usize,
+    #[serde(rename = "queue")]
+    max_queued_frames: usize,
 }
 
-impl Default for LimitsFile {
+impl Default for LimitsSection {
     fn default() -> Self {
-        let (works, bytes, record) = (4096, 64 << 20, 256 << 10);
-        LimitsFile { works, bytes, record, taken_over: 256, frame: 1 << 20, queue: 1024 }
+        LimitsSection {
+            max_work_items: 4096,
+            max_total_bytes: 64 << 20,
+            max_record_bytes: 256 << 10,
+            max_takeovers: 256,
+            max_frame_bytes: 1 << 20,
+            max_queued_frames: 1024,
+        }
     }
 }
 
-fn lease_ms() -> f64 {
+fn default_lease_ms() -> f64 {
     300.0
 }
 
-fn drift() -> f64 {
+fn default_drift() -> f64 {
     0.01
 }
 
-fn guards() -> usize {
+fn default_group_size() -> usize {
     3
 }
 
-fn slack_s() -> f64 {
+fn default_retention_s() -> f64 {
     5.0
 }
 
-/// The fleet as the file describes it.
+/// The cluster as the file describes it.
 #[derive(Clone)]
 pub struct ClusterConfig {
+    /// The cluster's name; members of another one are rejected.
     pub cluster: Rc<str>,
-    /// This member.
+    /// This member's name.
     pub name: Rc<str>,
+    /// Where this member listens for others.
     pub listen: SocketAddr,
     /// The founding members by name, this one among them; their incarnations (0) are not known here.
     pub members: Rc<[Member]>,
-    /// The log's file.
+    /// The file of the replicated log.
     pub store: Option<PathBuf>,
     /// By class; `None` where it is not protected.
     pub rules: Vec<Option<ClassRule>>,
+    /// The bounds and times of the takeover protocol.
     pub limits: takeover::Limits,
     /// The largest message between two members, in bytes.
-    pub frame: usize,
+    pub max_frame_bytes: usize,
     /// How many messages may wait for one member.
-    pub queue: usize,
+    pub max_queued_frames: usize,
+}
+
+/// The path of the key at fault from the section on, and what is wrong with it.
+type SectionError = (Vec<Seg>, String);
+
+fn error(keys: &[&str], message: impl Into<String>) -> SectionError {
+    (keys.iter().map(|key| Seg::Key((*key).into())).collect(), message.into())
 }
 
 impl ClusterConfig {
+    /// The zone of this member.
     pub fn zone(&self) -> Rc<str> {
         let me = self.members.iter().find(|m| m.id.name == self.name);
         me.map_or_else(|| "".into(), |m| m.zone.clone())
     }
 
-    /// Guards against a fleet that could not work: the path of what is at fault from the section on, and what.
+    /// Checks the section against itself and the deployment. `has_executor`: there is an API that executes protected
+    /// queries. Relative paths are taken from `folder`.
+    ///
+    /// # Errors
+    ///
+    /// The first key that makes the cluster unusable, and why.
     pub(super) fn check(
-        file: ClusterSection,
+        section: ClusterSection,
         folder: &Path,
-        told: &Deployment,
-        served: bool,
-    ) -> Result<ClusterConfig, (Vec<Seg>, String)> {
-        fn bad<T>(keys: &[&str], what: &str) -> Result<T, (Vec<Seg>, String)> {
-            Err((keys.iter().map(|k| Seg::Key((*k).into())).collect(), what.into()))
+        deployment: &Deployment,
+        has_executor: bool,
+    ) -> Result<ClusterConfig, SectionError> {
+        if section.cluster.is_empty() || section.cluster.len() > MAX_LABEL_BYTES {
+            return Err(error(&["cluster"], "must be 1 to 64 bytes"));
         }
-        if file.cluster.is_empty() || file.cluster.len() > 64 {
-            return bad(&["cluster"], "must be 1 to 64 bytes");
+        let members = check_members(&section.members)?;
+        if !members.iter().any(|m| *m.id.name == *section.name) {
+            return Err(error(&["name"], format!("'{}' is not among fleet.members", section.name)));
         }
-        let members = members(&file.members)?;
-        if !members.iter().any(|m| *m.id.name == *file.name) {
-            return bad(&["name"], &format!("'{}' is not among fleet.members", file.name));
-        }
-        if !(10.0..=60_000.0).contains(&file.lease_ms) {
-            return bad(&["lease_ms"], "must be 10 to 60000");
-        }
-        if !(0.0..=0.5).contains(&file.drift) {
-            return bad(&["drift"], "must be 0 to 0.5");
-        }
-        let l = &file.limits;
-        let bounds = [
-            ("works", l.works, 1, 1 << 20),
-            ("record", l.record, 1024, MAX_MESSAGE_BYTES - ENVELOPE),
-            ("bytes", l.bytes, l.record, 1 << 40),
-            ("taken_over", l.taken_over, 1, 1 << 20),
-            ("frame", l.frame, l.record + ENVELOPE, MAX_MESSAGE_BYTES),
-            ("queue", l.queue, 16, 1 << 20),
-        ];
-        for (key, value, least, most) in bounds {
-            if !(least..=most).contains(&value) {
-                return bad(&["limits", key], &format!("must be {least} to {most}"));
-            }
+        if !(10.0..=60_000.0).contains(&section.lease_ms) {
+            return Err(error(&["lease_ms"], "must be 10 to 60000"));
         }
-        let mut rules = vec![None; told.class_names.len()];
-        for (name, protect) in &file.protect {
-            let here = |key| ["protect", name.as_str(), key];
-            let Some(at) = told.class_names.iter().position(|c| c == name) else {
-                return bad(&["protect", name], &format!("no class '{name}' in settings.Classes"));
-            };
-            let (Some(rule), Some(class)) = (rules.get_mut(at), told.settings.classes.get(at)) else {
-                continue;
-            };
-            if !served {
-                return bad(&["protect", name], "there is no query_api that could execute it");
-            }
-            // A majority of two is both: one guard would make the work depend on more members, not on fewer.
-            if !(3..=MAX_GROUP_SIZE).contains(&protect.guards) {
-                return bad(&here("guards"), &format!("must be 3 to {MAX_GROUP_SIZE}"));
-            }
-            if !(0.0..=3600.0).contains(&protect.slack_s) {
-                return bad(&here("slack_s"), "must be 0 to 3600");
-            }
-            *rule = Some(ClassRule {
-                // A key's window is the servers' and may be over before a successor asks.
-                repeats: class.idempotency == Idempotency::Idempotent,
-                guards: protect.guards,
-                slack_ms: (protect.slack_s * 1000.0) as u64,
-                when_full: match protect.when_full {
-                    WhenFullName::Refuse => WhenFull::Refuse,
-                    WhenFullName::Unprotected => WhenFull::Unprotected,
-                },
-                worth: class.priority_weight,
-            });
+        if !(0.0..=0.5).contains(&section.drift_ratio) {
+            return Err(error(&["drift"], "must be 0 to 0.5"));
         }
+        section.limits.check()?;
+        let rules = check_rules(&section.protect, deployment, has_executor)?;
         let limits = takeover::Limits {
-            works: l.works,
-            bytes: l.bytes,
-            record: l.record,
-            taken_over: l.taken_over,
-            most_tries: told.settings.max_attempts.min(4) as u8,
-            lease: (file.lease_ms * 1000.0) as u64,
-            drift: file.drift,
+            max_work_items: section.limits.max_work_items,
+            max_total_bytes: section.limits.max_total_bytes,
+            max_record_bytes: section.limits.max_record_bytes,
+            max_takeovers: section.limits.max_takeovers,
+            max_attempts: deployment.settings.max_attempts.min(MAX_ATTEMPTS) as u8,
+            lease: (section.lease_ms * 1000.0) as u64,
+            drift_ratio: section.drift_ratio,
         };
         Ok(ClusterConfig {
-            cluster: file.cluster.into(),
-            name: file.name.into(),
-            listen: file.listen,
+            cluster: section.cluster.into(),
+            name: section.name.into(),
+            listen: section.listen,
             members: members.into(),
-            store: file.store.map(|s| folder.join(s)),
+            store: section.store.map(|file| folder.join(file)),
             rules,
             limits,
-            frame: l.frame,
-            queue: l.queue,
+            max_frame_bytes: section.limits.max_frame_bytes,
+            max_queued_frames: section.limits.max_queued_frames,
         })
     }
 }
 
-fn members(listed: &[MemberFile]) -> Result<Vec<Member>, (Vec<Seg>, String)> {
-    let bad = |n: usize, key: &str, what: String| {
-        Err((vec![Seg::Key("members".into()), Seg::Index(n), Seg::Key(key.into())], what))
-    };
-    if listed.is_empty() || listed.len() > MOST_MEMBERS {
-        return Err((vec![Seg::Key("members".into())], format!("must be 1 to {MOST_MEMBERS} members")));
+impl LimitsSection {
+    fn check(&self) -> Result<(), SectionError> {
+        let min_frame = self.max_record_bytes + ENVELOPE_BYTES;
+        let bounds = [
+            ("works", self.max_work_items, 1..=1 << 20),
+            ("record", self.max_record_bytes, 1024..=MAX_MESSAGE_BYTES - ENVELOPE_BYTES),
+            ("bytes", self.max_total_bytes, self.max_record_bytes..=1 << 40),
+            ("taken_over", self.max_takeovers, 1..=1 << 20),
+            ("frame", self.max_frame_bytes, min_frame..=MAX_MESSAGE_BYTES),
+            ("queue", self.max_queued_frames, 16..=1 << 20),
+        ];
+        for (key, value, range) in bounds {
+            if !range.contains(&value) {
+                let message = format!("must be {} to {}", range.start(), range.end());
+                return Err(error(&["limits", key], message));
+            }
+        }
+        Ok(())
+    }
+}
+
+/// The rules of the protected classes, by class.
+fn check_rules(
+    protect: &BTreeMap<String, ProtectSection>,
+    deployment: &Deployment,
+    has_executor: bool,
+) -> Result<Vec<Option<ClassRule>>, SectionError> {
+    let mut rules = vec![None; deployment.class_names.len()];
+    for (name, section) in protect {
+        let Some(at) = deployment.class_names.iter().position(|class| class == name) else {
+            return Err(error(&["protect", name], format!("no class '{name}' in settings.Classes")));
+        };
+        let class = deployment.settings.classes.get(at);
+        let (Some(rule), Some(class)) = (rules.get_mut(at), class) else { continue };
+        if !has_executor {
+            return Err(error(&["protect", name], "there is no query_api that could execute it"));
+        }
+        section.check(name)?;
+        *rule = Some(ClassRule {
+            // The window of an idempotency key is the servers' and may have passed before a successor asks.
+            idempotent: class.idempotency == Idempotency::Idempotent,
+            group_size: section.group_size,
+            outcome_retention_ms: (section.outcome_retention_s * 1000.0) as u64,
+            when_full: match section.when_full {
+                WhenFullName::Reject => WhenFull::Reject,
+                WhenFullName::Unprotected => WhenFull::Unprotected,
+            },
+            priority_weight: class.priority_weight,
+        });
+    }
+    Ok(rules)
+}
+
+impl ProtectSection {
+    fn check(&self, class: &str) -> Result<(), SectionError> {
+        if !(MIN_GROUP_SIZE..=MAX_GROUP_SIZE).contains(&self.group_size) {
+            let message = format!("must be {MIN_GROUP_SIZE} to {MAX_GROUP_SIZE}");
+            return Err(error(&["protect", class, "guards"], message));
+        }
+        if !(0.0..=3600.0).contains(&self.outcome_retention_s) {
+            return Err(error(&["protect", class, "slack_s"], "must be 0 to 3600"));
+        }
+        Ok(())
+    }
+}
+
+/// The founding members, sorted by name.
+fn check_members(listed: &[MemberSection]) -> Result<Vec<Member>, SectionError> {
+    if listed.is_empty() || listed.len() > MAX_MEMBERS {
+        return Err(error(&["members"], format!("must be 1 to {MAX_MEMBERS} members")));
     }
-    let (mut names, mut addresses, mut members) = (BTreeSet::new(), BTreeSet::new(), Vec::new());
-    for (n, m) in listed.iter().enumerate() {
-        let member =
-            Member { id: MemberId::new(&m.name, 0), zone: m.zone.as_str().into(), address: m.address };
+    let mut names = BTreeSet::new();
+    let mut addresses = BTreeSet::new();
+    let mut members = Vec::with_capacity(listed.len());
+    for (index, section) in listed.iter().enumerate() {
+        let invalid = |key: &str, message: String| {
+            let path = vec![Seg::Key("members".into()), Seg::Index(index), Seg::Key(key.into())];
+            Err((path, message))
+        };
+        let member = Member {
+            id: MemberId::new(&section.name, 0),
+            zone: section.zone.as_str().into(),
+            address: section.address,
+        };
         if let Err(e) = Configuration::new(1, vec![member.clone()]) {
-            return bad(n, "name", e.to_string());
+            return invalid("name", e.to_string());
         }
-        if !names.insert(&m.name) {
-            return bad(n, "name", format!("member '{}' is named twice", m.name));
+        if !names.insert(&section.name) {
+            return invalid("name", format!("member '{}' is named twice", section.name));
         }
-        if m.address.port() == 0 || !addresses.insert(m.address) {
-            return bad(n, "address", format!("{} is another member's, or has no port", m.address));
+        if section.address.port() == 0 || !addresses.insert(section.address) {
+            return invalid("address", format!("{} is another member's, or has no port", section.address));
         }
-        if m.zone.is_empty() || m.zone.len() > 64 {
-            return bad(n, "zone", "must be 1 to 64 bytes".into());
+        if section.zone.is_empty() || section.zone.len() > MAX_LABEL_BYTES {
+            return invalid("zone", "must be 1 to 64 bytes".into());
         }
         members.push(member);
     }
--- a/src/main.rs
+++ b/src/main.rs
@@ -78,7 +78,7 @@
     let fronts = usize::from(config.platform.is_some())
         + usize::from(query_api.is_some())
         + usize::from(grpc.is_some());
-    let members = fleet.as_ref().map_or(0, ClusterNode::descriptors);
+    let members = fleet.as_ref().map_or(0, ClusterNode::required_descriptors);
     let all = config.sockets.saturating_sub(RESERVED + members).max(LEAST_SHARED) / fronts.max(1);
     let acceptor = |descriptors: Rc<Descriptors>| {
         Acceptor::new(executor.clone(), closing.clone(), descriptors, log.clone())
@@ -165,7 +165,7 @@
     }
 
     if let (Some(fleet), Some(address)) = (&fleet, listen_at) {
-        fleet.begin(listen(address).await?, &executor);
+        fleet.start(listen(address).await?, &executor);
         executor.spawn(count_fleet(fleet.clone(), log.clone())).detach();
     }
 
@@ -190,7 +190,7 @@
     Timer::at(told_at + STILL_COMING).await;
     closing.stop_keep_alive();
     if let Some(fleet) = &fleet {
-        fleet.leave();
+        fleet.start_draining();
     }
     let ended = async {
         for (acceptor, task) in accepted {
@@ -204,7 +204,7 @@
         }
         // What is executed here for clients of other members; at its end it is over, or another member's.
         if let Some(fleet) = &fleet {
-            fleet.idle(told_at.checked_add(searching).unwrap_or(told_at)).await;
+            fleet.wait_until_idle(told_at.checked_add(searching).unwrap_or(told_at)).await;
         }
     };
     // Guards the end against clients that don't read: SIGKILL would come before it.
@@ -266,6 +266,6 @@
 async fn count_fleet(fleet: Rc<ClusterNode>, log: Logger) {
     loop {
         Timer::at(Instant::now() + COUNTS_EVERY).await;
-        info!(log, "fleet counts"; "so far" => ?fleet.counts(), "dropped" => fleet.dropped());
+        info!(log, "fleet counts"; "so far" => ?fleet.counters(), "dropped" => fleet.dropped_frames());
     }
 }
--- a/src/net/cluster/driver.rs
+++ b/src/net/cluster/driver.rs
@@ -1,4 +1,9 @@
 //! Owns the state machines of this member: passes them events with the time, and carries out their actions.
+//!
+//! Decides nothing itself. Invariant: actions are carried out in the order in which the state machines returned them,
+//! whatever further events carrying them out brings.
+mod actions;
+
 use std::cell::{Cell, RefCell};
 use std::collections::{BTreeMap, HashMap};
 use std::convert::Infallible;
@@ -9,197 +14,230 @@
 
 use async_channel::Sender;
 use async_io::Timer;
-use event_listener::Event as Wake;
+use event_listener::{Event as Wake, EventListener};
 use futures_lite::FutureExt;
-use slog::{debug, info, warn, Logger};
+use slog::{info, warn, Logger};
 
 use super::clock::Clock;
-use super::execution::{Execution, ExecutionHandle, TakeoverStateMachine, WorkExecutor};
+use super::execution::{Execution, WorkExecutor};
 use super::frames::{Frame, FrameError, Hello, VERSION};
 use super::outbox::Outbox;
-use crate::cluster::bootstrap::first_configuration::{self, Founding};
+use crate::cluster::bootstrap::first_configuration::Founding;
 use crate::cluster::takeover::{
-    Action, ClientReply, ClientToken, Counters, ExecutionKey, SendDecision, SubmitRequest, TakeoverState,
+    ClientReply, ClientToken, Counters, ExecutionKey, SubmitRequest, TakeoverState,
 };
 use crate::cluster::{Configuration, Member, MemberId, Micros};
 use crate::config::operator::ClusterConfig;
 use crate::coordinator::CancellationToken;
 use crate::net::LogRateLimiter;
 
-/// The connection that a member's frames are read from: the newest one alone.
-type Reader = (u64, Sender<Infallible>);
+/// The connection that a member's frames are read from. Dropping it cancels an older one.
+struct Reader {
+    _cancel: Sender<Infallible>,
+}
 
+/// The state machines of this member and what connects them to connections, clients and the executor.
 pub struct Driver {
     me: MemberId,
     cluster: Rc<str>,
     zone: Rc<str>,
     members: Rc<[Member]>,
-    most_frame: usize,
+    max_frame_bytes: usize,
     clock: Clock,
-    works: RefCell<TakeoverState>,
+    takeover: RefCell<TakeoverState>,
     founding: RefCell<Founding>,
-    config: RefCell<Option<Configuration>>,
-    /// The latest life of each name that was seen.
-    latest_lives: RefCell<BTreeMap<Rc<str>, u64>>,
+    configuration: RefCell<Option<Configuration>>,
+    /// The latest incarnation of each name that was seen.
+    latest_incarnations: RefCell<BTreeMap<Rc<str>, u64>>,
     readers: RefCell<BTreeMap<Rc<str>, Reader>>,
     outboxes: BTreeMap<Rc<str>, Rc<Outbox>>,
-    /// Whether each member is reached, as last reported.
-    alive: RefCell<BTreeMap<Rc<str>, bool>>,
-    waiting: RefCell<HashMap<ClientToken, Sender<ClientReply>>>,
-    runs: RefCell<HashMap<ExecutionKey, Weak<Execution>>>,
-    executes: RefCell<Option<Rc<dyn WorkExecutor>>>,
+    /// Whether each member is reached, as last logged.
+    reachable: RefCell<BTreeMap<Rc<str>, bool>>,
+    clients: RefCell<HashMap<ClientToken, Sender<ClientReply>>>,
+    executions: RefCell<HashMap<ExecutionKey, Weak<Execution>>>,
+    executor: RefCell<Option<Rc<dyn WorkExecutor>>>,
     last_token: Cell<ClientToken>,
     /// Actions are being carried out further up the stack.
-    busy: Cell<bool>,
-    /// When the timer runs out, and what makes it be set anew.
+    carrying_out: Cell<bool>,
+    /// When the timer expires, and what makes it be set anew.
     timer_due: Cell<Option<Micros>>,
     timer_changed: Wake,
-    pub idle: Wake,
+    execution_ended: Wake,
     log: Logger,
     log_limiter: LogRateLimiter,
 }
 
 impl Driver {
-    pub fn new(setup: &ClusterConfig, log: Logger) -> Rc<Driver> {
+    /// A member whose incarnation is the time of this call, with no connection yet.
+    pub fn new(config: &ClusterConfig, log: Logger) -> Rc<Driver> {
         let clock = Clock::start();
-        let me = MemberId::new(&setup.name, clock.started_unix_us);
-        let works = TakeoverState::new(me.clone(), setup.rules.clone(), setup.limits.clone());
-        let founding = Founding::new(clock.now(), me.clone(), setup.members.clone());
-        let others = setup.members.iter().filter(|m| m.id.name != me.name);
-        let outbox = |m: &Member| (m.id.name.clone(), Rc::new(Outbox::new(setup.queue, setup.frame)));
+        let me = MemberId::new(&config.name, clock.started_unix_us);
+        let takeover = TakeoverState::new(me.clone(), config.rules.clone(), config.limits.clone());
+        let founding = Founding::new(clock.now(), me.clone(), config.members.clone());
+        let others = config.members.iter().filter(|m| m.id.name != me.name);
+        let outbox = || Rc::new(Outbox::new(config.max_queued_frames, config.max_frame_bytes));
         Rc::new(Driver {
-            cluster: setup.cluster.clone(),
-            zone: setup.zone(),
-            members: setup.members.clone(),
-            most_frame: setup.frame,
+            cluster: config.cluster.clone(),
+            zone: config.zone(),
+            members: config.members.clone(),
+            max_frame_bytes: config.max_frame_bytes,
             clock,
-            works: RefCell::new(works),
+            takeover: RefCell::new(takeover),
             founding: RefCell::new(founding),
-            config: RefCell::default(),
-            latest_lives: RefCell::new([(me.name.clone(), me.incarnation)].into()),
+            configuration: RefCell::default(),
+            latest_incarnations: RefCell::new([(me.name.clone(), me.incarnation)].into()),
             readers: RefCell::default(),
-            outboxes: others.map(outbox).collect(),
-            alive: RefCell::default(),
-            waiting: RefCell::default(),
-            runs: RefCell::default(),
-            executes: RefCell::default(),
+            outboxes: others.map(|m| (m.id.name.clone(), outbox())).collect(),
+            reachable: RefCell::default(),
+            clients: RefCell::default(),
+            executions: RefCell::default(),
+            executor: RefCell::default(),
             last_token: Cell::new(0),
-            busy: Cell::new(false),
+            carrying_out: Cell::new(false),
             timer_due: Cell::new(None),
             timer_changed: Wake::new(),
-            idle: Wake::new(),
+            execution_ended: Wake::new(),
             log,
             log_limiter: LogRateLimiter::default(),
             me,
         })
     }
 
-    pub fn me(&self) -> &MemberId {
+    /// This member.
+    pub fn member_id(&self) -> &MemberId {
         &self.me
     }
 
-    pub fn most_frame(&self) -> usize {
-        self.most_frame
+    /// The longest frame of another member, in bytes.
+    pub fn max_frame_bytes(&self) -> usize {
+        self.max_frame_bytes
     }
 
+    /// Unix milliseconds.
     pub fn unix_ms(&self) -> u64 {
         self.clock.unix_ms()
     }
 
+    /// The other members, each with the queue of frames to it.
     pub fn outboxes(&self) -> impl Iterator<Item = (&Member, &Rc<Outbox>)> {
         self.members.iter().filter_map(|m| Some((m, self.outboxes.get(&m.id.name)?)))
     }
 
+    /// The newest configuration, once there is one.
     pub fn configuration(&self) -> Option<Configuration> {
-        self.config.borrow().clone()
+        self.configuration.borrow().clone()
     }
 
-    pub fn counts(&self) -> Counters {
-        self.works.borrow().counts()
+    /// Counts of the takeover protocol.
+    pub fn counters(&self) -> Counters {
+        self.takeover.borrow().counters()
     }
 
     /// Frames that were dropped: their queue was full, or there was no connection.
-    pub fn dropped(&self) -> u64 {
-        self.outboxes.values().map(|o| o.dropped.get()).sum()
+    pub fn dropped_frames(&self) -> u64 {
+        self.outboxes.values().map(|outbox| outbox.dropped()).sum()
     }
 
-    pub fn executes(&self, front: Rc<dyn WorkExecutor>) {
-        *self.executes.borrow_mut() = Some(front);
+    /// Who executes work items from here on.
+    pub fn set_executor(&self, executor: Rc<dyn WorkExecutor>) {
+        *self.executor.borrow_mut() = Some(executor);
     }
 
-    pub fn executes_no_more(&self) {
-        let _ = self.executes.take();
+    /// Nobody executes work items from here on.
+    pub fn remove_executor(&self) {
+        let _ = self.executor.take();
     }
 
-    /// Pass an event to the machine and carry out the actions that follow.
-    fn work<T>(self: &Rc<Self>, what: impl FnOnce(&mut TakeoverState, Micros) -> T) -> T {
-        let given = what(&mut self.works.borrow_mut(), self.clock.now());
+    /// Passes an event to the takeover protocol and carries out the actions that follow.
+    fn with_takeover<T>(self: &Rc<Self>, event: impl FnOnce(&mut TakeoverState, Micros) -> T) -> T {
+        let result = event(&mut self.takeover.borrow_mut(), self.clock.now());
         self.carry_out();
-        given
+        result
     }
 
-    /// A client's ask; its reply comes by `reply`.
-    pub fn submit(self: &Rc<Self>, ask: SubmitRequest, reply: Sender<ClientReply>) -> ClientToken {
-        let (token, unix_ms) = (self.last_token.get() + 1, self.clock.unix_ms());
+    /// Submits a client's request; its reply comes by `reply`.
+    pub fn submit(self: &Rc<Self>, request: SubmitRequest, reply: Sender<ClientReply>) -> ClientToken {
+        let token = self.last_token.get() + 1;
+        let unix_ms = self.clock.unix_ms();
         self.last_token.set(token);
-        self.waiting.borrow_mut().insert(token, reply);
-        self.work(|works, now| works.submit(now, unix_ms, token, ask));
+        self.clients.borrow_mut().insert(token, reply);
+        self.with_takeover(|takeover, now| takeover.submit(now, unix_ms, token, request));
         token
     }
 
     /// That client no longer waits.
-    pub fn leave(self: &Rc<Self>, token: ClientToken) {
-        if self.waiting.borrow_mut().remove(&token).is_some() {
-            self.work(|works, _| works.leave(token));
+    pub fn remove_client(self: &Rc<Self>, token: ClientToken) {
+        if self.clients.borrow_mut().remove(&token).is_some() {
+            self.with_takeover(|takeover, _| takeover.remove_client(token));
         }
     }
 
-    /// Pieces of work that this process executes.
-    pub fn running(&self) -> usize {
-        self.runs.borrow().len()
+    /// How many work items this process executes.
+    pub fn running_executions(&self) -> usize {
+        self.executions.borrow().len()
+    }
+
+    /// Resolves when an execution ends after this call.
+    pub fn execution_ended(&self) -> EventListener {
+        self.execution_ended.listen()
     }
 
+    /// This member's hello, encoded.
     pub fn hello(&self) -> Vec<u8> {
-        let (cluster, name, zone) =
-            (self.cluster.to_string(), self.me.name.to_string(), self.zone.to_string());
-        let hello = Hello { cluster, version: VERSION, name, incarnation: self.me.incarnation, zone };
+        let hello = Hello {
+            cluster: self.cluster.to_string(),
+            version: VERSION,
+            name: self.me.name.to_string(),
+            incarnation: self.me.incarnation,
+            zone: self.zone.to_string(),
+        };
         Frame::Hello(hello).bytes()
     }
 
-    /// A hello of a member on a connection of either side: who it is. Nothing is taken over from any other.
-    pub fn greeted(&self, hello: &Hello) -> Result<MemberId, FrameError> {
+    /// Checks the hello of a connection of either side; returns whose it is.
+    ///
+    /// # Errors
+    ///
+    /// It is not of this cluster, has this member's own name, or is of an incarnation before one that was seen.
+    pub fn check_hello(&self, hello: &Hello) -> Result<MemberId, FrameError> {
         let id = hello.check(&self.cluster, &self.members)?;
         if id.name == self.me.name {
-            return Err(FrameError::Name(hello.name.clone()));
+            return Err(FrameError::OtherName(hello.name.clone()));
         }
-        let seen = self.latest_lives.borrow().get(&id.name).copied().unwrap_or_default();
-        if id.incarnation < seen {
-            return Err(FrameError::Outlived(id.to_string()));
+        let latest = self.latest_incarnations.borrow().get(&id.name).copied().unwrap_or_default();
+        if id.incarnation < latest {
+            return Err(FrameError::StaleIncarnation(id.to_string()));
         }
-        if id.incarnation > seen {
-            self.latest_lives.borrow_mut().insert(id.name.clone(), id.incarnation);
-            // A later life takes the name over: what an earlier one still says is read no more.
+        if id.incarnation > latest {
+            self.latest_incarnations.borrow_mut().insert(id.name.clone(), id.incarnation);
+            // A later incarnation takes the name over: what an earlier one still sends is not read any more.
             self.readers.borrow_mut().remove(&id.name);
         }
         Ok(id)
     }
 
-    /// Its frames come over a new connection from now on; the stop reports when yet another one takes its place.
-    pub fn reads(&self, id: &MemberId) -> CancellationToken {
-        let (send, stop) = CancellationToken::new();
-        let latest = self.latest_lives.borrow().get(&id.name) == Some(&id.incarnation);
-        if latest {
-            self.readers.borrow_mut().insert(id.name.clone(), (id.incarnation, send));
+    /// The member's frames come over a new connection from now on. The token is cancelled when yet another one takes its
+    /// place.
+    pub fn register_reader(&self, id: &MemberId) -> CancellationToken {
+        let (cancel, token) = CancellationToken::new();
+        if self.latest_incarnations.borrow().get(&id.name) == Some(&id.incarnation) {
+            self.readers.borrow_mut().insert(id.name.clone(), Reader { _cancel: cancel });
         }
-        stop
+        token
     }
 
+    /// Handles a member's frame.
+    ///
+    /// # Errors
+    ///
+    /// It is a hello, which must come first and once.
     pub fn receive(self: &Rc<Self>, from: &MemberId, frame: Frame) -> Result<(), FrameError> {
         match frame {
-            Frame::Hello(_) => return Err(FrameError::Order),
-            Frame::Work(message) => {
-                let (now, unix_ms) = (self.clock.now(), self.clock.unix_ms());
-                self.works.borrow_mut().receive(now, unix_ms, from, message);
+            Frame::Hello(_) => return Err(FrameError::UnexpectedFrame),
+            Frame::Takeover(message) => {
+                let now = self.clock.now();
+                let unix_ms = self.clock.unix_ms();
+                self.takeover.borrow_mut().receive(now, unix_ms, from, message);
             }
             Frame::Founding(note) => self.founding.borrow_mut().receive(from, note),
         }
@@ -207,179 +245,81 @@
         Ok(())
     }
 
-    /// The connection to it is up.
-    pub fn reached(self: &Rc<Self>, id: &MemberId, zone: &str) {
-        if self.alive.borrow_mut().insert(id.name.clone(), true) != Some(true) {
+    /// The connection to a member is up.
+    pub fn member_reached(self: &Rc<Self>, id: &MemberId, zone: &str) {
+        if self.reachable.borrow_mut().insert(id.name.clone(), true) != Some(true) {
             info!(self.log, "fleet member reached"; "member" => %id);
         }
         self.founding.borrow_mut().heard(id, zone);
-        self.work(|works, now| works.rumour(now, id, true));
+        self.with_takeover(|takeover, now| takeover.record_gossip(now, id, true));
     }
 
-    /// The connection to it broke, or none could be had.
-    pub fn lost(self: &Rc<Self>, name: &Rc<str>, why: &io::Error) {
-        if self.alive.borrow_mut().insert(name.clone(), false) == Some(true) {
-            info!(self.log, "fleet member lost"; "member" => &**name, "error" => %why);
+    /// The connection to a member broke, or none could be opened.
+    pub fn member_lost(self: &Rc<Self>, name: &Rc<str>, error: &io::Error) {
+        if self.reachable.borrow_mut().insert(name.clone(), false) == Some(true) {
+            info!(self.log, "fleet member lost"; "member" => &**name, "error" => %error);
         }
-        let id = self
-            .latest_lives
-            .borrow()
-            .get(name)
-            .map(|life| MemberId { name: name.clone(), incarnation: *life });
-        let listed = || self.config.borrow().as_ref().and_then(|c| c.member(name)).map(|m| m.id.clone());
-        if let Some(id) = id.or_else(listed) {
-            self.work(|works, now| works.rumour(now, &id, false));
+        if let Some(id) = self.latest_known(name) {
+            self.with_takeover(|takeover, now| takeover.record_gossip(now, &id, false));
         }
     }
 
+    /// The latest incarnation of a name that was seen, or else the one in the configuration.
+    fn latest_known(&self, name: &Rc<str>) -> Option<MemberId> {
+        if let Some(incarnation) = self.latest_incarnations.borrow().get(name) {
+            return Some(MemberId { name: name.clone(), incarnation: *incarnation });
+        }
+        let configuration = self.configuration.borrow();
+        configuration.as_ref().and_then(|c| c.member(name)).map(|member| member.id.clone())
+    }
+
     /// A connection was closed for what came over it.
-    pub fn unusable(&self, peer: SocketAddr, why: &FrameError) {
-        self.warn("unusable connection in the fleet", &peer, why);
+    pub fn connection_invalid(&self, peer: SocketAddr, error: &FrameError) {
+        self.warn("fleet connection closed: protocol error", &peer, error);
     }
 
-    pub fn not_accepted(&self, why: &io::Error) {
-        self.warn("could not accept a member's connection", &"", why);
+    /// A connection could not be accepted, for want of what the own system must give.
+    pub fn accept_failed(&self, error: &io::Error) {
+        self.warn("could not accept a member's connection", &"", error);
     }
 
-    fn warn(&self, what: &'static str, peer: &dyn fmt::Display, why: &dyn fmt::Display) {
+    fn warn(&self, message: &'static str, peer: &dyn fmt::Display, error: &dyn fmt::Display) {
         if let Some(suppressed) = self.log_limiter.permit() {
-            warn!(self.log, "{}", what; "peer" => %peer, "error" => %why, "suppressed" => suppressed);
+            warn!(self.log, "{}", message; "peer" => %peer, "error" => %error, "suppressed" => suppressed);
         }
     }
 
-    /// Run the timers of the machines for good.
-    pub async fn tick(self: Rc<Self>) {
-        // A fleet of one is founded as it is made: no event would follow.
+    /// Runs the timers of the state machines, for good.
+    pub async fn run_timers(self: Rc<Self>) {
+        // A cluster of one member is founded as it is made: no event would follow.
         self.carry_out();
         loop {
             let changed = self.timer_changed.listen();
-            let (works, founding) = (self.works.borrow().due(), self.founding.borrow().due());
-            let due = works.into_iter().chain(founding).min();
+            let takeover_due = self.takeover.borrow().next_due();
+            let founding_due = self.founding.borrow().due();
+            let due = takeover_due.into_iter().chain(founding_due).min();
             self.timer_due.set(due);
             if due.is_none_or(|due| due > self.clock.now()) {
-                let elapsed = async {
-                    match due {
-                        Some(due) => drop(Timer::at(self.clock.at(due)).await),
-                        None => std::future::pending().await,
-                    }
-                };
-                changed.or(elapsed).await;
+                changed.or(self.wait_until(due)).await;
                 continue;
             }
-            let (now, unix_ms) = (self.clock.now(), self.clock.unix_ms());
+            let now = self.clock.now();
+            let unix_ms = self.clock.unix_ms();
             self.founding.borrow_mut().tick(now);
-            self.works.borrow_mut().tick(now, unix_ms);
+            self.takeover.borrow_mut().tick(now, unix_ms);
             self.carry_out();
-            // Guards the other tasks of this thread against a timer that is due again and again.
+            // Lets the other tasks of this thread run even if a timer is due again and again.
             futures_lite::future::yield_now().await;
         }
     }
 
-    /// Carry out the machines' actions until there are no more. A call from here that brings further events only leaves
-    /// them to this loop: actions are carried out in their order.
-    fn carry_out(self: &Rc<Self>) {
-        if self.busy.replace(true) {
-            return;
-        }
-        loop {
-            let acts = self.works.borrow_mut().ready();
-            let founding = self.founding.borrow_mut().ready();
-            if acts.is_empty() && founding.is_empty() {
-                break;
+    /// Resolves at `due`; never, if there is none.
+    async fn wait_until(&self, due: Option<Micros>) {
+        match due {
+            Some(due) => {
+                Timer::at(self.clock.at(due)).await;
             }
-            founding.into_iter().for_each(|act| self.act_on_founding(act));
-            acts.into_iter().for_each(|act| self.act_on_work(act));
-        }
-        self.busy.set(false);
-        let due = self.works.borrow().due();
-        if due.is_some_and(|due| self.timer_due.get().is_none_or(|set| due < set)) {
-            self.timer_changed.notify(1);
+            None => std::future::pending().await,
         }
     }
-
-    fn act_on_work(self: &Rc<Self>, act: Action) {
-        match act {
-            Action::Send { to, message } => self.send(&to, &Frame::Work(message)),
-            Action::Start { key, record, takeover } => {
-                let machine: Rc<dyn TakeoverStateMachine> = self.clone();
-                let run = Execution::new(key, Rc::downgrade(&machine));
-                self.runs.borrow_mut().insert(key, Rc::downgrade(&run));
-                debug!(self.log, "protected work begun"; "id" => &record.id, "takeover" => takeover);
-                let front = self.executes.borrow().clone();
-                match front {
-                    Some(front) => front.start(key, record, takeover, ExecutionHandle::new(run)),
-                    None => self.warn("nobody executes protected work here", &"", &record.id),
-                }
-            }
-            Action::Granted { key, .. } => {
-                if let Some(run) = self.run(key) {
-                    run.granted();
-                }
-            }
-            Action::Stop { key } => {
-                if let Some(run) = self.run(key) {
-                    run.stop();
-                }
-            }
-            Action::Answer { token, reply } => {
-                let waits = self.waiting.borrow_mut().remove(&token);
-                drop(waits.map(|w| w.try_send(reply)));
-            }
-        }
-    }
-
-    fn run(&self, key: ExecutionKey) -> Option<Rc<Execution>> {
-        self.runs.borrow().get(&key).and_then(Weak::upgrade)
-    }
-
-    fn act_on_founding(&self, act: first_configuration::Act) {
-        match act {
-            first_configuration::Act::Send { to, note } => self.send(&to, &Frame::Founding(note)),
-            first_configuration::Act::Formed(config) => {
-                let (epoch, members) = (config.epoch(), config.members().len());
-                if !config.counts(&self.me) {
-                    warn!(self.log, "this member started too late to count"; "epoch" => epoch);
-                }
-                *self.config.borrow_mut() = Some(config.clone());
-                self.works.borrow_mut().configure(self.clock.now(), config);
-                info!(self.log, "fleet configuration"; "members" => members, "epoch" => epoch);
-            }
-            first_configuration::Act::Differs(id) => {
-                self.warn("founding members differ", &id, &"its file names others, or other zones")
-            }
-        }
-    }
-
-    fn send(&self, to: &MemberId, frame: &Frame) {
-        if let Some(outbox) = self.outboxes.get(&to.name) {
-            outbox.send(to, frame);
-        }
-    }
-}
-
-impl TakeoverStateMachine for Driver {
-    fn may_send(self: Rc<Self>, key: ExecutionKey, step: u8, shard: u32, attempt: u8) -> SendDecision {
-        self.work(|works, now| works.may_send(now, key, step, shard, attempt))
-    }
-
-    fn holds(&self, key: ExecutionKey) -> bool {
-        self.works.borrow().holds(self.clock.now(), key)
-    }
-
-    fn cleared(self: Rc<Self>, key: ExecutionKey, step: u8, shard: u32) {
-        self.work(|works, now| works.cleared(now, key, step, shard));
-    }
-
-    fn value(self: Rc<Self>, key: ExecutionKey, step: u8, shard: u32, value: Rc<[u8]>, score: f64) {
-        self.work(|works, now| works.value(now, key, step, shard, value, score));
-    }
-
-    fn finish(self: Rc<Self>, key: ExecutionKey, outcome: Rc<[u8]>) {
-        self.work(|works, now| works.finish(now, key, outcome));
-    }
-
-    fn over(&self, key: ExecutionKey) {
-        self.runs.borrow_mut().remove(&key);
-        self.idle.notify(usize::MAX);
-    }
 }
--- a/src/net/cluster/frames.rs
+++ b/src/net/cluster/frames.rs
@@ -1,6 +1,8 @@
-//! What goes over a connection between two members: a four-byte length, a byte for the kind and the rest.
-use std::fmt;
-
+//! The frames on a connection between two members: a four-byte big-endian length, a byte for the kind, and the body in
+//! protobuf.
+//!
+//! Lengths are bounded before anything is decoded. The numbers of the kinds and the prost tags are the wire format and stay.
+#![warn(missing_docs)]
 use prost::Message as _;
 
 use crate::cluster::bootstrap::first_configuration::Note;
@@ -8,129 +10,149 @@
 use crate::cluster::takeover::{Message, MessageError};
 use crate::cluster::{Configuration, Member, MemberId};
 
-/// The version of all that members say to each other.
+/// The version of the protocol between members; members of different versions do not talk.
 pub const VERSION: u32 = 1;
-/// The largest frame before the other side is known: a hello's names at their longest, and room.
-pub const MOST_HELLO: usize = 512;
+/// The longest frame before the peer is known, in bytes: a hello with the longest names, and a margin.
+pub const MAX_HELLO_BYTES: usize = 512;
+
+/// The length field of a frame, in bytes.
+const LENGTH_BYTES: usize = 4;
 
-/// The first frame of each side.
+/// The first frame of each side of a connection.
 #[derive(Clone, PartialEq, Eq, prost::Message)]
 pub struct Hello {
+    /// The name of the cluster.
     #[prost(string, tag = "1")]
     pub cluster: String,
+    /// The sender's [`VERSION`].
     #[prost(uint32, tag = "2")]
     pub version: u32,
+    /// The sender's name.
     #[prost(string, tag = "3")]
     pub name: String,
+    /// The sender's incarnation.
     #[prost(uint64, tag = "4")]
     pub incarnation: u64,
+    /// The sender's zone.
     #[prost(string, tag = "5")]
     pub zone: String,
 }
 
-/// A frame that was read whole.
+/// One complete frame.
 #[derive(Debug, PartialEq)]
 pub enum Frame {
+    /// Who the peer is.
     Hello(Hello),
-    Work(Message),
+    /// A message of the takeover protocol.
+    Takeover(Message),
+    /// A message about the first configuration.
     Founding(Note),
 }
 
 const HELLO: u8 = 0;
-const WORK: u8 = 1;
+const TAKEOVER: u8 = 1;
 const FOUNDING: u8 = 3;
 
-/// Why a connection is of no use; nothing of what came over it is taken over.
-#[derive(Debug, PartialEq)]
+/// Why a connection is closed. Nothing of the frame at fault has had any effect.
+#[derive(Debug, PartialEq, thiserror::Error)]
 pub enum FrameError {
-    Length(usize),
-    Kind(u8),
-    Spoilt(prost::DecodeError),
-    Message(MessageError),
-    /// Anything but a hello in its place, or a hello out of it.
-    Order,
-    Cluster(String),
-    Version(u32),
-    Unknown(ConfigError),
+    /// A length of zero or over the bound, in bytes.
+    #[error("a frame of {0} bytes")]
+    InvalidLength(usize),
+    /// A kind that is not known.
+    #[error("a frame of the unknown kind {0}")]
+    UnknownKind(u8),
+    /// A body that cannot be decoded.
+    #[error("a frame that cannot be read: {0}")]
+    Malformed(prost::DecodeError),
+    /// A message of the takeover protocol that is invalid.
+    #[error("{0}")]
+    InvalidMessage(MessageError),
+    /// Another frame in place of a hello, or a hello after the first frame.
+    #[error("a hello that is missing or out of place")]
+    UnexpectedFrame,
+    /// The peer is of the cluster of this name.
+    #[error("of another cluster, {0:?}")]
+    OtherCluster(String),
+    /// The peer has this version of the protocol.
+    #[error("of version {0}, this is {version}", version = VERSION)]
+    OtherVersion(u32),
+    /// The peer's name cannot be that of a member.
+    #[error("{0}")]
+    InvalidName(ConfigError),
+    /// The peer's name is not among the configured members.
+    #[error("'{0}' is no member")]
     NotListed(String),
-    /// It calls itself as this member, or as another one than was dialled.
-    Name(String),
-    /// A later life of that member was seen.
-    Outlived(String),
-}
-
-impl fmt::Display for FrameError {
-    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        match self {
-            FrameError::Length(n) => write!(f, "a frame of {n} bytes"),
-            FrameError::Kind(k) => write!(f, "a frame of the unknown kind {k}"),
-            FrameError::Spoilt(e) => write!(f, "a frame that cannot be read: {e}"),
-            FrameError::Message(e) => write!(f, "{e}"),
-            FrameError::Order => f.write_str("a hello that is missing or out of place"),
-            FrameError::Cluster(name) => write!(f, "of another cluster, {name:?}"),
-            FrameError::Version(v) => write!(f, "of version {v}, this is {VERSION}"),
-            FrameError::Unknown(e) => write!(f, "{e}"),
-            FrameError::NotListed(name) => write!(f, "'{name}' is no member"),
-            FrameError::Name(name) => write!(f, "'{name}' is not the name of a member there"),
-            FrameError::Outlived(id) => write!(f, "{id} is an earlier life of that member"),
-        }
-    }
+    /// The peer has this member's name, or another one than was dialled.
+    #[error("'{0}' is not the name of a member there")]
+    OtherName(String),
+    /// A later incarnation of that member was seen.
+    #[error("{0} is an earlier incarnation of that member")]
+    StaleIncarnation(String),
 }
 
-impl std::error::Error for FrameError {}
-
-/// The frame at the front of `bytes` and its length, if it is whole; `most` bounds what its length may say. Guards
-/// against waiting, and making room, for what cannot become a frame.
-pub fn parse(bytes: &[u8], most: usize) -> Result<Option<(Frame, usize)>, FrameError> {
-    let Some((head, rest)) = bytes.split_first_chunk::<4>() else { return Ok(None) };
-    let length = u32::from_be_bytes(*head) as usize;
-    if length == 0 || length > most {
-        return Err(FrameError::Length(length));
+/// Decodes the frame at the start of `bytes`; returns it with its length, or `None` if it is not complete yet.
+/// `max_bytes` bounds its length without the length field.
+///
+/// # Errors
+///
+/// As soon as it is clear that `bytes` cannot become a frame, so that the reader neither waits nor makes room for one: a
+/// length out of bounds, an unknown kind, or a body that is malformed or invalid.
+pub fn parse(bytes: &[u8], max_bytes: usize) -> Result<Option<(Frame, usize)>, FrameError> {
+    let Some((length, rest)) = bytes.split_first_chunk::<LENGTH_BYTES>() else { return Ok(None) };
+    let length = u32::from_be_bytes(*length) as usize;
+    if length == 0 || length > max_bytes {
+        return Err(FrameError::InvalidLength(length));
     }
-    match rest.first() {
-        Some(kind) if ![HELLO, WORK, FOUNDING].contains(kind) => return Err(FrameError::Kind(*kind)),
-        _ => {}
+    if let Some(kind) = rest.first().filter(|kind| ![HELLO, TAKEOVER, FOUNDING].contains(kind)) {
+        return Err(FrameError::UnknownKind(*kind));
     }
-    let Some((kind, rest)) = rest.get(..length).and_then(<[u8]>::split_first) else { return Ok(None) };
+    let Some((kind, body)) = rest.get(..length).and_then(<[u8]>::split_first) else { return Ok(None) };
     let frame = match *kind {
-        HELLO => Frame::Hello(Hello::decode(rest).map_err(FrameError::Spoilt)?),
-        WORK => Frame::Work(Message::from_bytes(rest).map_err(FrameError::Message)?),
-        _ => Frame::Founding(Note::decode(rest).map_err(FrameError::Spoilt)?),
+        HELLO => Frame::Hello(Hello::decode(body).map_err(FrameError::Malformed)?),
+        TAKEOVER => Frame::Takeover(Message::from_bytes(body).map_err(FrameError::InvalidMessage)?),
+        _ => Frame::Founding(Note::decode(body).map_err(FrameError::Malformed)?),
     };
-    Ok(Some((frame, 4 + length)))
+    Ok(Some((frame, LENGTH_BYTES + length)))
 }
 
 impl Frame {
+    /// The encoded frame, with its length.
     pub fn bytes(&self) -> Vec<u8> {
         let (kind, body) = match self {
             Frame::Hello(hello) => (HELLO, hello.encode_to_vec()),
-            Frame::Work(message) => (WORK, message.to_bytes()),
+            Frame::Takeover(message) => (TAKEOVER, message.to_bytes()),
             Frame::Founding(note) => (FOUNDING, note.encode_to_vec()),
         };
-        let mut out = Vec::with_capacity(5 + body.len());
-        out.extend(((body.len() + 1) as u32).to_be_bytes());
-        out.push(kind);
-        out.extend(body);
-        out
+        let mut encoded = Vec::with_capacity(LENGTH_BYTES + 1 + body.len());
+        encoded.extend(((body.len() + 1) as u32).to_be_bytes());
+        encoded.push(kind);
+        encoded.extend(body);
+        encoded
     }
 }
 
 impl Hello {
-    /// Whether it may come from a member of `cluster`, and from whom.
+    /// Checks that the sender may be one of `members` of `cluster`; returns which one.
+    ///
+    /// # Errors
+    ///
+    /// The cluster, the version or the name is not one of this member's cluster.
     pub fn check(&self, cluster: &str, members: &[Member]) -> Result<MemberId, FrameError> {
         if self.cluster != cluster {
-            return Err(FrameError::Cluster(self.cluster.clone()));
+            return Err(FrameError::OtherCluster(self.cluster.clone()));
         }
         if self.version != VERSION {
-            return Err(FrameError::Version(self.version));
+            return Err(FrameError::OtherVersion(self.version));
         }
         let id = MemberId::new(&self.name, self.incarnation);
-        // Guards the log's lines: a name goes into them once it is known to be one.
-        let as_told = Member { id: id.clone(), zone: "".into(), address: ([0, 0, 0, 0], 0).into() };
-        Configuration::new(0, vec![as_told]).map_err(FrameError::Unknown)?;
-        match members.iter().any(|m| m.id.name == id.name) {
-            true => Ok(id),
-            false => Err(FrameError::NotListed(self.name.clone())),
+        // Keeps arbitrary text out of the log lines: a name goes into them only once it is known to be a valid one.
+        let claimed = Member { id: id.clone(), zone: "".into(), address: ([0, 0, 0, 0], 0).into() };
+        Configuration::new(0, vec![claimed]).map_err(FrameError::InvalidName)?;
+        if members.iter().any(|m| m.id.name == id.name) {
+            Ok(id)
+        } else {
+            Err(FrameError::NotListed(self.name.clone()))
         }
     }
 }
--- a/src/net/cluster/link.rs
+++ b/src/net/cluster/link.rs
@@ -1,4 +1,6 @@
 //! The connection that this member dials to another one, on which it writes.
+//!
+//! Dials for good, with backoff; never reads more than the peer's hello.
 use std::io;
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -8,89 +10,104 @@
 use futures_lite::{AsyncWriteExt, FutureExt};
 
 use super::driver::Driver;
-use super::frames::{self, Frame, FrameError};
+use super::frames::{self, Frame, FrameError, Hello};
 use super::outbox::Outbox;
 use crate::cluster::MemberId;
 use crate::net::buffer::Buffer;
 use crate::net::socket::{self, Stream};
 use crate::net::timeout_at;
 
-/// Rests between two dials: short at first, since a member that restarts is back at once.
-const REST: Duration = Duration::from_millis(20);
-const LONGEST_REST: Duration = Duration::from_millis(500);
-/// A connect and both hellos together, and one write: who takes longer is no better reached than one that is gone.
-const GREET: Duration = Duration::from_secs(1);
-const WRITE: Duration = Duration::from_secs(5);
+/// The backoff between two dials: short at first, since a member that restarts is back at once.
+const MIN_BACKOFF: Duration = Duration::from_millis(20);
+const MAX_BACKOFF: Duration = Duration::from_millis(500);
+/// Bounds the connect and both hellos together: a slower peer is of no more use than one that is gone.
+const HANDSHAKE_TIMEOUT: Duration = Duration::from_secs(1);
+/// Bounds one write.
+const WRITE_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// Keep a connection to the member `name` for good.
+/// Keeps a connection to the member `name`, for good.
 pub async fn keep(driver: Rc<Driver>, name: Rc<str>, address: SocketAddr, outbox: Rc<Outbox>) {
-    let mut rest = REST;
+    let mut backoff = MIN_BACKOFF;
     loop {
-        let greeted = timeout_at(Instant::now() + GREET, greet(&driver, &name, address)).await;
-        match greeted.unwrap_or_else(|| Err(io::ErrorKind::TimedOut.into())) {
-            Ok((stream, buffer, id, zone)) => {
-                rest = REST;
-                outbox.set(Some(id.clone()));
-                driver.reached(&id, &zone);
-                let why = used(&stream, buffer, &outbox).await;
-                outbox.set(None);
-                driver.lost(&name, &why);
+        let handshake = shake_hands(&driver, &name, address);
+        let connected = timeout_at(Instant::now() + HANDSHAKE_TIMEOUT, handshake).await;
+        match connected.unwrap_or_else(|| Err(io::ErrorKind::TimedOut.into())) {
+            Ok(Connected { stream, buffer, id, zone }) => {
+                backoff = MIN_BACKOFF;
+                outbox.set_connected(Some(id.clone()));
+                driver.member_reached(&id, &zone);
+                let error = write(&stream, buffer, &outbox).await;
+                outbox.set_connected(None);
+                driver.member_lost(&name, &error);
             }
-            Err(e) => driver.lost(&name, &e),
+            Err(e) => driver.member_lost(&name, &e),
         }
-        Timer::at(Instant::now() + rest).await;
-        rest = (2 * rest).min(LONGEST_REST);
+        Timer::at(Instant::now() + backoff).await;
+        backoff = (2 * backoff).min(MAX_BACKOFF);
     }
 }
 
-/// The connection, the life at its other end and that one's zone.
-type Greeted = (Stream, Buffer, MemberId, String);
+/// A connection after its handshake.
+struct Connected {
+    stream: Stream,
+    buffer: Buffer,
+    /// The incarnation at the other end.
+    id: MemberId,
+    zone: String,
+}
 
-async fn greet(driver: &Driver, name: &str, address: SocketAddr) -> io::Result<Greeted> {
-    let mut stream = socket::connect(address, Instant::now() + GREET).await?;
+async fn shake_hands(driver: &Driver, name: &str, address: SocketAddr) -> io::Result<Connected> {
+    let mut stream = socket::connect(address, Instant::now() + HANDSHAKE_TIMEOUT).await?;
     stream.set_nodelay();
     stream.write_all(&driver.hello()).await?;
     let mut buffer = Buffer::default();
-    let refused = |e: FrameError| {
-        driver.unusable(address, &e);
+    let invalid = |e: FrameError| {
+        driver.connection_invalid(address, &e);
         io::Error::new(io::ErrorKind::InvalidData, e)
     };
     let hello = loop {
-        match frames::parse(buffer.unread(), frames::MOST_HELLO).map_err(refused)? {
-            Some((Frame::Hello(hello), length)) => {
-                buffer.consume(length);
-                break hello;
-            }
-            Some(_) => return Err(refused(FrameError::Order)),
-            None => {}
+        if let Some(hello) = take_hello(&mut buffer).map_err(invalid)? {
+            break hello;
         }
         if buffer.fill(&mut stream).await? == 0 {
             return Err(io::ErrorKind::UnexpectedEof.into());
         }
     };
     if hello.name != name {
-        return Err(refused(FrameError::Name(hello.name)));
+        return Err(invalid(FrameError::OtherName(hello.name)));
+    }
+    let id = driver.check_hello(&hello).map_err(invalid)?;
+    Ok(Connected { stream, buffer, id, zone: hello.zone })
+}
+
+/// The hello, once it is complete.
+fn take_hello(buffer: &mut Buffer) -> Result<Option<Hello>, FrameError> {
+    match frames::parse(buffer.unread(), frames::MAX_HELLO_BYTES)? {
+        Some((Frame::Hello(hello), length)) => {
+            buffer.consume(length);
+            Ok(Some(hello))
+        }
+        Some(_) => Err(FrameError::UnexpectedFrame),
+        None => Ok(None),
     }
-    let id = driver.greeted(&hello).map_err(refused)?;
-    Ok((stream, buffer, id, hello.zone))
 }
 
-/// Write what comes until the connection ends; why it did. The other side says nothing on it after its hello.
-async fn used(stream: &Stream, mut buffer: Buffer, outbox: &Outbox) -> io::Error {
+/// Writes frames as they come until the connection ends; returns why it did. The peer sends nothing after its hello.
+async fn write(stream: &Stream, mut buffer: Buffer, outbox: &Outbox) -> io::Error {
     let written = async {
-        let mut together = Vec::new();
+        let mut batch = Vec::new();
         loop {
-            together.clear();
-            outbox.take(&mut together).await;
+            batch.clear();
+            outbox.take(&mut batch).await;
             let mut stream = stream;
-            match timeout_at(Instant::now() + WRITE, stream.write_all(&together)).await {
+            match timeout_at(Instant::now() + WRITE_TIMEOUT, stream.write_all(&batch)).await {
                 Some(Ok(())) => {}
                 Some(Err(e)) => return e,
                 None => return io::ErrorKind::TimedOut.into(),
             }
         }
     };
-    let ended = async {
+    let closed = async {
         let mut stream = stream;
         match buffer.fill(&mut stream).await {
             Ok(0) => io::ErrorKind::UnexpectedEof.into(),
@@ -98,5 +115,5 @@
             Err(e) => e,
         }
     };
-    ended.or(written).await
+    closed.or(written).await
 }
--- a/src/net/cluster/mod.rs
+++ b/src/net/cluster/mod.rs
@@ -1,4 +1,5 @@
-//! What goes between the members of a fleet, and what the fronts ask of it. The decisions are in [`crate::cluster`].
+//! This process as a member of its cluster: connections to the other members, and what the query APIs ask of the cluster.
+//! The decisions are in [`crate::cluster`].
 //!
 //! A member writes on the connections that it dials and reads from those that it accepts: one each way and pair.
 mod accept;
@@ -26,54 +27,59 @@
 use crate::cluster::{Configuration, MemberId};
 use crate::config::operator::ClusterConfig;
 
-/// When a client of a member that ends may come again, in seconds: another one takes it at once.
-const ELSEWHERE: f64 = 0.1;
+/// When a client of a member that is draining may retry, in seconds: another member takes it at once.
+const DRAINING_RETRY_AFTER_S: f64 = 0.1;
 
-/// This process as a member of its fleet.
+/// This process as a member of its cluster.
 pub struct ClusterNode {
     driver: Rc<Driver>,
-    /// By class: it is protected.
-    protects: Vec<bool>,
-    leaving: Cell<bool>,
+    /// By class: whether it is protected.
+    protected_classes: Vec<bool>,
+    draining: Cell<bool>,
     tasks: Cell<Vec<Task<()>>>,
     log: Logger,
 }
 
 impl ClusterNode {
-    /// Nothing is listened to or dialled before [`Fleet::begin`].
-    pub fn new(setup: &ClusterConfig, log: &Logger) -> Rc<ClusterNode> {
-        let (driver, log) = (Driver::new(setup, log.clone()), log.clone());
-        let protects = setup.rules.iter().map(Option::is_some).collect();
-        Rc::new(ClusterNode { driver, protects, leaving: Cell::new(false), tasks: Cell::default(), log })
+    /// A member that neither listens nor dials before [`ClusterNode::start`].
+    pub fn new(config: &ClusterConfig, log: &Logger) -> Rc<ClusterNode> {
+        Rc::new(ClusterNode {
+            driver: Driver::new(config, log.clone()),
+            protected_classes: config.rules.iter().map(Option::is_some).collect(),
+            draining: Cell::new(false),
+            tasks: Cell::default(),
+            log: log.clone(),
+        })
     }
 
-    /// Descriptors that it needs: the listener, two connections for each other member, and those being greeted.
-    pub fn descriptors(setup: &ClusterConfig) -> usize {
-        1 + 2 * setup.members.len().saturating_sub(1) + accept::GREETING
+    /// The descriptors that it needs: the listener, two connections for each other member, and handshakes.
+    pub fn required_descriptors(config: &ClusterConfig) -> usize {
+        1 + 2 * config.members.len().saturating_sub(1) + accept::MAX_HANDSHAKES
     }
 
-    /// Who executes the works that this process owns or takes over. Set before [`Fleet::begin`].
-    pub fn executes(&self, front: Rc<dyn WorkExecutor>) {
-        self.driver.executes(front);
+    /// Who executes the work items that this process owns or takes over. To be set before [`ClusterNode::start`].
+    pub fn set_executor(&self, executor: Rc<dyn WorkExecutor>) {
+        self.driver.set_executor(executor);
     }
 
-    /// Listen to the other members and dial them, until this is dropped.
-    pub fn begin(&self, listener: Async<TcpListener>, executor: &Rc<LocalExecutor<'static>>) {
+    /// Listens to the other members and dials them, until [`ClusterNode::stop`] or this is dropped.
+    pub fn start(&self, listener: Async<TcpListener>, executor: &Rc<LocalExecutor<'static>>) {
         let address = listener.get_ref().local_addr();
         let address = address.unwrap_or_else(|_| SocketAddr::from(([0, 0, 0, 0], 0)));
-        info!(self.log, "fleet listening"; "member" => %self.driver.me(), "address" => %address);
+        info!(self.log, "fleet listening"; "member" => %self.driver.member_id(), "address" => %address);
         let driver = || self.driver.clone();
         let mut tasks = vec![executor.spawn(accept::accept(driver(), listener, Rc::downgrade(executor)))];
         for (member, outbox) in self.driver.outboxes() {
-            let (name, address) = (member.id.name.clone(), member.address);
-            tasks.push(executor.spawn(link::keep(driver(), name, address, outbox.clone())));
+            let name = member.id.name.clone();
+            tasks.push(executor.spawn(link::keep(driver(), name, member.address, outbox.clone())));
         }
-        tasks.push(executor.spawn(driver().tick()));
+        tasks.push(executor.spawn(driver().run_timers()));
         self.tasks.set(tasks);
     }
 
-    pub fn me(&self) -> &MemberId {
-        self.driver.me()
+    /// This member, in its present incarnation.
+    pub fn member_id(&self) -> &MemberId {
+        self.driver.member_id()
     }
 
     /// The newest configuration that was agreed, once there is one.
@@ -81,54 +87,57 @@
         self.driver.configuration()
     }
 
-    pub fn protects(&self, class: u16) -> bool {
-        self.protects.get(usize::from(class)).is_some_and(|p| *p)
+    /// Whether queries of this class are protected.
+    pub fn is_protected(&self, class: u16) -> bool {
+        self.protected_classes.get(usize::from(class)).is_some_and(|protected| *protected)
     }
 
-    /// Unix milliseconds on this member's clock, as [`Ask::ends`] counts them.
+    /// Unix milliseconds on this member's clock, as [`SubmitRequest::deadline_unix_ms`] counts them.
     pub fn unix_ms(&self) -> u64 {
         self.driver.unix_ms()
     }
 
-    /// Ask for a piece of work: led to the one under its id, or begun. Whoever drops this waits no more; the work
-    /// goes on.
-    pub async fn ask(&self, ask: SubmitRequest) -> ClientReply {
-        if self.leaving.get() {
-            return ClientReply::Refused { retry_after: ELSEWHERE };
+    /// Submits a request: it joins the work item under its id, or opens one.
+    ///
+    /// Cancel safe: dropping the future only stops the wait, the work item continues.
+    pub async fn submit(&self, request: SubmitRequest) -> ClientReply {
+        if self.draining.get() {
+            return ClientReply::Rejected { retry_after_s: DRAINING_RETRY_AFTER_S };
         }
         let (send, reply) = async_channel::bounded(1);
-        let token = self.driver.submit(ask, send);
-        let _asked = Asked { driver: self.driver.clone(), token };
+        let token = self.driver.submit(request, send);
+        let _waiting = WaitingClient { driver: self.driver.clone(), token };
         reply.recv().await.unwrap_or(ClientReply::DeadlineExceeded)
     }
 
-    pub fn counts(&self) -> Counters {
-        self.driver.counts()
+    /// Counts of the takeover protocol at this member.
+    pub fn counters(&self) -> Counters {
+        self.driver.counters()
     }
 
-    /// Messages to other members that found no room or no connection.
-    pub fn dropped(&self) -> u64 {
-        self.driver.dropped()
+    /// Frames to other members that found no place or no connection.
+    pub fn dropped_frames(&self) -> u64 {
+        self.driver.dropped_frames()
     }
 
-    /// End all that [`Fleet::begin`] began; connections end with it.
-    pub fn end(&self) {
-        self.tasks.take();
-        self.driver.executes_no_more();
+    /// Ends all that [`ClusterNode::start`] began; the connections are closed.
+    pub fn stop(&self) {
+        drop(self.tasks.take());
+        self.driver.remove_executor();
     }
 
-    /// Take no new asks from here on.
-    pub fn leave(&self) {
-        self.leaving.set(true);
+    /// Rejects new requests from here on; those in progress continue.
+    pub fn start_draining(&self) {
+        self.draining.set(true);
     }
 
-    /// Resolves when nothing is executed here any more, or at `latest`: what is left, others take over.
-    pub async fn idle(&self, latest: Instant) {
+    /// Resolves when nothing is executed here any more, or at `latest`: other members take over what is left. Cancel safe.
+    pub async fn wait_until_idle(&self, latest: Instant) {
         let idle = async {
-            while self.driver.running() > 0 {
-                let listener = self.driver.idle.listen();
-                if self.driver.running() > 0 {
-                    listener.await;
+            while self.driver.running_executions() > 0 {
+                let ended = self.driver.execution_ended();
+                if self.driver.running_executions() > 0 {
+                    ended.await;
                 }
             }
         };
@@ -136,14 +145,14 @@
     }
 }
 
-/// A client that waits.
-struct Asked {
+/// A client that waits for its reply; dropping it ends the wait.
+struct WaitingClient {
     driver: Rc<Driver>,
     token: ClientToken,
 }
 
-impl Drop for Asked {
+impl Drop for WaitingClient {
     fn drop(&mut self) {
-        self.driver.leave(self.token);
+        self.driver.remove_client(self.token);
     }
 }
--- a/src/net/opensearch/protected.rs
+++ b/src/net/opensearch/protected.rs
@@ -31,7 +31,7 @@
     pub fn join(self: &Rc<Self>, fleet: Rc<ClusterNode>, executor: &Rc<LocalExecutor<'static>>) {
         let executor = executor.clone();
         if self.joined.set(Joined { fleet: fleet.clone(), executor }).is_ok() {
-            fleet.executes(self.clone());
+            fleet.set_executor(self.clone());
         }
     }
 
@@ -44,7 +44,7 @@
     ) -> Option<(Rc<ClusterNode>, SubmitRequest)> {
         let fleet = &self.joined.get()?.fleet;
         let class = ready.query.class.0;
-        let Some(Ok(id)) = message.only(buffer, "X-Opaque-Id").filter(|_| fleet.protects(class)) else {
+        let Some(Ok(id)) = message.only(buffer, "X-Opaque-Id").filter(|_| fleet.is_protected(class)) else {
             return None;
         };
         if !(1..=MOST_ID).contains(&id.len()) || !id.bytes().all(|b| b.is_ascii_graphic()) {
@@ -52,21 +52,21 @@
         }
         let (target, body) = (message.text(buffer, &message.path), message.body(buffer));
         let left = ready.deadline.saturating_duration_since(Instant::now()).as_millis();
-        let ends = fleet.unix_ms().saturating_add(u64::try_from(left).unwrap_or(u64::MAX));
-        let text = Text { target: &Text::untimed(target), body: &body }.encode().into();
-        let parts = ready.parts.iter().map(|s| s.0).collect();
-        Some((fleet.clone(), SubmitRequest { id: id.into(), class, text, ends, parts }))
+        let deadline_unix_ms = fleet.unix_ms().saturating_add(u64::try_from(left).unwrap_or(u64::MAX));
+        let payload = Text { target: &Text::untimed(target), body: &body }.encode().into();
+        let shards = ready.parts.iter().map(|s| s.0).collect();
+        Some((fleet.clone(), SubmitRequest { id: id.into(), class, payload, deadline_unix_ms, shards }))
     }
 
     /// The fleet's answer to a search. `None`: it is to be run here, without protection.
     pub(super) async fn asked(
         &self,
         fleet: &ClusterNode,
-        ask: SubmitRequest,
+        request: SubmitRequest,
         deadline: Instant,
     ) -> Option<Answer> {
         let latest = deadline.checked_add(FORGOTTEN).unwrap_or(deadline);
-        let reply = timeout_at(latest, fleet.ask(ask)).await.unwrap_or(ClientReply::DeadlineExceeded);
+        let reply = timeout_at(latest, fleet.submit(request)).await.unwrap_or(ClientReply::DeadlineExceeded);
         Some(match reply {
             ClientReply::Outcome(bytes) => match outcome::decode(&bytes) {
                 Ok(answer) => answer,
@@ -78,8 +78,8 @@
             ClientReply::IdConflict => {
                 error(409, "id_conflict_exception", "the id is that of another search that is not over yet")
             }
-            ClientReply::Refused { retry_after } => Answer {
-                retry_after: Some(retry_after),
+            ClientReply::Rejected { retry_after_s } => Answer {
+                retry_after: Some(retry_after_s),
                 ..error(429, "rejected_execution_exception", "the fleet cannot take the search now")
             },
             ClientReply::DeadlineExceeded => error(504, "timeout_exception", "the search ran out of time"),
@@ -113,7 +113,7 @@
         ends: Instant,
         hold: &ExecutionHandle,
     ) -> Answer {
-        let text = match Text::decode(&record.text) {
+        let text = match Text::decode(&record.payload) {
             Ok(text) => text,
             Err(e) => {
                 self.spoilt("spoilt text of a protected search", &e);
@@ -152,7 +152,7 @@
 impl WorkExecutor for Front {
     fn start(self: Rc<Self>, _: ExecutionKey, record: Rc<Record>, takeover: bool, hold: ExecutionHandle) {
         let Some(Joined { fleet, executor }) = self.joined.get() else { return };
-        let left = Duration::from_millis(record.ends.saturating_sub(fleet.unix_ms()));
+        let left = Duration::from_millis(record.deadline_unix_ms.saturating_sub(fleet.unix_ms()));
         let now = Instant::now();
         let ends = now.checked_add(left).unwrap_or(now);
         executor.spawn(self.clone().execute(record, takeover, ends, hold)).detach();
@@ -184,15 +184,15 @@
     }
 
     fn holds(&self) -> bool {
-        self.hold.holds()
+        self.hold.holds_lease()
     }
 
     fn cleared(&self, step: u8, shard: ShardId) {
-        self.hold.cleared(step, shard.0);
+        self.hold.record_cleared(step, shard.0);
     }
 
     fn value(&self, step: u8, shard: ShardId, value: &Value, score: f64) {
-        self.hold.value(step, shard.0, value.clone(), score);
+        self.hold.record_value(step, shard.0, value.clone(), score);
     }
 
     /// Told here too: a second step may be in without any call of it.
--- a/tests/configuration.rs
+++ b/tests/configuration.rs
@@ -75,13 +75,16 @@
     let fleet = parse(SOUND).expect("sound").cluster.expect("there");
     let names: Vec<_> = fleet.members.iter().map(|m| &*m.id.name).collect();
     assert_eq!((names, &*fleet.zone()), (vec!["c1", "c2"], "b"));
-    assert_eq!((fleet.store, fleet.frame), (Some("d/c2.redb".into()), 1 << 20));
-    assert_eq!((fleet.limits.works, fleet.limits.lease, fleet.limits.most_tries), (9, 250_000, 4));
+    assert_eq!((fleet.store, fleet.max_frame_bytes), (Some("d/c2.redb".into()), 1 << 20));
+    assert_eq!((fleet.limits.max_work_items, fleet.limits.lease, fleet.limits.max_attempts), (9, 250_000, 4));
     let rules: Vec<_> = fleet.rules.iter().map(Option::is_some).collect();
     assert_eq!(rules, [false, true, false]);
     let rule = fleet.rules[1].clone().expect("protected");
     assert!(
-        rule.repeats && rule.guards == 3 && rule.slack_ms == 2500 && rule.when_full == WhenFull::Unprotected
+        rule.idempotent
+            && rule.group_size == 3
+            && rule.outcome_retention_ms == 2500
+            && rule.when_full == WhenFull::Unprotected
     );
     let plain = include_str!("../deploy/marlgap.json5");
     assert!(
