--- a/tests/fleet_links.rs
+++ b/tests/fleet_links.rs
@@ -57,11 +57,11 @@
                     std::future::pending::<()>().await;
                 }
                 let sent = hold.may_send(step, part.shard, attempt).await;
-                if sent && hold.holds() {
-                    hold.value(step, part.shard, b"v"[..].into(), 1.0);
+                if sent && hold.holds_lease() {
+                    hold.record_value(step, part.shard, b"v"[..].into(), 1.0);
                 }
             }
-            hold.finish(self.fleet.me().name.as_bytes().into());
+            hold.finish(self.fleet.member_id().name.as_bytes().into());
         };
         executor.spawn(run).detach();
     }
@@ -88,22 +88,22 @@
             let log = Logger::root(slog_term::FullFormat::new(decorator).build().fuse(), o!());
             let executor = Rc::new(LocalExecutor::new());
             let fleet = ClusterNode::new(&section(name, places), &log);
-            fleet.executes(Rc::new(Front { fleet: fleet.clone(), executor: executor.clone(), idles }));
-            fleet.begin(Async::new(listener).expect("a listener"), &executor);
+            fleet.set_executor(Rc::new(Front { fleet: fleet.clone(), executor: executor.clone(), idles }));
+            fleet.start(Async::new(listener).expect("a listener"), &executor);
             let (runs, asking) = (executor.clone(), fleet.clone());
             let serve = async move {
                 while let Ok((id, size, reply)) = asked.recv().await {
-                    let (text, parts) = (vec![7; size].into(), [1, 2, 3][..].into());
-                    let ask = SubmitRequest {
+                    let (payload, shards) = (vec![7; size].into(), [1, 2, 3][..].into());
+                    let request = SubmitRequest {
                         id: id.into(),
                         class: 1,
-                        text,
-                        ends: asking.unix_ms() + 15_000,
-                        parts,
+                        payload,
+                        deadline_unix_ms: asking.unix_ms() + 15_000,
+                        shards,
                     };
                     let fleet = asking.clone();
                     let answered = async move {
-                        let outcome = match fleet.ask(ask).await {
+                        let outcome = match fleet.submit(request).await {
                             ClientReply::Outcome(by) => String::from_utf8(by.to_vec()).ok(),
                             _ => None,
                         };
@@ -114,8 +114,8 @@
             };
             let ended = async { stopped.recv().await.unwrap_or_default() };
             async_io::block_on(executor.run(futures_lite::future::or(ended, serve)));
-            fleet.end();
-            slog::info!(log, "ended"; "dropped" => fleet.dropped());
+            fleet.stop();
+            slog::info!(log, "ended"; "dropped" => fleet.dropped_frames());
         };
         Member { asks, lines, stop, thread: Some(std::thread::spawn(life)) }
     }
@@ -194,7 +194,7 @@
     drop(members.pop());
     members.iter().for_each(|m| drop(m.log("fleet member lost")));
     let again = Member::start("c", TcpListener::bind(places[2]).expect("bound again"), places, false);
-    again.log("this member started too late to count");
+    again.log("this member is not in the fleet configuration: it started later");
     again.log("fleet configuration, epoch: 1, members: 3");
     members.iter().for_each(|m| assert!(m.log("fleet member reached").contains("member: c/")));
 }
@@ -215,7 +215,7 @@
     for (bytes, said) in cases {
         refused(places[0], &[&bytes]);
         let line = a.log("WARN");
-        assert!(line.contains("unusable connection in the fleet") && line.contains(said), "{line}");
+        assert!(line.contains("fleet connection closed: protocol error") && line.contains(said), "{line}");
     }
     let _others = [Member::start("b", lb, places, false), Member::start("c", lc, places, false)];
     a.log("fleet configuration, epoch: 1, members: 3");
@@ -232,12 +232,12 @@
         (&[&c, &c], "a hello that is missing or out of place"),
         (&[&c, &frame(1, b"\xff\xff")], "a message that cannot be read"),
         (&[&c, &frame(9, b"")], "a frame of the unknown kind 9"),
-        (&[&Frame::Hello(hello("c", 4)).bytes()], "c/4 is an earlier life"),
+        (&[&Frame::Hello(hello("c", 4)).bytes()], "c/4 is an earlier incarnation"),
     ];
     for (frames, said) in cases {
         refused(places[0], frames);
         let line = a.log("WARN");
-        assert!(line.contains("unusable connection in the fleet") && line.contains(said), "{line}");
+        assert!(line.contains("fleet connection closed: protocol error") && line.contains(said), "{line}");
     }
     let _others = [Member::start("b", lb, places, false), Member::start("c", lc, places, false)];
     a.log("fleet configuration, epoch: 1, members: 3");
--- a/tests/fleet_parts/configuration.rs
+++ b/tests/fleet_parts/configuration.rs
@@ -45,8 +45,8 @@
 fn lists_that_are_no_configuration_are_refused() {
     assert_eq!(Configuration::new(1, Vec::new()), Err(ConfigError::Empty));
     let twice = Configuration::new(1, vec![member(1, "a"), member(1, "b")]);
-    assert_eq!(twice, Err(ConfigError::Twice("m001".into())));
+    assert_eq!(twice, Err(ConfigError::DuplicateName("m001".into())));
     let mut odd = member(1, "a");
     odd.id = MemberId::new("a b", 1);
-    assert_eq!(Configuration::new(1, vec![odd]), Err(ConfigError::Name("a b".into())));
+    assert_eq!(Configuration::new(1, vec![odd]), Err(ConfigError::InvalidName("a b".into())));
 }
--- a/tests/fleet_work/check.rs
+++ b/tests/fleet_work/check.rs
@@ -107,7 +107,7 @@
                 && client
                     .replies
                     .iter()
-                    .any(|r| matches!(r, ClientReply::DeadlineExceeded | ClientReply::Refused { .. }))
+                    .any(|r| matches!(r, ClientReply::DeadlineExceeded | ClientReply::Rejected { .. }))
             {
                 self.history.wrong.insert("out of time though all was well again");
             }
--- a/tests/fleet_work/main.rs
+++ b/tests/fleet_work/main.rs
@@ -7,6 +7,7 @@
 use std::collections::BTreeMap;
 use std::thread;
 
+use marlgap::cluster::takeover::slot::PromiseCheck;
 use marlgap::cluster::takeover::{ClientReply, SafetyChecks};
 use sim::{Plan, World, SECOND};
 
@@ -36,32 +37,32 @@
     outcomes: usize,
     late: usize,
     refused: usize,
-    other_text: usize,
+    id_conflicts: usize,
     taken_over: u64,
     lost_ballots: u64,
-    leases_kept: u64,
-    sealed: u64,
+    lease_deferrals: u64,
+    fenced: u64,
     messages: u64,
 }
 
 impl Found {
-    fn one(seed: u64, plan: Plan, guards: SafetyChecks) -> Found {
-        let mut world = World::new(seed, plan, guards);
+    fn one(seed: u64, plan: Plan, checks: SafetyChecks) -> Found {
+        let mut world = World::new(seed, plan, checks);
         world.run(plan.calm + 5 * SECOND);
         world.check_end(!plan.restarts);
         let mut found = Found { messages: world.messages, ..Found::default() };
         let works = world.nodes.iter().map(|n| &n.works).chain(world.graves.iter().map(|(_, w)| w));
-        for counts in works.map(|w| w.counts()) {
+        for counts in works.map(|w| w.counters()) {
             found.taken_over += counts.taken_over;
             found.lost_ballots += counts.lost_ballots;
-            found.leases_kept += counts.leases_kept;
-            found.sealed += counts.sealed;
+            found.lease_deferrals += counts.lease_deferrals;
+            found.fenced += counts.fenced;
         }
         for reply in world.clients.iter().flat_map(|c| &c.replies) {
             match reply {
                 ClientReply::Outcome(_) => found.outcomes += 1,
-                ClientReply::IdConflict => found.other_text += 1,
-                ClientReply::Refused { .. } => found.refused += 1,
+                ClientReply::IdConflict => found.id_conflicts += 1,
+                ClientReply::Rejected { .. } => found.refused += 1,
                 _ => found.late += 1,
             }
         }
@@ -76,21 +77,21 @@
         self.outcomes += other.outcomes;
         self.late += other.late;
         self.refused += other.refused;
-        self.other_text += other.other_text;
+        self.id_conflicts += other.id_conflicts;
         self.taken_over += other.taken_over;
         self.lost_ballots += other.lost_ballots;
-        self.leases_kept += other.leases_kept;
-        self.sealed += other.sealed;
+        self.lease_deferrals += other.lease_deferrals;
+        self.fenced += other.fenced;
         self.messages += other.messages;
         self
     }
 }
 
-fn play(seeds: std::ops::Range<u64>, guards: SafetyChecks, plan: fn(u64) -> Plan) -> Found {
+fn play(seeds: std::ops::Range<u64>, checks: SafetyChecks, plan: fn(u64) -> Plan) -> Found {
     let cores = thread::available_parallelism().map_or(1, |n| n.get()).min(8) as u64;
     let part = move |first: u64| {
         let seeds = (seeds.start + first..seeds.end).step_by(cores as usize);
-        seeds.map(|seed| Found::one(seed, plan(seed), guards)).fold(Found::default(), Found::add)
+        seeds.map(|seed| Found::one(seed, plan(seed), checks)).fold(Found::default(), Found::add)
     };
     thread::scope(|scope| {
         let part = &part;
@@ -106,8 +107,8 @@
     println!("{found:?}");
     assert!(found.wrong.is_empty(), "{:?}", found.wrong);
     // The runs must have had in them what they are to show.
-    assert!(found.outcomes > 20 * found.late && found.other_text > 500, "{found:?}");
-    assert!(found.taken_over > 2000 && found.lost_ballots > 200 && found.sealed > 500, "{found:?}");
+    assert!(found.outcomes > 20 * found.late && found.id_conflicts > 500, "{found:?}");
+    assert!(found.taken_over > 2000 && found.lost_ballots > 200 && found.fenced > 500, "{found:?}");
 }
 
 #[test]
@@ -167,15 +168,15 @@
 }
 
 /// With one guard taken out, the seeds find what it was for; with it in they find nothing, as above.
-fn finds(guards: SafetyChecks, wrong: &[&str]) {
-    finds_in(plan, guards, wrong);
+fn finds(checks: SafetyChecks, wrong: &[&str]) {
+    finds_in(plan, checks, wrong);
 }
 
-fn finds_in(plan: fn(u64) -> Plan, guards: SafetyChecks, wrong: &[&str]) {
+fn finds_in(plan: fn(u64) -> Plan, checks: SafetyChecks, wrong: &[&str]) {
     let all_found = |f: &Found| wrong.iter().all(|w| f.wrong.contains_key(w));
     let mut found = Found::default();
     for first in (0..6000).step_by(500) {
-        found = found.add(play(first..first + 500, guards, plan));
+        found = found.add(play(first..first + 500, checks, plan));
         if all_found(&found) {
             break;
         }
@@ -187,14 +188,14 @@
 
 #[test]
 fn finder_of_the_promise() {
-    finds(SafetyChecks { promise: false, ..SafetyChecks::default() }, &["two outcomes"]);
+    finds(SafetyChecks { promise: PromiseCheck::Disabled, ..SafetyChecks::default() }, &["two outcomes"]);
 }
 
 #[test]
 fn finder_of_the_guards_wait_for_the_lease() {
     finds_in(
         tight,
-        SafetyChecks { lease_wait: false, ..SafetyChecks::default() },
+        SafetyChecks { acceptor_lease: false, ..SafetyChecks::default() },
         &["sent under a lost ballot"],
     );
 }
@@ -203,14 +204,14 @@
 fn finder_of_the_owners_lease() {
     finds_in(
         tight,
-        SafetyChecks { lease_hold: false, ..SafetyChecks::default() },
+        SafetyChecks { leader_lease: false, ..SafetyChecks::default() },
         &["sent under a lost ballot"],
     );
 }
 
 #[test]
 fn finder_of_the_grant() {
-    finds(SafetyChecks { grant: false, ..SafetyChecks::default() }, &["ran twice"]);
+    finds(SafetyChecks { grant_first: false, ..SafetyChecks::default() }, &["ran twice"]);
 }
 
 #[test]
@@ -236,10 +237,10 @@
 
 #[test]
 fn finder_of_the_seal() {
-    finds(SafetyChecks { seal: false, ..SafetyChecks::default() }, &["two outcomes"]);
+    finds(SafetyChecks { fence: false, ..SafetyChecks::default() }, &["two outcomes"]);
 }
 
 #[test]
 fn finder_of_the_same_text() {
-    finds(SafetyChecks { same_text: false, ..SafetyChecks::default() }, &["the outcome of another text"]);
+    finds(SafetyChecks { id_conflict: false, ..SafetyChecks::default() }, &["the outcome of another text"]);
 }
--- a/tests/fleet_work/model.rs
+++ b/tests/fleet_work/model.rs
@@ -3,7 +3,7 @@
 //! number of times or never, and its answer may be lost. No clock: what is shown here rests on no lease.
 use std::collections::BTreeSet;
 
-use marlgap::cluster::takeover::slot::{Acceptor, Opening};
+use marlgap::cluster::takeover::slot::{Acceptor, Opening, PromiseCheck};
 use stateright::{Checker, HasDiscoveries, Model, Property};
 
 const MEMBERS: usize = 3;
@@ -47,13 +47,13 @@
 }
 
 struct Takeover {
-    promise: bool,
+    promise: PromiseCheck,
     intent: bool,
     outcome_first: bool,
 }
 
 impl Opening for Said {
-    fn opened(&self) -> u64 {
+    fn opening_id(&self) -> u64 {
         0
     }
 }
@@ -197,14 +197,14 @@
 
 #[test]
 fn one_takeover_in_every_order() {
-    let all = Takeover { promise: true, intent: true, outcome_first: true };
+    let all = Takeover { promise: PromiseCheck::Enforced, intent: true, outcome_first: true };
     assert_eq!(found(all), ["a successor's outcome"]);
 }
 
 #[test]
 fn the_model_finds_each_guard_that_is_taken_out() {
-    let all = || Takeover { promise: true, intent: true, outcome_first: true };
-    assert!(!broken(Takeover { promise: false, ..all() }).is_empty());
+    let all = || Takeover { promise: PromiseCheck::Enforced, intent: true, outcome_first: true };
+    assert!(!broken(Takeover { promise: PromiseCheck::Disabled, ..all() }).is_empty());
     assert_eq!(broken(Takeover { intent: false, ..all() }), ["ran at most once"]);
     assert_eq!(broken(Takeover { outcome_first: false, ..all() }), ["one outcome"]);
 }
--- a/tests/fleet_work/sim.rs
+++ b/tests/fleet_work/sim.rs
@@ -124,13 +124,13 @@
     pub configs: Vec<Configuration>,
     pub clients: Vec<Client>,
     pub plan: Plan,
-    guards: SafetyChecks,
+    checks: SafetyChecks,
     pub history: History,
     pub messages: u64,
 }
 
 impl World {
-    pub fn new(seed: u64, plan: Plan, guards: SafetyChecks) -> World {
+    pub fn new(seed: u64, plan: Plan, checks: SafetyChecks) -> World {
         let rng = Pcg64Mcg::seed_from_u64(seed);
         let mut world = World {
             now: 0,
@@ -144,7 +144,7 @@
             configs: Vec::new(),
             clients: Vec::new(),
             plan,
-            guards,
+            checks,
             history: History::default(),
             messages: 0,
         };
@@ -163,14 +163,19 @@
 
     fn node(&mut self, n: usize, life: u64) -> Node {
         let id = MemberId::new(&format!("m{n}"), life);
-        let rule = |repeats| {
-            let (slack_ms, when_full) = (5_000, WhenFull::Refuse);
-            Some(ClassRule { repeats, guards: self.plan.group, slack_ms, when_full, worth: 1.0 })
+        let rule = |idempotent| {
+            Some(ClassRule {
+                idempotent,
+                group_size: self.plan.group,
+                outcome_retention_ms: 5_000,
+                when_full: WhenFull::Reject,
+                priority_weight: 1.0,
+            })
         };
         let limits = Limits::default();
-        let limits = Limits { works: self.plan.works.unwrap_or(limits.works), ..limits };
+        let limits = Limits { max_work_items: self.plan.works.unwrap_or(limits.max_work_items), ..limits };
         let mut works = TakeoverState::new(id.clone(), vec![rule(false), rule(true)], limits);
-        works.set_guards(self.guards);
+        works.set_safety_checks(self.checks);
         let rate = 1.0 + self.below(99) as f64 / 10_000.0;
         Node {
             id,
@@ -307,9 +312,14 @@
                 let now = self.clock(n);
                 let c = &mut self.clients[client];
                 (c.at, c.asked) = (n, true);
-                let (id, text, parts) = (Rc::clone(&c.id), Rc::clone(&c.text), [1, 2].into());
-                let ask = SubmitRequest { id, class: c.class, text, ends: c.ends, parts };
-                self.nodes[n].works.submit(now, unix, client as ClientToken, ask);
+                let request = SubmitRequest {
+                    id: Rc::clone(&c.id),
+                    class: c.class,
+                    payload: Rc::clone(&c.text),
+                    deadline_unix_ms: c.ends,
+                    shards: [1, 2].into(),
+                };
+                self.nodes[n].works.submit(now, unix, client as ClientToken, request);
                 self.act(n);
             }
             Event::Ran { node, life, key, shard, how } => {
@@ -370,7 +380,7 @@
         for at in 0..self.nodes.len() {
             if self.nodes[at].up && self.chance(500) {
                 let (now, id) = (self.clock(at), self.nodes[n].id.clone());
-                self.nodes[at].works.rumour(now, &id, false);
+                self.nodes[at].works.record_gossip(now, &id, false);
             }
         }
         if let Some(after) = back {
--- a/tests/fleet_work/sim/acts.rs
+++ b/tests/fleet_work/sim/acts.rs
@@ -12,7 +12,7 @@
     /// Does what a member's machine wants done, and what its executor makes of that.
     pub(super) fn act(&mut self, n: usize) {
         loop {
-            let acts = self.nodes[n].works.ready();
+            let acts = self.nodes[n].works.take_actions();
             if acts.is_empty() {
                 break;
             }
@@ -51,7 +51,7 @@
                 }
             }
         }
-        if let Some(due) = self.nodes[n].works.due() {
+        if let Some(due) = self.nodes[n].works.next_due() {
             let after = (due.saturating_sub(self.clock(n)) as f64 / self.nodes[n].rate).ceil() as u64 + 1;
             if self.nodes[n].wakes.is_none_or(|at| at > self.now + after) {
                 self.nodes[n].wakes = Some(self.now + after);
@@ -68,7 +68,7 @@
         let Some(at) = self.nodes.iter().position(|m| m.id.name == to.name) else { return };
         // Connections go to a name; who is another life by now gets it too, unless it is known by its hello.
         if self.cut[n][at]
-            || self.guards.incarnation && self.nodes[at].id != to
+            || self.checks.incarnation && self.nodes[at].id != to
             || self.chance(self.plan.loss)
         {
             return;
@@ -98,7 +98,7 @@
                 let after = MS + self.below(150 * MS);
                 self.later(after, Event::Ran { node: n, life, key, shard, how });
             }
-            SendDecision::Later => {}
+            SendDecision::AwaitGrant => {}
             SendDecision::Never => {
                 if let Some(run) = self.nodes[n].runs.get_mut(&key) {
                     run.next.insert(shard, None);
@@ -114,11 +114,11 @@
         match how {
             How::Value => {
                 (*next, run.values) = (None, run.values + 1);
-                self.nodes[n].works.value(now, key, 0, shard, b"v".as_slice().into(), 1.0);
+                self.nodes[n].works.record_value(now, key, 0, shard, b"v".as_slice().into(), 1.0);
             }
             How::NeverRan => {
                 *next = next.map(|a| a + 1);
-                self.nodes[n].works.cleared(now, key, 0, shard);
+                self.nodes[n].works.record_cleared(now, key, 0, shard);
             }
             How::Lost => *next = next.map(|a| a + 1),
         }
@@ -132,7 +132,7 @@
         if !run.done && run.next.values().all(Option::is_none) {
             run.done = true;
             // No two runs end alike, so two outcomes of one id show.
-            let outcome = [&run.record.text[..], b"|", &nonce.to_be_bytes()].concat();
+            let outcome = [&run.record.payload[..], b"|", &nonce.to_be_bytes()].concat();
             self.nodes[n].works.finish(now, key, outcome.into());
         }
     }
--- a/tests/golden_wire/links.rs
+++ b/tests/golden_wire/links.rs
@@ -30,10 +30,10 @@
         incarnation: 1_700_000_005,
         zone: "room-name".to_owned(),
     };
-    let work = Message::from(Body::Renew(Renew { sent: 5_000_021 }));
+    let work = Message::from(Body::Renew(Renew { sent_us: 5_000_021 }));
     vec![
         ("hello", Frame::Hello(hello)),
-        ("work", Frame::Work(work)),
+        ("work", Frame::Takeover(work)),
         ("founding_asked", note(Kind::Asked)),
         ("founding_propose", note(Kind::Propose)),
         ("founding_took", note(Kind::Took)),
--- a/tests/golden_wire/work.rs
+++ b/tests/golden_wire/work.rs
@@ -22,12 +22,12 @@
     Record {
         id: "record-id".to_owned(),
         class: 11,
-        ends: 1_800_000_000_123,
-        text: Bytes::from_static(b"text of the query"),
+        deadline_unix_ms: 1_800_000_000_123,
+        payload: Bytes::from_static(b"text of the query"),
         parts: vec![done, open],
         outcome: Some(Bytes::from_static(b"outcome of the work")),
         failed: true,
-        opened: 0x0102_0304_0506_0708,
+        opening_id: 0x0102_0304_0506_0708,
     }
 }
 
@@ -36,10 +36,10 @@
         epoch: 101,
         id: "asked-id".to_owned(),
         class: 12,
-        ends: 1_800_000_000_456,
-        left_us: 2_500_001,
-        text: Bytes::from_static(b"asked text"),
-        parts: vec![3, 400, 50_000],
+        deadline_unix_ms: 1_800_000_000_456,
+        remaining_us: 2_500_001,
+        payload: Bytes::from_static(b"asked text"),
+        shards: vec![3, 400, 50_000],
     }
 }
 
@@ -47,11 +47,11 @@
     SubmitReply {
         epoch: 102,
         id: "told-id".to_owned(),
-        what: what.into(),
+        status: what.into(),
         outcome: Bytes::from_static(b"told outcome"),
-        retry_after: 1.25,
-        at_epoch: 99,
-        of: 0xdead_beef_0123_4567,
+        retry_after_s: 1.25,
+        redirect_epoch: 99,
+        request_fingerprint: 0xdead_beef_0123_4567,
     }
 }
 
@@ -61,8 +61,8 @@
         id: "accept-id".to_owned(),
         ballot: 2001,
         seq: 31,
-        sent: 5_000_003,
-        left_us: 2_500_003,
+        sent_us: 5_000_003,
+        remaining_us: 2_500_003,
         record: Some(record()),
     }
 }
@@ -70,14 +70,14 @@
 /// Every message, by the name of its record.
 pub fn messages() -> Vec<(&'static str, Body)> {
     let accepted =
-        Accepted { epoch: 104, id: "accepted-id".to_owned(), ballot: 2002, seq: 32, sent: 5_000_004 };
+        Accepted { epoch: 104, id: "accepted-id".to_owned(), ballot: 2002, seq: 32, sent_us: 5_000_004 };
     let prepare =
-        Prepare { epoch: 105, id: "prepare-id".to_owned(), ballot: 2003, class: 13, left_us: 2_500_005 };
+        Prepare { epoch: 105, id: "prepare-id".to_owned(), ballot: 2003, class: 13, remaining_us: 2_500_005 };
     let promised = Promised {
         epoch: 106,
         id: "promised-id".to_owned(),
         ballot: 2004,
-        accepted: 1999,
+        accepted_ballot: 1999,
         seq: 33,
         record: Some(record()),
     };
@@ -87,48 +87,48 @@
         ballot: 2005,
         promised: 2010,
         wait_us: 750_007,
-        full: true,
+        at_capacity: true,
     };
     let decided = Decided {
         epoch: 108,
         id: "decided-id".to_owned(),
         outcome: Bytes::from_static(b"decided outcome"),
         failed: true,
-        opened: 0x1112_1314_1516_1718,
+        opening_id: 0x1112_1314_1516_1718,
     };
-    let seal = Fence { epoch: 109, id: "seal-id".to_owned(), class: 14, left_us: 2_500_009 };
-    let sealed = Fenced { epoch: 110, id: "sealed-id".to_owned(), exists: true, full: true };
-    let sealed_exists = Fenced { epoch: 111, id: "sealed-id".to_owned(), exists: true, full: false };
-    let sealed_full = Fenced { epoch: 112, id: "sealed-id".to_owned(), exists: false, full: true };
+    let seal = Fence { epoch: 109, id: "seal-id".to_owned(), class: 14, remaining_us: 2_500_009 };
+    let sealed = Fenced { epoch: 110, id: "sealed-id".to_owned(), exists: true, at_capacity: true };
+    let sealed_exists = Fenced { epoch: 111, id: "sealed-id".to_owned(), exists: true, at_capacity: false };
+    let sealed_full = Fenced { epoch: 112, id: "sealed-id".to_owned(), exists: false, at_capacity: true };
     vec![
-        ("ask", Body::Ask(asked())),
-        ("told_in_hand", Body::Told(told(SubmitStatus::InProgress))),
-        ("told_outcome", Body::Told(told(SubmitStatus::Outcome))),
-        ("told_other_text", Body::Told(told(SubmitStatus::IdConflict))),
-        ("told_refused", Body::Told(told(SubmitStatus::Refused))),
-        ("told_unprotected", Body::Told(told(SubmitStatus::Unprotected))),
-        ("told_failed", Body::Told(told(SubmitStatus::Failed))),
-        ("told_elsewhere", Body::Told(told(SubmitStatus::Redirected))),
+        ("ask", Body::Submit(asked())),
+        ("told_in_hand", Body::SubmitReply(told(SubmitStatus::InProgress))),
+        ("told_outcome", Body::SubmitReply(told(SubmitStatus::Outcome))),
+        ("told_other_text", Body::SubmitReply(told(SubmitStatus::IdConflict))),
+        ("told_refused", Body::SubmitReply(told(SubmitStatus::Rejected))),
+        ("told_unprotected", Body::SubmitReply(told(SubmitStatus::Unprotected))),
+        ("told_failed", Body::SubmitReply(told(SubmitStatus::Failed))),
+        ("told_elsewhere", Body::SubmitReply(told(SubmitStatus::Redirected))),
         ("accept", Body::Accept(accept())),
         ("accepted", Body::Accepted(accepted)),
         ("prepare", Body::Prepare(prepare)),
         ("promised", Body::Promised(promised)),
         ("rejected", Body::Rejected(rejected)),
         ("decided", Body::Decided(decided)),
-        ("renew", Body::Renew(Renew { sent: 5_000_013 })),
-        ("renewed", Body::Renewed(Renew { sent: 5_000_014 })),
-        ("seal", Body::Seal(seal)),
-        ("sealed", Body::Sealed(sealed)),
-        ("sealed_exists", Body::Sealed(sealed_exists)),
-        ("sealed_full", Body::Sealed(sealed_full)),
+        ("renew", Body::Renew(Renew { sent_us: 5_000_013 })),
+        ("renewed", Body::Renewed(Renew { sent_us: 5_000_014 })),
+        ("seal", Body::Fence(seal)),
+        ("sealed", Body::Fenced(sealed)),
+        ("sealed_exists", Body::Fenced(sealed_exists)),
+        ("sealed_full", Body::Fenced(sealed_full)),
     ]
 }
 
 /// The number of a kind; a kind that is new must be given one here, and a record above.
 fn kind(body: &Body) -> usize {
     match body {
-        Body::Ask(_) => 0,
-        Body::Told(_) => 1,
+        Body::Submit(_) => 0,
+        Body::SubmitReply(_) => 1,
         Body::Accept(_) => 2,
         Body::Accepted(_) => 3,
         Body::Prepare(_) => 4,
@@ -137,8 +137,8 @@
         Body::Decided(_) => 7,
         Body::Renew(_) => 8,
         Body::Renewed(_) => 9,
-        Body::Seal(_) => 10,
-        Body::Sealed(_) => 11,
+        Body::Fence(_) => 10,
+        Body::Fenced(_) => 11,
     }
 }
 
