--- a/benches/fleet.rs
+++ b/benches/fleet.rs
@@ -7,19 +7,19 @@
 //! Rates and latencies are ratios of one run, with protection over without in rounds that take turns, since absolute
 //! times are the machine's. Members reach each other directly; stand-in servers answer at once, or after 10 ms.
 #![allow(dead_code, reason = "the tests' own helpers, of which this uses some")]
-#[path = "../tests/fleet_together/checker.rs"]
+#[path = "../tests/cluster_processes/checker.rs"]
 mod checker;
-#[path = "../tests/fleet_together/client.rs"]
+#[path = "../tests/cluster_processes/client.rs"]
 mod client;
-#[path = "../tests/fleet_together/cluster.rs"]
+#[path = "../tests/cluster_processes/cluster.rs"]
 mod cluster;
 #[path = "../tests/common/mod.rs"]
 mod common;
-#[path = "../tests/fleet_together/history.rs"]
+#[path = "../tests/cluster_processes/history.rs"]
 mod history;
-#[path = "../tests/fleet_together/servers.rs"]
+#[path = "../tests/cluster_processes/servers.rs"]
 mod servers;
-#[path = "../tests/fleet_together/wires.rs"]
+#[path = "../tests/cluster_processes/wires.rs"]
 mod wires;
 
 use std::time::{Duration, Instant};
--- a/src/cluster/configuration.rs
+++ b/src/cluster/configuration.rs
@@ -9,8 +9,8 @@
 
 use super::{Member, MemberId};
 
-/// The largest group of a work item. A further acceptor costs every query a message, and five already outlive the loss of
-/// two.
+/// The largest group of a work item. A further acceptor costs every query a message, and five already outlive
+/// the loss of two.
 pub const MAX_GROUP_SIZE: usize = 5;
 
 /// The longest name of a member, in bytes.
@@ -18,8 +18,8 @@
 
 /// The voting members, as agreed: sorted by name, one incarnation of each.
 ///
-/// Invariant: two configurations of one epoch are equal. It holds because an epoch is the position of its entry in the one
-/// replicated log.
+/// Invariant: two configurations of one epoch are equal. It holds because an epoch is the position of its
+/// entry in the one replicated log.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Configuration {
     epoch: u64,
@@ -80,11 +80,11 @@
         self.member(&id.name).is_some_and(|m| m.id == *id)
     }
 
-    /// The group of a work item, by rendezvous hashing (Thaler and Ravishankar, 1998): its owner first, then the other
-    /// acceptors by rank. `size` is bounded by [`MAX_GROUP_SIZE`] and the number of members.
+    /// The group of a work item, by rendezvous hashing (Thaler and Ravishankar, 1998): its owner first, then
+    /// the other acceptors by rank. `size` is bounded by [`MAX_GROUP_SIZE`] and the number of members.
     ///
-    /// Zones differ as long as there are further ones, so that no zone alone takes a majority away. Goes by names and not
-    /// by incarnations: the group stays as it is when a member of it restarts.
+    /// Zones differ as long as there are further ones, so that no zone alone takes a majority away. Goes by
+    /// names and not by incarnations: the group stays as it is when a member of it restarts.
     pub fn group(&self, key: &[u8], size: usize) -> Vec<&Member> {
         let mut ranked: Vec<(u64, &Member)> = self.members.iter().map(|m| (score(key, m), m)).collect();
         ranked.sort_by(|a, b| b.0.cmp(&a.0).then_with(|| a.1.id.cmp(&b.1.id)));
@@ -114,7 +114,8 @@
     hasher.write(member.id.name.as_bytes());
     hasher.write_u8(0);
     hasher.write(key);
-    // FNV-1a alone leaves the scores of similar names close together: the finalizer of SplitMix64 spreads them.
+    // FNV-1a alone leaves the scores of similar names close together: the finalizer of SplitMix64 spreads
+    // them.
     let mut z = hasher.finish().wrapping_add(0x9e37_79b9_7f4a_7c15);
     z = (z ^ (z >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
     z = (z ^ (z >> 27)).wrapping_mul(0x94d0_49bb_1331_11eb);
--- a/src/cluster/hybrid_clock.rs
+++ b/src/cluster/hybrid_clock.rs
@@ -1,19 +1,19 @@
 //! The fleet's time: hybrid logical clocks with a stated bound on their offset.
 //!
-//! Source: Kulkarni, Demirbas, Madappa, Avva, Leone, "Logical Physical Clocks" (OPODIS 2014). A stamp is the largest
-//! wall time that was seen and a counter within it: it orders what one caused in the other, and stays within the bound
-//! of the wall clock.
+//! Source: Kulkarni, Demirbas, Madappa, Avva, Leone, "Logical Physical Clocks" (OPODIS 2014). A stamp is the
+//! largest wall time that was seen and a counter within it: it orders what one caused in the other, and stays
+//! within the bound of the wall clock.
 //!
-//! Invariants: a [`Clock`] gives each stamp once and always a later one; it never runs ahead of its own wall clock by
-//! more than the bound, since what is further ahead is refused and not taken over. No rule of safety rests on the
-//! bound: it keeps one member's clock from carrying all the others' away.
+//! Invariants: a [`Clock`] gives each stamp once and always a later one; it never runs ahead of its own wall
+//! clock by more than the bound, since what is further ahead is refused and not taken over. No rule of safety
+//! rests on the bound: it keeps one member's clock from carrying all the others' away.
 use std::collections::BTreeMap;
 use std::fmt;
 
 use super::{MemberId, Micros};
 
-/// How far two members' clocks may be apart, in ms, unless the settings say otherwise. NTP within one site keeps
-/// clocks within some ms; a quarter of a second is far outside that and small against a layout's life.
+/// How far two members' clocks may be apart, in ms, unless the settings say otherwise. NTP within one site
+/// keeps clocks within some ms; a quarter of a second is far outside that and small against a layout's life.
 pub const BOUND_MS: u64 = 250;
 
 /// Members whose clocks are remembered at most; the largest fleet that is planned for has a thousand.
@@ -130,8 +130,8 @@
     Unknown,
     /// No majority of the others is certainly beyond the bound.
     Within,
-    /// A majority of the others is: this member withdraws from reads in the past, and says so. How far the middle
-    /// one of them is ahead of us, in ms.
+    /// A majority of the others is: this member withdraws from reads in the past, and says so. How far the
+    /// middle one of them is ahead of us, in ms.
     Beyond { ahead_ms: i64 },
 }
 
@@ -143,10 +143,12 @@
     at: Micros,
 }
 
-/// The offsets of the others' clocks from ours, by request and answer (Cristian, "Probabilistic clock synchronization", 1989).
+/// The offsets of the others' clocks from ours, by request and answer (Cristian, "Probabilistic clock
+/// synchronization", 1989).
 ///
-/// Samples are kept against our monotonic clock, so that a step of our own wall clock shows at once, also while we
-/// are cut off; with age they widen by the drift of both. What is not certainly beyond counts as within.
+/// Samples are kept against our monotonic clock, so that a step of our own wall clock shows at once, also
+/// while we are cut off; with age they widen by the drift of both. What is not certainly beyond counts as
+/// within.
 #[derive(Clone, Debug)]
 pub struct Offsets {
     bound_ms: u64,
@@ -160,8 +162,8 @@
         Offsets { bound_ms, drift: drift.clamp(0.0, 1.0), samples: BTreeMap::new() }
     }
 
-    /// `member` said `theirs_ms` in answer to what we sent at `sent`; the answer came at `got`. An answer from before
-    /// its question is none.
+    /// `member` said `theirs_ms` in answer to what we sent at `sent`; the answer came at `got`. An answer
+    /// from before its question is none.
     pub fn measured(&mut self, member: &MemberId, sent: Micros, got: Micros, theirs_ms: u64) {
         let full = self.samples.len() >= MOST_MEMBERS && !self.samples.contains_key(member);
         if got < sent || full {
--- a/src/cluster/takeover/acceptor.rs
+++ b/src/cluster/takeover/acceptor.rs
@@ -24,7 +24,8 @@
         Some(self.slots.entry(work.clone()).or_insert_with(|| AcceptorSlot::new(now)))
     }
 
-    /// The group of a work item, if this member is of it and `from` is the member of it that owns this ballot.
+    /// The group of a work item, if this member is of it and `from` is the member of it that owns this
+    /// ballot.
     fn group_for_ballot(
         &mut self,
         work: &WorkId,
@@ -130,9 +131,9 @@
         self.send(&from, Body::Promised(promised));
     }
 
-    /// How much longer a lease stands against this ballot here; `None` if none does. Invariant: while an owner counts this
-    /// acceptor among its majority, the acceptor promises no other ballot; so an owner that sends under its lease has not
-    /// lost its ballot.
+    /// How much longer a lease stands against this ballot here; `None` if none does. Invariant: while an
+    /// owner counts this acceptor among its majority, the acceptor promises no other ballot; so an owner that
+    /// sends under its lease has not lost its ballot.
     fn remaining_lease(&self, work: &WorkId, group: &[MemberId], ballot: u64) -> Option<Micros> {
         let size = group.len() as u64;
         let promised = self.slots.get(work)?.acceptor.promised.filter(|promised| *promised < ballot)?;
@@ -147,7 +148,8 @@
         leader.map(|_| self.resend_interval())
     }
 
-    /// A higher ballot was promised or written here: what this member leads under a lower one is lost at once.
+    /// A higher ballot was promised or written here: what this member leads under a lower one is lost at
+    /// once.
     fn yield_to(&mut self, work: &WorkId, ballot: u64) {
         if self.leaders.get(work).is_some_and(|leader| leader.ballot < ballot) {
             self.abandon(work);
@@ -157,7 +159,8 @@
     pub(super) fn handle_decided(&mut self, from: MemberId, message: Decided) {
         let Decided { epoch, id, outcome, failed, opening_id } = message;
         let work: WorkId = (epoch, id.as_str().into());
-        // An opening that was never chosen does not have this outcome: its holder finds out by taking it over.
+        // An opening that was never chosen does not have this outcome: its holder finds out by taking it
+        // over.
         let record = self.slots.get(&work).and_then(AcceptorSlot::record);
         let class = record.filter(|r| r.opening_id == opening_id).map(|r| r.class);
         let Some(group) = class.and_then(|class| self.group(&work, class)) else { return };
--- a/src/cluster/takeover/api.rs
+++ b/src/cluster/takeover/api.rs
@@ -16,7 +16,8 @@
 /// A client's request.
 #[derive(Clone, Debug)]
 pub struct SubmitRequest {
-    /// The client's id of it, 1 to 128 bytes. Requests under one id with one payload and class have one outcome.
+    /// The client's id of it, 1 to 128 bytes. Requests under one id with one payload and class have one
+    /// outcome.
     pub id: Rc<str>,
     /// The class of the query, by its place in the settings.
     pub class: u16,
--- a/src/cluster/takeover/executor.rs
+++ b/src/cluster/takeover/executor.rs
@@ -19,11 +19,12 @@
         (!leader.record.is_finished()).then_some((work, leader))
     }
 
-    /// Whether this attempt may be sent now. [`SendDecision::Now`] is returned once for each, and counts it as made.
+    /// Whether this attempt may be sent now. [`SendDecision::Now`] is returned once for each, and counts it
+    /// as made.
     ///
-    /// Invariants: an attempt is made only once a majority holds its grant, so that a successor counts it. A part that is
-    /// not idempotent gets another attempt only when all before it are proved never to have run. No part gets more than
-    /// `max_attempts`, over all owners.
+    /// Invariants: an attempt is made only once a majority holds its grant, so that a successor counts it. A
+    /// part that is not idempotent gets another attempt only when all before it are proved never to have run.
+    /// No part gets more than `max_attempts`, over all owners.
     pub fn may_send(
         &mut self,
         now: Micros,
@@ -63,7 +64,8 @@
         SendDecision::AwaitGrant
     }
 
-    /// Whether ballot and lease are held now: the last check before bytes are written to a socket. Changes nothing.
+    /// Whether ballot and lease are held now: the last check before bytes are written to a socket. Changes
+    /// nothing.
     pub fn holds_lease(&self, now: Micros, key: ExecutionKey) -> bool {
         let leader = self.executions.get(&key).and_then(|work| self.leaders.get(work));
         leader.is_some_and(|l| l.key == key && self.leader_holds_lease(l, self.now.max(now)))
@@ -79,8 +81,8 @@
         }
     }
 
-    /// The value of a part. It is replicated within a sixth of a lease, as far as the record's bound allows; a later value
-    /// of the same part changes nothing.
+    /// The value of a part. It is replicated within a sixth of a lease, as far as the record's bound allows;
+    /// a later value of the same part changes nothing.
     pub fn record_value(
         &mut self,
         now: Micros,
@@ -104,7 +106,8 @@
         }
     }
 
-    /// The outcome. Clients get it once a majority holds it; one over the record's bound makes the work item fail.
+    /// The outcome. Clients get it once a majority holds it; one over the record's bound makes the work item
+    /// fail.
     pub fn finish(&mut self, now: Micros, key: ExecutionKey, outcome: Rc<[u8]>) {
         let max_bytes = self.limits.max_record_bytes;
         let Some((work, leader)) = self.running(now, key) else { return };
--- a/src/cluster/takeover/failover.rs
+++ b/src/cluster/takeover/failover.rs
@@ -1,5 +1,5 @@
-//! The acceptor's watch over owners: finds work items whose owner is silent, takes them over, and forgets those that are
-//! past their retention.
+//! The acceptor's watch over owners: finds work items whose owner is silent, takes them over, and forgets
+//! those that are past their retention.
 use std::rc::Rc;
 
 use super::leader::{next_ballot, LeaderState};
@@ -47,8 +47,8 @@
         candidates
     }
 
-    /// Takes over by the time left, in steps, and by priority within a step. Those past their deadline come first: they
-    /// only get their end, and do not count against the limit.
+    /// Takes over by the time left, in steps, and by priority within a step. Those past their deadline come
+    /// first: they only get their end, and do not count against the limit.
     fn take_over_silent(&mut self, mut candidates: Vec<Candidate>) {
         let now = self.now;
         let step = |candidate: &Candidate| candidate.deadline.saturating_sub(now) / DEADLINE_STEP;
@@ -69,8 +69,8 @@
         }
     }
 
-    /// Whether the owner of the highest ballot has been silent for a lease, and for this member's turn on top. Its turn
-    /// comes after those of lower ranks that are not suspected to be dead.
+    /// Whether the owner of the highest ballot has been silent for a lease, and for this member's turn on
+    /// top. Its turn comes after those of lower ranks that are not suspected to be dead.
     fn owner_is_silent(&self, work: &WorkId, slot: &AcceptorSlot, class: u32) -> bool {
         let Some(group) = self.group(work, class) else { return false };
         let Some(own_rank) = self.rank(&group, &self.me) else { return false };
--- a/src/cluster/takeover/leader.rs
+++ b/src/cluster/takeover/leader.rs
@@ -1,5 +1,5 @@
-//! The state of a proposer for one work item that this member leads, as its owner or as a successor: phase, ballot, the
-//! acceptors' votes, and the record with its grants.
+//! The state of a proposer for one work item that this member leads, as its owner or as a successor: phase,
+//! ballot, the acceptors' votes, and the record with its grants.
 use std::collections::BTreeMap;
 use std::rc::Rc;
 
@@ -263,7 +263,8 @@
         }
     }
 
-    /// Commits the grants that a majority holds; returns those that the executor waits for, if the lease holds.
+    /// Commits the grants that a majority holds; returns those that the executor waits for, if the lease
+    /// holds.
     pub fn commit_grants(&mut self, lease_holds: bool) -> Vec<GrantNotice> {
         let majority_seq = self.majority_seq();
         let mut notices = Vec::new();
--- a/src/cluster/takeover/lease.rs
+++ b/src/cluster/takeover/lease.rs
@@ -1,7 +1,8 @@
 //! Leases between pairs of members, for all work items that one owns and the other accepts for.
 //!
-//! Invariant: the acceptor's lease covers the owner's in true time, whatever the network delay. The owner counts from when
-//! it SENT what was acknowledged; the acceptor counts from when it RECEIVED it, and for longer by the bound on clock drift.
+//! Invariant: the acceptor's lease covers the owner's in true time, whatever the network delay. The owner
+//! counts from when it SENT what was acknowledged; the acceptor counts from when it RECEIVED it, and for
+//! longer by the bound on clock drift.
 use std::collections::BTreeMap;
 
 use crate::cluster::{MemberId, Micros};
@@ -42,9 +43,9 @@
         self.acceptor_duration
     }
 
-    /// An acceptor acknowledged what this member sent at `sent_at`. The chain continues only if this came while the last
-    /// lease still held. If not, the acceptor may have promised another ballot in between, so what it accepted before
-    /// counts no more.
+    /// An acceptor acknowledged what this member sent at `sent_at`. The chain continues only if this came
+    /// while the last lease still held. If not, the acceptor may have promised another ballot in between, so
+    /// what it accepted before counts no more.
     pub fn record_acknowledgement(&mut self, now: Micros, acceptor: &MemberId, sent_at: Micros) {
         let expires_at = sent_at.saturating_add(self.owner_duration);
         if sent_at > now || expires_at <= now {
@@ -58,7 +59,8 @@
         }
     }
 
-    /// Whether that acceptor keeps this member's lease on a work item whose acknowledged accept was sent at `accept_sent_at`.
+    /// Whether that acceptor keeps this member's lease on a work item whose acknowledged accept was sent at
+    /// `accept_sent_at`.
     pub fn covers(&self, now: Micros, acceptor: &MemberId, accept_sent_at: Micros) -> bool {
         let chain = self.granted.get(acceptor);
         chain.is_some_and(|chain| now < chain.expires_at && accept_sent_at >= chain.first_sent_at)
--- a/src/cluster/takeover/message.rs
+++ b/src/cluster/takeover/message.rs
@@ -1,7 +1,7 @@
 //! The messages between members about work items, and their bounds before and after decoding.
 //!
-//! The prost tags and types are the wire format and stay. Spans are in microseconds; a time in one of these messages is
-//! the sender's own monotonic clock and means nothing to anybody else.
+//! The prost tags and types are the wire format and stay. Spans are in microseconds; a time in one of these
+//! messages is the sender's own monotonic clock and means nothing to anybody else.
 use bytes::Bytes;
 use prost::Message as _;
 
@@ -126,8 +126,8 @@
     /// The epoch to submit to instead, if redirected.
     #[prost(uint64, tag = "6")]
     pub redirect_epoch: u64,
-    /// FNV-1a of class and payload that the outcome belongs to: a late repeat must not answer another request under
-    /// this id.
+    /// FNV-1a of class and payload that the outcome belongs to: a late repeat must not answer another request
+    /// under this id.
     #[prost(uint64, tag = "7")]
     pub request_fingerprint: u64,
 }
@@ -221,7 +221,8 @@
     pub record: Option<Record>,
 }
 
-/// A prepare or an accept under `ballot` was rejected: another ballot is promised, a lease holds, or there is no capacity.
+/// A prepare or an accept under `ballot` was rejected: another ballot is promised, a lease holds, or there is
+/// no capacity.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct Rejected {
     /// The epoch of the work item.
--- a/src/cluster/takeover/mod.rs
+++ b/src/cluster/takeover/mod.rs
@@ -1,12 +1,13 @@
-//! Work that outlives its coordinator: a replicated record of each protected query, with an owner and further acceptors,
-//! and the protocol by which one of them continues when the owner is gone. `docs/design-takeover.md` has the argument.
+//! Work that outlives its coordinator: a replicated record of each protected query, with an owner and further
+//! acceptors, and the protocol by which one of them continues when the owner is gone.
+//! `docs/design-takeover.md` has the argument.
 //!
-//! Owns ballots, grants, leases and fences of the work items that this member leads or accepts for. Does no I/O, reads no
-//! clock and draws no random numbers: messages, calls and time come in, [`Action`]s go out by
+//! Owns ballots, grants, leases and fences of the work items that this member leads or accepts for. Does no
+//! I/O, reads no clock and draws no random numbers: messages, calls and time come in, [`Action`]s go out by
 //! [`TakeoverState::take_actions`].
 //!
-//! Messages may be lost, duplicated, delayed or reordered: [`TakeoverState::tick`] sends again what is unanswered. What a
-//! member sends to itself takes the same path, in [`TakeoverState::take_actions`].
+//! Messages may be lost, duplicated, delayed or reordered: [`TakeoverState::tick`] sends again what is
+//! unanswered. What a member sends to itself takes the same path, in [`TakeoverState::take_actions`].
 #![warn(missing_docs)]
 mod acceptor;
 mod api;
@@ -138,8 +139,8 @@
         self.resubmit_to(epoch);
     }
 
-    /// The last work item of this epoch and of all earlier ones is finished; the newest epoch is never closed. The caller
-    /// must know this from the log: an id of a closed epoch may be opened again.
+    /// The last work item of this epoch and of all earlier ones is finished; the newest epoch is never
+    /// closed. The caller must know this from the log: an id of a closed epoch may be opened again.
     pub fn close_epochs(&mut self, now: Micros, last_closed: u64) {
         self.now = self.now.max(now);
         let closed = |oldest: &Configuration| oldest.epoch() <= last_closed;
@@ -170,7 +171,8 @@
         }
     }
 
-    /// Gossip holds a member for alive or dead. This changes whom this member turns to first, and no decision.
+    /// Gossip holds a member for alive or dead. This changes whom this member turns to first, and no
+    /// decision.
     pub fn record_gossip(&mut self, now: Micros, member: &MemberId, alive: bool) {
         self.now = self.now.max(now);
         if alive {
@@ -203,8 +205,8 @@
         }
     }
 
-    /// Runs what is due: sends again what is unanswered, renews leases, takes over from silent owners, ends what is past
-    /// its deadline, forgets what is past its retention.
+    /// Runs what is due: sends again what is unanswered, renews leases, takes over from silent owners, ends
+    /// what is past its deadline, forgets what is past its retention.
     pub fn tick(&mut self, now: Micros, _unix_ms: u64) {
         self.now = self.now.max(now);
         self.tick_submissions();
@@ -287,13 +289,14 @@
         Some(group.into_iter().map(|member| member.id.clone()).collect())
     }
 
-    /// A member's place in a group. Invariant: only the incarnation that was agreed on has one. A member that restarted has
-    /// forgotten its promises.
+    /// A member's place in a group. Invariant: only the incarnation that was agreed on has one. A member that
+    /// restarted has forgotten its promises.
     fn rank(&self, group: &[MemberId], member: &MemberId) -> Option<usize> {
         group.iter().position(|m| m == member || !self.checks.incarnation && m.name == member.name)
     }
 
-    /// A sixth of a lease: how long an answer may take before the message is sent again, and a value wait to be written.
+    /// A sixth of a lease: how long an answer may take before the message is sent again, and a value wait to
+    /// be written.
     fn resend_interval(&self) -> Micros {
         (self.limits.lease / 6).max(1)
     }
--- a/src/cluster/takeover/opening.rs
+++ b/src/cluster/takeover/opening.rs
@@ -1,5 +1,5 @@
-//! How a work item comes to be led: a submitted request opens it, earlier epochs are fenced, a majority promises, and the
-//! highest accepted state is continued.
+//! How a work item comes to be led: a submitted request opens it, earlier epochs are fenced, a majority
+//! promises, and the highest accepted state is continued.
 use std::rc::Rc;
 
 use super::leader::{majority, next_ballot, LeaderState, Phase, PreviousGroup, RecordOrigin};
@@ -139,8 +139,8 @@
             && bytes <= self.limits.max_record_bytes
     }
 
-    /// Groups of earlier epochs that are still open. Invariant: an id is opened in an epoch only once a majority of its
-    /// group in each earlier one has promised never to open it there.
+    /// Groups of earlier epochs that are still open. Invariant: an id is opened in an epoch only once a
+    /// majority of its group in each earlier one has promised never to open it there.
     fn previous_groups(&self, work: &WorkId, class: u32) -> Vec<PreviousGroup> {
         let earlier = self.configurations.iter().map(Configuration::epoch).filter(|epoch| *epoch < work.0);
         let group = |epoch| {
@@ -205,7 +205,8 @@
         }
     }
 
-    /// Nothing prevents the opening: rank 0 writes under ballot 0, which is its own; other ranks prepare first.
+    /// Nothing prevents the opening: rank 0 writes under ballot 0, which is its own; other ranks prepare
+    /// first.
     fn start_ballot(&mut self, work: &WorkId) {
         let promised = self.slots.get(work).and_then(|slot| slot.acceptor.promised);
         let Some(leader) = self.leaders.get_mut(work) else { return };
@@ -225,8 +226,8 @@
         self.retransmit(work);
     }
 
-    /// A majority has promised. Invariant: the highest state that any of it accepted is written first, under this ballot,
-    /// and everything continues from that; only where there is none is a new work item opened.
+    /// A majority has promised. Invariant: the highest state that any of it accepted is written first, under
+    /// this ballot, and everything continues from that; only where there is none is a new work item opened.
     fn lead_promised(&mut self, work: &WorkId) {
         let now = self.now;
         let Some(leader) = self.leaders.get_mut(work) else { return };
--- a/src/cluster/takeover/proposer.rs
+++ b/src/cluster/takeover/proposer.rs
@@ -1,5 +1,5 @@
-//! The proposer's role, as owner or successor: collects promises and acknowledgements, writes, announces the outcome, and
-//! gives up a ballot that is lost.
+//! The proposer's role, as owner or successor: collects promises and acknowledgements, writes, announces the
+//! outcome, and gives up a ballot that is lost.
 use std::rc::Rc;
 
 use super::leader::{majority, next_ballot, LeaderState, Phase};
@@ -190,7 +190,8 @@
         }
     }
 
-    /// No majority has capacity. Some acceptors may hold the record all the same; it must not run later, so it fails.
+    /// No majority has capacity. Some acceptors may hold the record all the same; it must not run later, so
+    /// it fails.
     fn reject_for_capacity(&mut self, work: &WorkId) {
         for waiter in self.take_waiters(work) {
             self.send_status(&waiter, work, SubmitStatus::Rejected);
--- a/src/cluster/takeover/record.rs
+++ b/src/cluster/takeover/record.rs
@@ -1,19 +1,21 @@
-//! The replicated record of a work item. It only grows: grants and clearings rise, values and the outcome are set once.
+//! The replicated record of a work item. It only grows: grants and clearings rise, values and the outcome are
+//! set once.
 //!
 //! The prost tags and types are the wire format and stay.
 use bytes::Bytes;
 
 /// The longest id of a work item, in bytes.
 pub const MAX_ID_BYTES: usize = 128;
-/// The most parts of one work item: far over any query's, and bounded so that a message cannot ask for more memory than
-/// its own size warrants.
+/// The most parts of one work item: far over any query's, and bounded so that a message cannot ask for more
+/// memory than its own size warrants.
 pub const MAX_PARTS: usize = 16_384;
 /// What [`Record::memory_bytes`] charges for each part beside its value.
 const PART_OVERHEAD_BYTES: usize = 64;
 /// What [`Record::memory_bytes`] charges for each record beside its contents.
 const RECORD_OVERHEAD_BYTES: usize = 256;
 
-/// One work item, as its group replicates it. `payload` and `outcome` are opaque here: the executors encode them.
+/// One work item, as its group replicates it. `payload` and `outcome` are opaque here: the executors encode
+/// them.
 #[derive(Clone, PartialEq, Eq, Hash, prost::Message)]
 pub struct Record {
     /// 1 to [`MAX_ID_BYTES`] bytes.
--- a/src/cluster/takeover/retransmission.rs
+++ b/src/cluster/takeover/retransmission.rs
@@ -1,5 +1,5 @@
-//! Timers of what this member leads: unanswered messages are sent again, leases renewed, and work items ended that are past
-//! their deadline or whose lease is gone.
+//! Timers of what this member leads: unanswered messages are sent again, leases renewed, and work items ended
+//! that are past their deadline or whose lease is gone.
 use super::leader::{LeaderState, Phase};
 use super::message::{Accept, Body, Fence, Prepare, Renew};
 use super::{MemberId, TakeoverState, WorkId};
@@ -105,8 +105,8 @@
         }
         // Another ballot was promised, and no majority keeps this one's lease.
         let outvoted = leader.count(|vote| vote.rejected) > 0;
-        // Nothing is acknowledged any more. A member that is heard but does not hear must fall silent, or its acceptors
-        // would keep its lease and nobody take over.
+        // Nothing is acknowledged any more. A member that is heard but does not hear must fall silent, or its
+        // acceptors would keep its lease and nobody take over.
         let timeout = 2 * self.leases.acceptor_duration();
         outvoted || now > leader.lease_held_at.saturating_add(timeout)
     }
--- a/src/cluster/takeover/slot.rs
+++ b/src/cluster/takeover/slot.rs
@@ -1,7 +1,8 @@
-//! The state that an acceptor keeps of one work item: the rules of Paxos's acceptor (Lamport, "Paxos Made Simple"), over
-//! a record that grows under one ballot by sequence number.
+//! The state that an acceptor keeps of one work item: the rules of Paxos's acceptor (Lamport, "Paxos Made
+//! Simple"), over a record that grows under one ballot by sequence number.
 //!
-//! Invariants: the promise never falls, and what is accepted never falls in the order of (ballot, sequence number).
+//! Invariants: the promise never falls, and what is accepted never falls in the order of (ballot, sequence
+//! number).
 use std::rc::Rc;
 
 use super::record::Record;
@@ -10,8 +11,8 @@
 /// A promise that no ballot fulfils: the slot is fenced, and its id is never opened in this epoch.
 pub const FENCED_BALLOT: u64 = u64::MAX;
 
-/// The most members whose clients one slot notifies of the outcome. A client usually asks two or three members; those
-/// that find no place learn the outcome when they ask again.
+/// The most members whose clients one slot notifies of the outcome. A client usually asks two or three
+/// members; those that find no place learn the outcome when they ask again.
 pub const MAX_WAITERS: usize = 16;
 
 /// What can be accepted: it tells which opening of its id it belongs to.
@@ -48,9 +49,9 @@
 
 /// Paxos's acceptor.
 ///
-/// Invariants: `promised` never falls; `accepted` never falls in the order of (ballot, seq), and was never taken under a
-/// ballot below the promise of its time. So a state that a majority accepted under one ballot is among what any later
-/// majority of promises shows.
+/// Invariants: `promised` never falls; `accepted` never falls in the order of (ballot, seq), and was never
+/// taken under a ballot below the promise of its time. So a state that a majority accepted under one ballot
+/// is among what any later majority of promises shows.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Acceptor<R = Rc<Record>> {
     /// The highest ballot that was promised; [`FENCED_BALLOT`] if the slot is fenced.
@@ -66,12 +67,13 @@
 }
 
 impl<R: Opening> Acceptor<R> {
-    /// Accepts a record. Returns the sequence number that is held now: a later one if this write was overtaken.
+    /// Accepts a record. Returns the sequence number that is held now: a later one if this write was
+    /// overtaken.
     ///
     /// # Errors
     ///
-    /// The promised ballot, if that is higher. `ballot` itself, if another opening was accepted under it: an owner that
-    /// restarted has forgotten its first one.
+    /// The promised ballot, if that is higher. `ballot` itself, if another opening was accepted under it: an
+    /// owner that restarted has forgotten its first one.
     pub fn accept(&mut self, check: PromiseCheck, ballot: u64, seq: u64, record: &R) -> Result<u64, u64> {
         self.check_promise(check, ballot)?;
         match &self.accepted {
@@ -98,8 +100,8 @@
         Ok(())
     }
 
-    /// Promises never to accept a first record; returns whether it did. An earlier promise to a proposer that has not
-    /// written yet does not stand against it: that proposer's write will be rejected.
+    /// Promises never to accept a first record; returns whether it did. An earlier promise to a proposer that
+    /// has not written yet does not stand against it: that proposer's write will be rejected.
     pub fn fence(&mut self) -> bool {
         if self.accepted.is_none() {
             self.promised = Some(FENCED_BALLOT);
--- a/src/cluster/takeover/submission.rs
+++ b/src/cluster/takeover/submission.rs
@@ -1,4 +1,5 @@
-//! Requests of this member's own clients: forwards each to its group, follows redirects, and answers the clients.
+//! Requests of this member's own clients: forwards each to its group, follows redirects, and answers the
+//! clients.
 use std::hash::Hasher;
 use std::rc::Rc;
 
@@ -148,8 +149,8 @@
         self.actions.push(Action::Answer { token, reply });
     }
 
-    /// Sends the request to the member that it is addressed to, or to the next of the group that is not suspected to be
-    /// dead, if there is one.
+    /// Sends the request to the member that it is addressed to, or to the next of the group that is not
+    /// suspected to be dead, if there is one.
     fn forward(&mut self, id: &Rc<str>) {
         let now = self.now;
         let interval = self.resend_interval();
@@ -183,8 +184,8 @@
         self.send(&to, Body::Submit(message));
     }
 
-    /// Addresses all requests that are not in progress to the group of a new configuration: from there, what is in progress
-    /// in an earlier one is found.
+    /// Addresses all requests that are not in progress to the group of a new configuration: from there, what
+    /// is in progress in an earlier one is found.
     pub(super) fn resubmit_to(&mut self, epoch: u64) {
         let now = self.now;
         for submission in self.submissions.values_mut().filter(|s| !s.in_progress) {
--- a/src/config/operator/cluster.rs
+++ b/src/config/operator/cluster.rs
@@ -1,6 +1,7 @@
 //! The section `fleet`: the members of the cluster, and which classes of queries outlive their coordinator.
 //!
-//! The keys of the file are serde's names here and stay. Every error names the path of its key from the section on.
+//! The keys of the file are serde's names here and stay. Every error names the path of its key from the
+//! section on.
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
@@ -16,14 +17,15 @@
 use crate::cluster::{Configuration, Member, MemberId};
 use crate::config::settings::Deployment;
 
-/// The most members: far more than any cluster that was measured, few enough that each keeps a link to each other one.
+/// The most members: far more than any cluster that was measured, few enough that each keeps a link to each
+/// other one.
 const MAX_MEMBERS: usize = 4096;
 /// What a message needs beside the record that it carries, in bytes.
 const ENVELOPE_BYTES: usize = 4096;
 /// The longest name of a cluster or zone, in bytes.
 const MAX_LABEL_BYTES: usize = 64;
-/// The smallest group: a majority of two is both, so one further acceptor would make the work depend on more members, not
-/// on fewer.
+/// The smallest group: a majority of two is both, so one further acceptor would make the work depend on more
+/// members, not on fewer.
 const MIN_GROUP_SIZE: usize = 3;
 /// The most attempts of a part over all owners.
 const MAX_ATTEMPTS: u32 = 4;
@@ -158,8 +160,8 @@
         me.map_or_else(|| "".into(), |m| m.zone.clone())
     }
 
-    /// Checks the section against itself and the deployment. `has_executor`: there is an API that executes protected
-    /// queries. Relative paths are taken from `folder`.
+    /// Checks the section against itself and the deployment. `has_executor`: there is an API that executes
+    /// protected queries. Relative paths are taken from `folder`.
     ///
     /// # Errors
     ///
--- a/src/net/cluster/accept.rs
+++ b/src/net/cluster/accept.rs
@@ -1,6 +1,7 @@
 //! The connections that other members dial, from which this member reads.
 //!
-//! Bounds the connections whose hello has not come, and the frames handled in one turn; never writes more than its hello.
+//! Bounds the connections whose hello has not come, and the frames handled in one turn; never writes more
+//! than its hello.
 use std::io;
 use std::net::{SocketAddr, TcpListener};
 use std::rc::{Rc, Weak};
--- a/src/net/cluster/driver.rs
+++ b/src/net/cluster/driver.rs
@@ -1,7 +1,7 @@
 //! Owns the state machines of this member: passes them events with the time, and carries out their actions.
 //!
-//! Decides nothing itself. Invariant: actions are carried out in the order in which the state machines returned them,
-//! whatever further events carrying them out brings.
+//! Decides nothing itself. Invariant: actions are carried out in the order in which the state machines
+//! returned them, whatever further events carrying them out brings.
 mod actions;
 
 use std::cell::{Cell, RefCell};
@@ -198,7 +198,8 @@
     ///
     /// # Errors
     ///
-    /// It is not of this cluster, has this member's own name, or is of an incarnation before one that was seen.
+    /// It is not of this cluster, has this member's own name, or is of an incarnation before one that was
+    /// seen.
     pub fn check_hello(&self, hello: &Hello) -> Result<MemberId, FrameError> {
         let id = hello.check(&self.cluster, &self.members)?;
         if id.name == self.me.name {
@@ -216,8 +217,8 @@
         Ok(id)
     }
 
-    /// The member's frames come over a new connection from now on. The token is cancelled when yet another one takes its
-    /// place.
+    /// The member's frames come over a new connection from now on. The token is cancelled when yet another
+    /// one takes its place.
     pub fn register_reader(&self, id: &MemberId) -> CancellationToken {
         let (cancel, token) = CancellationToken::new();
         if self.latest_incarnations.borrow().get(&id.name) == Some(&id.incarnation) {
--- a/src/net/cluster/driver/actions.rs
+++ b/src/net/cluster/driver/actions.rs
@@ -11,8 +11,8 @@
 use crate::net::cluster::frames::Frame;
 
 impl Driver {
-    /// Carries out the state machines' actions until there are no more. A call from within, through an action that brings
-    /// further events, leaves these to the outer loop: so actions are carried out in their order.
+    /// Carries out the state machines' actions until there are no more. A call from within, through an action
+    /// that brings further events, leaves these to the outer loop: so actions are carried out in their order.
     pub(super) fn carry_out(self: &Rc<Self>) {
         if self.carrying_out.replace(true) {
             return;
--- a/src/net/cluster/execution.rs
+++ b/src/net/cluster/execution.rs
@@ -1,4 +1,5 @@
-//! What an executor of protected queries is given: the work item, and a handle to the state machine that decides on it.
+//! What an executor of protected queries is given: the work item, and a handle to the state machine that
+//! decides on it.
 //!
 //! Invariant: a [`ExecutionHandle`] that is stopped never permits an attempt and passes nothing on.
 #![warn(missing_docs)]
@@ -11,12 +12,13 @@
 
 /// Executes the work items that this process owns, from their start or by takeover.
 pub trait WorkExecutor {
-    /// Starts to execute `record`. Must not block: what takes time goes into a task of its own. With `takeover`, parts of
-    /// the record may have been granted, cleared and answered before.
+    /// Starts to execute `record`. Must not block: what takes time goes into a task of its own. With
+    /// `takeover`, parts of the record may have been granted, cleared and answered before.
     fn start(self: Rc<Self>, key: ExecutionKey, record: Rc<Record>, takeover: bool, handle: ExecutionHandle);
 }
 
-/// The state machine that decides on work items, as a handle calls it. The implementor carries out the actions that follow.
+/// The state machine that decides on work items, as a handle calls it. The implementor carries out the
+/// actions that follow.
 pub(super) trait TakeoverStateMachine {
     /// See [`crate::cluster::takeover::TakeoverState::may_send`].
     fn may_send(self: Rc<Self>, key: ExecutionKey, step: u8, shard: u32, attempt: u8) -> SendDecision;
@@ -67,8 +69,8 @@
     }
 }
 
-/// A work item that this process executes. Clones refer to the same one; dropping the last one tells the state machine that
-/// the executor will do no more of it.
+/// A work item that this process executes. Clones refer to the same one; dropping the last one tells the
+/// state machine that the executor will do no more of it.
 #[derive(Clone)]
 pub struct ExecutionHandle(Rc<Execution>);
 
@@ -82,8 +84,9 @@
         self.0.key
     }
 
-    /// Whether attempt `attempt` (from 0, counted over all owners) of a part may be sent; waits until a majority holds its
-    /// grant. `false`: never, by this process. `true` is returned once for each attempt, and counts it as made.
+    /// Whether attempt `attempt` (from 0, counted over all owners) of a part may be sent; waits until a
+    /// majority holds its grant. `false`: never, by this process. `true` is returned once for each attempt,
+    /// and counts it as made.
     ///
     /// Cancel safe while it waits: a grant that was asked for stands, and the attempt is not made.
     pub async fn may_send(&self, step: u8, shard: u32, attempt: u8) -> bool {
--- a/src/net/cluster/frames.rs
+++ b/src/net/cluster/frames.rs
@@ -1,7 +1,8 @@
-//! The frames on a connection between two members: a four-byte big-endian length, a byte for the kind, and the body in
-//! protobuf.
+//! The frames on a connection between two members: a four-byte big-endian length, a byte for the kind, and
+//! the body in protobuf.
 //!
-//! Lengths are bounded before anything is decoded. The numbers of the kinds and the prost tags are the wire format and stay.
+//! Lengths are bounded before anything is decoded. The numbers of the kinds and the prost tags are the wire
+//! format and stay.
 #![warn(missing_docs)]
 use prost::Message as _;
 
@@ -91,13 +92,13 @@
     StaleIncarnation(String),
 }
 
-/// Decodes the frame at the start of `bytes`; returns it with its length, or `None` if it is not complete yet.
-/// `max_bytes` bounds its length without the length field.
+/// Decodes the frame at the start of `bytes`; returns it with its length, or `None` if it is not complete
+/// yet. `max_bytes` bounds its length without the length field.
 ///
 /// # Errors
 ///
-/// As soon as it is clear that `bytes` cannot become a frame, so that the reader neither waits nor makes room for one: a
-/// length out of bounds, an unknown kind, or a body that is malformed or invalid.
+/// As soon as it is clear that `bytes` cannot become a frame, so that the reader neither waits nor makes room
+/// for one: a length out of bounds, an unknown kind, or a body that is malformed or invalid.
 pub fn parse(bytes: &[u8], max_bytes: usize) -> Result<Option<(Frame, usize)>, FrameError> {
     let Some((length, rest)) = bytes.split_first_chunk::<LENGTH_BYTES>() else { return Ok(None) };
     let length = u32::from_be_bytes(*length) as usize;
@@ -146,7 +147,8 @@
             return Err(FrameError::OtherVersion(self.version));
         }
         let id = MemberId::new(&self.name, self.incarnation);
-        // Keeps arbitrary text out of the log lines: a name goes into them only once it is known to be a valid one.
+        // Keeps arbitrary text out of the log lines: a name goes into them only once it is known to be a
+        // valid one.
         let claimed = Member { id: id.clone(), zone: "".into(), address: ([0, 0, 0, 0], 0).into() };
         Configuration::new(0, vec![claimed]).map_err(FrameError::InvalidName)?;
         if members.iter().any(|m| m.id.name == id.name) {
--- a/src/net/cluster/link.rs
+++ b/src/net/cluster/link.rs
@@ -92,7 +92,8 @@
     }
 }
 
-/// Writes frames as they come until the connection ends; returns why it did. The peer sends nothing after its hello.
+/// Writes frames as they come until the connection ends; returns why it did. The peer sends nothing after its
+/// hello.
 async fn write(stream: &Stream, mut buffer: Buffer, outbox: &Outbox) -> io::Error {
     let written = async {
         let mut batch = Vec::new();
--- a/src/net/cluster/mod.rs
+++ b/src/net/cluster/mod.rs
@@ -1,7 +1,8 @@
-//! This process as a member of its cluster: connections to the other members, and what the query APIs ask of the cluster.
-//! The decisions are in [`crate::cluster`].
+//! This process as a member of its cluster: connections to the other members, and what the query APIs ask of
+//! the cluster. The decisions are in [`crate::cluster`].
 //!
-//! A member writes on the connections that it dials and reads from those that it accepts: one each way and pair.
+//! A member writes on the connections that it dials and reads from those that it accepts: one each way and
+//! pair.
 mod accept;
 mod clock;
 mod driver;
@@ -57,7 +58,8 @@
         1 + 2 * config.members.len().saturating_sub(1) + accept::MAX_HANDSHAKES
     }
 
-    /// Who executes the work items that this process owns or takes over. To be set before [`ClusterNode::start`].
+    /// Who executes the work items that this process owns or takes over. To be set before
+    /// [`ClusterNode::start`].
     pub fn set_executor(&self, executor: Rc<dyn WorkExecutor>) {
         self.driver.set_executor(executor);
     }
@@ -131,7 +133,8 @@
         self.draining.set(true);
     }
 
-    /// Resolves when nothing is executed here any more, or at `latest`: other members take over what is left. Cancel safe.
+    /// Resolves when nothing is executed here any more, or at `latest`: other members take over what is left.
+    /// Cancel safe.
     pub async fn wait_until_idle(&self, latest: Instant) {
         let idle = async {
             while self.driver.running_executions() > 0 {
--- a/src/net/cluster/outbox.rs
+++ b/src/net/cluster/outbox.rs
@@ -1,7 +1,7 @@
 //! The bounded queue of frames to one member.
 //!
-//! Never waits for a slow peer: frames that find no place are dropped and counted, since the state machines send again
-//! what is unanswered.
+//! Never waits for a slow peer: frames that find no place are dropped and counted, since the state machines
+//! send again what is unanswered.
 use std::cell::{Cell, RefCell};
 use std::collections::VecDeque;
 
@@ -12,7 +12,8 @@
 
 /// Frames are batched up to this many bytes for one write.
 const BATCH_BYTES: usize = 64 << 10;
-/// How many of the largest frames may wait. The count of frames alone would let a queue of them grow to a GiB.
+/// How many of the largest frames may wait. The count of frames alone would let a queue of them grow to a
+/// GiB.
 const MAX_LARGEST_FRAMES: usize = 8;
 /// The length field of a frame, which its bound does not count.
 const LENGTH_BYTES: usize = 4;
@@ -43,7 +44,8 @@
         }
     }
 
-    /// Queues a frame for that very incarnation: one that is meant for an earlier one never reaches a later one.
+    /// Queues a frame for that very incarnation: one that is meant for an earlier one never reaches a later
+    /// one.
     pub fn send(&self, to: &MemberId, frame: &Frame) {
         let has_place = self.frames.borrow().len() < self.max_frames;
         if !has_place || self.connected_to.borrow().as_ref() != Some(to) {
--- a/src/net/cluster/store.rs
+++ b/src/net/cluster/store.rs
@@ -1,14 +1,16 @@
 //! What a voter keeps on disk: its disk's number, how far founding is, votes, entries and the snapshot.
 //!
-//! One file by `redb`, each batch one durable transaction; and beside it, in `FILE.mark`, the number of the last batch
-//! that was acknowledged. `redb` keeps two commits and goes back to the earlier one when the later does not check: after
-//! a process that ended within a write that is right, after a spoilt byte it would be an older vote.
+//! One file by `redb`, each batch one durable transaction; and beside it, in `FILE.mark`, the number of the
+//! last batch that was acknowledged. `redb` keeps two commits and goes back to the earlier one when the later
+//! does not check: after a process that ended within a write that is right, after a spoilt byte it would be
+//! an older vote.
 //!
-//! A write that fails, as on a full disk, closes the file; the next one opens it again and goes by what it holds.
+//! A write that fails, as on a full disk, closes the file; the next one opens it again and goes by what it
+//! holds.
 //!
-//! Invariant: [`Store::persist`] returns only when both are durable, so that a file that opens holds every batch that
-//! was acknowledged, or it does not open. Each record carries a check over its key and bytes, the head says how many
-//! entries there are, and the mark says how far the file has to be.
+//! Invariant: [`Store::persist`] returns only when both are durable, so that a file that opens holds every
+//! batch that was acknowledged, or it does not open. Each record carries a check over its key and bytes, the
+//! head says how many entries there are, and the mark says how far the file has to be.
 use std::fmt;
 use std::fs::{File, OpenOptions};
 use std::io;
@@ -238,8 +240,8 @@
         builder.create(&self.path).map_err(spoilt)
     }
 
-    /// Open the file again behind a write that failed: that one may have become durable, with its mark or without.
-    /// Invariant: the file is the last acknowledged batch's, or the next one's.
+    /// Open the file again behind a write that failed: that one may have become durable, with its mark or
+    /// without. Invariant: the file is the last acknowledged batch's, or the next one's.
     fn reopen(&mut self) -> Result<(), StoreError> {
         let acknowledged = self.head;
         self.db = Some(self.database()?);
@@ -322,8 +324,8 @@
         Ok(())
     }
 
-    /// All of the batch is durable when this returns. After an error it may be or not, and is owed: the same batch is to
-    /// be handed in again, until it is acknowledged. Written twice it is as written once.
+    /// All of the batch is durable when this returns. After an error it may be or not, and is owed: the same
+    /// batch is to be handed in again, until it is acknowledged. Written twice it is as written once.
     pub fn persist(&mut self, batch: &Batch) -> Result<(), StoreError> {
         let change = |head: &mut Head, txn: &redb::WriteTransaction| {
             head.hard = batch.hard;
--- a/tests/fleet_links.rs
+++ b/tests/cluster_links.rs
@@ -170,7 +170,7 @@
 }
 
 /// Send `bytes` to the member; it must close the connection.
-fn refused(at: SocketAddr, bytes: &[&[u8]]) {
+fn assert_closed(at: SocketAddr, bytes: &[&[u8]]) {
     let mut stream = TcpStream::connect(at).expect("connected");
     stream.set_read_timeout(Some(PATIENCE)).expect("set");
     stream.write_all(&bytes.concat()).expect("sent");
@@ -186,7 +186,7 @@
 }
 
 #[test]
-fn members_found_epoch_one_once_and_redial_one_that_restarts() {
+fn members_agree_on_epoch_one_once_and_redial_one_that_restarts() {
     let (listeners, places) = places();
     let mut members: Vec<Member> =
         NAMES.into_iter().zip(listeners).map(|(name, l)| Member::start(name, l, places, false)).collect();
@@ -200,7 +200,7 @@
 }
 
 #[test]
-fn foreign_hellos_are_refused_with_one_line_and_change_nothing() {
+fn hellos_of_others_are_rejected_with_one_line_and_change_nothing() {
     let (listeners, places) = places();
     let [la, lb, lc] = listeners;
     let a = Member::start("a", la, places, false);
@@ -213,7 +213,7 @@
         (vec![0, 16, 0, 1], "a frame of 1048577 bytes"),
     ];
     for (bytes, said) in cases {
-        refused(places[0], &[&bytes]);
+        assert_closed(places[0], &[&bytes]);
         let line = a.log("WARN");
         assert!(line.contains("fleet connection closed: protocol error") && line.contains(said), "{line}");
     }
@@ -222,7 +222,7 @@
 }
 
 #[test]
-fn spoilt_frames_of_a_member_end_its_connection_and_change_nothing() {
+fn malformed_frames_close_the_connection_and_change_nothing() {
     let (listeners, places) = places();
     let [la, lb, lc] = listeners;
     let a = Member::start("a", la, places, false);
@@ -235,7 +235,7 @@
         (&[&Frame::Hello(hello("c", 4)).bytes()], "c/4 is an earlier incarnation"),
     ];
     for (frames, said) in cases {
-        refused(places[0], frames);
+        assert_closed(places[0], frames);
         let line = a.log("WARN");
         assert!(line.contains("fleet connection closed: protocol error") && line.contains(said), "{line}");
     }
@@ -251,7 +251,7 @@
 }
 
 #[test]
-fn works_of_a_member_that_is_lost_are_finished_by_the_others() {
+fn work_of_a_lost_member_is_finished_by_the_others() {
     let (listeners, places) = places();
     let [la, lb, lc] = listeners;
     let (a, b) = (Member::start("a", la, places, false), Member::start("b", lb, places, false));
@@ -313,7 +313,7 @@
 }
 
 #[test]
-fn a_member_that_reads_nothing_holds_nobody_up() {
+fn a_member_that_reads_nothing_delays_nobody() {
     let (listeners, places) = places();
     let [la, lb, lc] = listeners;
     let (a, b) = (Member::start("a", la, places, false), Member::start("b", lb, places, false));
--- a/tests/fleet_work/sim.rs
+++ b/tests/takeover_protocol/sim.rs
@@ -1,6 +1,6 @@
-//! A fleet of [`Works`] under a virtual clock: links that lose, double, delay and cut, members that die, stop and come
-//! back, an executor and servers that note what runs. All drawn from one seed.
-mod acts;
+//! A cluster of [`TakeoverState`]s under a virtual clock: links that lose, duplicate, delay and cut, members
+//! that die, pause and restart, an executor, and servers that record what runs. All drawn from one seed.
+mod actions;
 
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap};
@@ -19,26 +19,27 @@
 pub const SECOND: u64 = 1_000_000;
 const MS: u64 = 1_000;
 
-/// What goes wrong in a run, besides delays and doubles.
+/// The faults of a run, besides delays and duplicates.
 #[derive(Clone, Copy, Debug)]
 pub struct Plan {
     pub members: usize,
     pub ids: usize,
     /// In a thousand messages.
-    pub loss: u64,
-    pub slow: u64,
+    pub loss_permille: u64,
+    pub slow_permille: u64,
     pub cuts: u64,
-    pub stops: u64,
+    pub pauses: u64,
     pub kills: u64,
     pub restarts: bool,
-    pub changes: bool,
-    /// Members of a group; and how many works a member holds at most, if not many.
+    pub reconfigures: bool,
+    /// Members of a group.
     pub group: usize,
-    pub works: Option<usize>,
-    /// Each id is asked once, and every part is answered.
-    pub plain: bool,
-    /// Faults are over then.
-    pub calm: u64,
+    /// How many work items a member holds at most; `None`: the default.
+    pub max_work_items: Option<usize>,
+    /// Each id is submitted once, and every part is answered.
+    pub faultless: bool,
+    /// No fault lasts beyond, in microseconds.
+    pub faults_end_at: u64,
 }
 
 impl Default for Plan {
@@ -46,17 +47,17 @@
         Plan {
             members: 3,
             ids: 4,
-            loss: 0,
-            slow: 0,
+            loss_permille: 0,
+            slow_permille: 0,
             cuts: 0,
-            stops: 0,
+            pauses: 0,
             kills: 0,
             restarts: false,
-            changes: false,
+            reconfigures: false,
             group: 3,
-            works: None,
-            plain: false,
-            calm: 2 * SECOND,
+            max_work_items: None,
+            faultless: false,
+            faults_end_at: 2 * SECOND,
         }
     }
 }
@@ -64,19 +65,19 @@
 enum Event {
     Deliver(usize, MemberId, Rc<Message>),
     Wake(usize),
-    Ask { node: usize, client: usize },
-    Ran { node: usize, life: u64, key: ExecutionKey, shard: u32, how: How },
+    Submit { node: usize, client: usize },
+    AttemptFinished { node: usize, incarnation: u64, key: ExecutionKey, shard: u32, result: AttemptResult },
     Cut(usize, usize, bool),
-    Stop(usize, u64),
-    Continue(usize),
+    Pause(usize, u64),
+    Resume(usize),
     Kill(usize, Option<u64>),
     Restart(usize),
     Configure(usize, u64),
-    Change,
+    Reconfigure,
 }
 
 #[derive(Clone, Copy)]
-enum How {
+enum AttemptResult {
     Value,
     NeverRan,
     Lost,
@@ -85,16 +86,16 @@
 pub struct Client {
     pub id: Rc<str>,
     pub class: u16,
-    pub text: Rc<[u8]>,
-    pub ends: u64,
+    pub payload: Rc<[u8]>,
+    pub deadline_unix_ms: u64,
     pub replies: Vec<ClientReply>,
-    pub asked: bool,
+    pub submitted: bool,
     at: usize,
 }
 
 struct Run {
     record: Rc<Record>,
-    /// By shard: the attempt to be made next; None: over.
+    /// By shard: the attempt to be made next; `None`: finished.
     next: BTreeMap<u32, Option<u8>>,
     values: usize,
     done: bool,
@@ -102,7 +103,7 @@
 
 pub struct Node {
     pub id: MemberId,
-    pub works: TakeoverState,
+    pub takeover: TakeoverState,
     runs: BTreeMap<ExecutionKey, Run>,
     rate: f64,
     stopped: bool,
@@ -111,15 +112,15 @@
     wakes: Option<u64>,
 }
 
-pub struct World {
+pub struct Simulation {
     pub now: u64,
     rng: Pcg64Mcg,
     heap: BinaryHeap<Reverse<(u64, u64)>>,
     events: BTreeMap<u64, Event>,
     count: u64,
     pub nodes: Vec<Node>,
-    /// Those that died: what they held still counts for what stood.
-    pub graves: Vec<(MemberId, TakeoverState)>,
+    /// Members that died: what they held still counts toward majorities.
+    pub dead: Vec<(MemberId, TakeoverState)>,
     cut: Vec<Vec<bool>>,
     pub configs: Vec<Configuration>,
     pub clients: Vec<Client>,
@@ -129,17 +130,17 @@
     pub messages: u64,
 }
 
-impl World {
-    pub fn new(seed: u64, plan: Plan, checks: SafetyChecks) -> World {
+impl Simulation {
+    pub fn new(seed: u64, plan: Plan, checks: SafetyChecks) -> Simulation {
         let rng = Pcg64Mcg::seed_from_u64(seed);
-        let mut world = World {
+        let mut world = Simulation {
             now: 0,
             rng,
             heap: BinaryHeap::new(),
             events: BTreeMap::new(),
             count: 0,
             nodes: Vec::new(),
-            graves: Vec::new(),
+            dead: Vec::new(),
             cut: vec![vec![false; plan.members]; plan.members],
             configs: Vec::new(),
             clients: Vec::new(),
@@ -152,17 +153,17 @@
             let node = world.node(n, 1);
             world.nodes.push(node);
         }
-        let config = world.config(1, plan.members - usize::from(plan.changes));
+        let config = world.config(1, plan.members - usize::from(plan.reconfigures));
         world.configs.push(config);
         for n in 0..plan.members {
-            world.later(0, Event::Configure(n, 1));
+            world.schedule(0, Event::Configure(n, 1));
         }
-        world.draw();
+        world.draw_events();
         world
     }
 
-    fn node(&mut self, n: usize, life: u64) -> Node {
-        let id = MemberId::new(&format!("m{n}"), life);
+    fn node(&mut self, n: usize, incarnation: u64) -> Node {
+        let id = MemberId::new(&format!("m{n}"), incarnation);
         let rule = |idempotent| {
             Some(ClassRule {
                 idempotent,
@@ -173,13 +174,14 @@
             })
         };
         let limits = Limits::default();
-        let limits = Limits { max_work_items: self.plan.works.unwrap_or(limits.max_work_items), ..limits };
-        let mut works = TakeoverState::new(id.clone(), vec![rule(false), rule(true)], limits);
-        works.set_safety_checks(self.checks);
+        let limits =
+            Limits { max_work_items: self.plan.max_work_items.unwrap_or(limits.max_work_items), ..limits };
+        let mut takeover = TakeoverState::new(id.clone(), vec![rule(false), rule(true)], limits);
+        takeover.set_safety_checks(self.checks);
         let rate = 1.0 + self.below(99) as f64 / 10_000.0;
         Node {
             id,
-            works,
+            takeover,
             runs: BTreeMap::new(),
             rate,
             stopped: false,
@@ -207,50 +209,58 @@
         self.below(1000) < of_thousand
     }
 
-    fn later(&mut self, after: u64, event: Event) {
+    fn schedule(&mut self, after: u64, event: Event) {
         self.count += 1;
         self.heap.push(Reverse((self.now + after, self.count)));
         self.events.insert(self.count, event);
     }
 
     /// Clients and faults of the run.
-    fn draw(&mut self) {
+    fn draw_events(&mut self) {
         let (plan, members) = (self.plan, self.plan.members as u64);
         for n in 0..plan.ids {
             let (class, at) = (self.below(2) as u16, 1 + self.below(600 * MS));
-            let ends = at / MS + 3_000 + plan.calm / MS;
-            // Half of the ids are asked twice, at two members; one in ten under another text.
-            for twice in 0..1 + self.below(if plan.plain { 1 } else { 2 }) {
+            let ends = at / MS + 3_000 + plan.faults_end_at / MS;
+            // Half of the ids are submitted twice, at two members; one in ten with another payload.
+            for twice in 0..1 + self.below(if plan.faultless { 1 } else { 2 }) {
                 let other = twice == 1 && self.chance(200);
                 let text = format!("{n}{}", if other { "other" } else { "" });
-                let (id, text) = (format!("id{n}").into(), text.as_bytes().into());
-                self.clients.push(Client { id, class, text, ends, replies: vec![], asked: false, at: 0 });
+                let client = Client {
+                    id: format!("id{n}").into(),
+                    class,
+                    payload: text.as_bytes().into(),
+                    deadline_unix_ms: ends,
+                    replies: vec![],
+                    submitted: false,
+                    at: 0,
+                };
+                self.clients.push(client);
                 let node = self.below(members) as usize;
                 let after = if self.chance(500) { at } else { at + self.below(300 * MS) };
-                self.later(after, Event::Ask { node, client: self.clients.len() - 1 });
+                self.schedule(after, Event::Submit { node, client: self.clients.len() - 1 });
             }
         }
         for _ in 0..plan.cuts {
             let (a, b) = (self.below(members) as usize, self.below(members) as usize);
-            let (at, span, both) = (self.below(plan.calm), self.below(1500 * MS), self.chance(500));
+            let (at, span, both) = (self.below(plan.faults_end_at), self.below(1500 * MS), self.chance(500));
             for (a, b) in [(a, b), (b, a)].into_iter().take(1 + usize::from(both)) {
-                self.later(at, Event::Cut(a, b, true));
-                self.later((at + span).min(plan.calm), Event::Cut(a, b, false));
+                self.schedule(at, Event::Cut(a, b, true));
+                self.schedule((at + span).min(plan.faults_end_at), Event::Cut(a, b, false));
             }
         }
-        for _ in 0..plan.stops {
-            let (node, at) = (self.below(members) as usize, self.below(plan.calm));
+        for _ in 0..plan.pauses {
+            let (node, at) = (self.below(members) as usize, self.below(plan.faults_end_at));
             let span = 50 * MS + self.below(1500 * MS);
-            self.later(at, Event::Stop(node, span.min(plan.calm.saturating_sub(at))));
+            self.schedule(at, Event::Pause(node, span.min(plan.faults_end_at.saturating_sub(at))));
         }
         for _ in 0..plan.kills {
-            let (node, at) = (self.below(members) as usize, self.below(plan.calm));
+            let (node, at) = (self.below(members) as usize, self.below(plan.faults_end_at));
             let back = plan.restarts.then(|| 1 + self.below(100 * MS));
-            self.later(at, Event::Kill(node, back));
+            self.schedule(at, Event::Kill(node, back));
         }
-        if plan.changes {
+        if plan.reconfigures {
             let at = self.below(800 * MS);
-            self.later(at, Event::Change);
+            self.schedule(at, Event::Reconfigure);
         }
     }
 
@@ -274,14 +284,14 @@
         let unix = self.now / MS;
         let of = match &event {
             Event::Deliver(n, ..) | Event::Wake(n) | Event::Configure(n, _) => Some(*n),
-            Event::Ask { node, .. } | Event::Ran { node, .. } => Some(*node),
+            Event::Submit { node, .. } | Event::AttemptFinished { node, .. } => Some(*node),
             _ => None,
         };
         if let Some(n) = of {
             if self.nodes[n].stopped {
                 return self.nodes[n].late.push(event);
             }
-            if !self.nodes[n].up && !matches!(event, Event::Ask { .. }) {
+            if !self.nodes[n].up && !matches!(event, Event::Submit { .. }) {
                 return;
             }
         }
@@ -289,51 +299,52 @@
             Event::Deliver(n, from, message) => {
                 let now = self.clock(n);
                 let read = Message::from_bytes(&message.to_bytes()).expect("readable");
-                self.nodes[n].works.receive(now, unix, &from, read);
-                self.act(n);
+                self.nodes[n].takeover.receive(now, unix, &from, read);
+                self.carry_out(n);
             }
             Event::Wake(n) => {
                 let now = self.clock(n);
                 self.nodes[n].wakes = None;
-                self.nodes[n].works.tick(now, unix);
-                self.act(n);
+                self.nodes[n].takeover.tick(now, unix);
+                self.carry_out(n);
             }
             Event::Configure(n, epoch) => {
                 let now = self.clock(n);
                 for config in self.configs.clone().into_iter().filter(|c| c.epoch() <= epoch) {
-                    self.nodes[n].works.configure(now, config);
+                    self.nodes[n].takeover.configure(now, config);
                 }
-                self.act(n);
+                self.carry_out(n);
             }
-            Event::Ask { node, client } => {
+            Event::Submit { node, client } => {
                 let n =
                     (0..self.nodes.len()).map(|i| (node + i) % self.nodes.len()).find(|n| self.nodes[*n].up);
                 let Some(n) = n else { return };
                 let now = self.clock(n);
                 let c = &mut self.clients[client];
-                (c.at, c.asked) = (n, true);
+                c.at = n;
+                c.submitted = true;
                 let request = SubmitRequest {
                     id: Rc::clone(&c.id),
                     class: c.class,
-                    payload: Rc::clone(&c.text),
-                    deadline_unix_ms: c.ends,
+                    payload: Rc::clone(&c.payload),
+                    deadline_unix_ms: c.deadline_unix_ms,
                     shards: [1, 2].into(),
                 };
-                self.nodes[n].works.submit(now, unix, client as ClientToken, request);
-                self.act(n);
+                self.nodes[n].takeover.submit(now, unix, client as ClientToken, request);
+                self.carry_out(n);
             }
-            Event::Ran { node, life, key, shard, how } => {
-                if self.nodes[node].id.incarnation == life {
-                    self.ran(node, key, shard, how);
-                    self.act(node);
+            Event::AttemptFinished { node, incarnation, key, shard, result } => {
+                if self.nodes[node].id.incarnation == incarnation {
+                    self.attempt_finished(node, key, shard, result);
+                    self.carry_out(node);
                 }
             }
             Event::Cut(a, b, cut) => self.cut[a][b] = cut && a != b,
-            Event::Stop(n, span) => {
+            Event::Pause(n, span) => {
                 self.nodes[n].stopped = true;
-                self.later(span, Event::Continue(n));
+                self.schedule(span, Event::Resume(n));
             }
-            Event::Continue(n) => {
+            Event::Resume(n) => {
                 self.nodes[n].stopped = false;
                 let mut late = std::mem::take(&mut self.nodes[n].late);
                 // What came meanwhile and the own timers, in either order.
@@ -344,17 +355,17 @@
             }
             Event::Kill(n, back) => self.kill(n, back),
             Event::Restart(n) => {
-                let life = self.nodes[n].id.incarnation + 1;
-                self.nodes[n] = self.node(n, life);
+                let incarnation = self.nodes[n].id.incarnation + 1;
+                self.nodes[n] = self.node(n, incarnation);
                 let epoch = self.configs.last().map_or(0, Configuration::epoch);
                 self.event(Event::Configure(n, epoch));
             }
-            Event::Change => {
+            Event::Reconfigure => {
                 let config = self.config(2, self.plan.members);
                 self.configs.push(config);
                 for n in 0..self.nodes.len() {
                     let after = self.below(400 * MS);
-                    self.later(after, Event::Configure(n, 2));
+                    self.schedule(after, Event::Configure(n, 2));
                 }
             }
         }
@@ -368,23 +379,23 @@
         let empty = self.node(n, 0);
         let id = self.nodes[n].id.clone();
         let old = std::mem::replace(&mut self.nodes[n], Node { id: id.clone(), up: false, ..empty });
-        self.graves.push((id, old.works));
-        // Its clients ask elsewhere, under the same id.
+        self.dead.push((id, old.takeover));
+        // Its clients submit elsewhere, under the same id.
         for client in 0..self.clients.len() {
             let c = &self.clients[client];
-            if c.asked && c.at == n && c.replies.is_empty() {
+            if c.submitted && c.at == n && c.replies.is_empty() {
                 let (node, after) = (self.below(self.nodes.len() as u64) as usize, 1 + self.below(20 * MS));
-                self.later(after, Event::Ask { node, client });
+                self.schedule(after, Event::Submit { node, client });
             }
         }
         for at in 0..self.nodes.len() {
             if self.nodes[at].up && self.chance(500) {
                 let (now, id) = (self.clock(at), self.nodes[n].id.clone());
-                self.nodes[at].works.record_gossip(now, &id, false);
+                self.nodes[at].takeover.record_gossip(now, &id, false);
             }
         }
         if let Some(after) = back {
-            self.later(after, Event::Restart(n));
+            self.schedule(after, Event::Restart(n));
         }
     }
 }
--- a/tests/fleet_work/sim/acts.rs
+++ b/tests/takeover_protocol/sim/actions.rs
@@ -1,4 +1,5 @@
-//! What a member's machine wants done: messages on the links, and an executor whose parts run, fail or are lost.
+//! What a member's machine wants done: messages on the links, and an executor whose parts run, fail or are
+//! lost.
 use std::rc::Rc;
 
 use marlgap::cluster::takeover::message::Body;
@@ -6,21 +7,21 @@
 use marlgap::cluster::MemberId;
 use rand_core::RngCore;
 
-use super::{Event, How, Run, World, MS};
+use super::{AttemptResult, Event, Run, Simulation, MS};
 
-impl World {
+impl Simulation {
     /// Does what a member's machine wants done, and what its executor makes of that.
-    pub(super) fn act(&mut self, n: usize) {
+    pub(super) fn carry_out(&mut self, n: usize) {
         loop {
-            let acts = self.nodes[n].works.take_actions();
-            if acts.is_empty() {
+            let actions = self.nodes[n].takeover.take_actions();
+            if actions.is_empty() {
                 break;
             }
-            for act in acts {
-                match act {
-                    Action::Send { to, message } => self.post(n, to, message),
+            for action in actions {
+                match action {
+                    Action::Send { to, message } => self.send(n, to, message),
                     Action::Start { key, record, takeover } => {
-                        self.begun(n, &record.id);
+                        self.check_started(n, &record.id);
                         let next = |p: &Part| {
                             let first = if takeover { p.granted as u8 } else { 0 };
                             (p.shard, p.value.is_none().then_some(first))
@@ -45,39 +46,40 @@
                     }
                     Action::Answer { token, reply } => {
                         let client = token as usize;
-                        self.answered(client, &reply);
+                        self.check_answer(client, &reply);
                         self.clients[client].replies.push(reply);
                     }
                 }
             }
         }
-        if let Some(due) = self.nodes[n].works.next_due() {
+        if let Some(due) = self.nodes[n].takeover.next_due() {
             let after = (due.saturating_sub(self.clock(n)) as f64 / self.nodes[n].rate).ceil() as u64 + 1;
             if self.nodes[n].wakes.is_none_or(|at| at > self.now + after) {
                 self.nodes[n].wakes = Some(self.now + after);
-                self.later(after, Event::Wake(n));
+                self.schedule(after, Event::Wake(n));
             }
         }
     }
 
-    fn post(&mut self, n: usize, to: MemberId, message: Message) {
+    fn send(&mut self, n: usize, to: MemberId, message: Message) {
         self.messages += 1;
         if let Some(Body::Decided(d)) = &message.body {
-            self.told(n, d.epoch, &d.id);
+            self.check_decided(n, d.epoch, &d.id);
         }
         let Some(at) = self.nodes.iter().position(|m| m.id.name == to.name) else { return };
-        // Connections go to a name; who is another life by now gets it too, unless it is known by its hello.
+        // Connections go to a name; who is another incarnation by now gets it too, unless it is known by its
+        // hello.
         if self.cut[n][at]
             || self.checks.incarnation && self.nodes[at].id != to
-            || self.chance(self.plan.loss)
+            || self.chance(self.plan.loss_permille)
         {
             return;
         }
         let (from, message) = (self.nodes[n].id.clone(), Rc::new(message));
         for _ in 0..1 + u64::from(self.chance(20)) {
-            let slow = self.chance(self.plan.slow);
+            let slow = self.chance(self.plan.slow_permille);
             let delay = 100 + self.below(if slow { 700 * MS } else { 2 * MS });
-            self.later(delay, Event::Deliver(at, from.clone(), Rc::clone(&message)));
+            self.schedule(delay, Event::Deliver(at, from.clone(), Rc::clone(&message)));
         }
     }
 
@@ -85,18 +87,18 @@
         let now = self.clock(n);
         let Some(run) = self.nodes[n].runs.get(&key) else { return };
         let Some(Some(attempt)) = run.next.get(&shard).copied() else { return };
-        let (record, life) = (Rc::clone(&run.record), self.nodes[n].id.incarnation);
-        match self.nodes[n].works.may_send(now, key, 0, shard, attempt) {
+        let (record, incarnation) = (Rc::clone(&run.record), self.nodes[n].id.incarnation);
+        match self.nodes[n].takeover.may_send(now, key, 0, shard, attempt) {
             SendDecision::Now => {
-                let how = match self.below(if self.plan.plain { 70 } else { 100 }) {
-                    0..=69 => How::Value,
-                    70..=84 => How::NeverRan,
-                    _ => How::Lost,
+                let result = match self.below(if self.plan.faultless { 70 } else { 100 }) {
+                    0..=69 => AttemptResult::Value,
+                    70..=84 => AttemptResult::NeverRan,
+                    _ => AttemptResult::Lost,
                 };
-                self.sent(n, &record, shard, !matches!(how, How::NeverRan));
+                self.check_sent(n, &record, shard, !matches!(result, AttemptResult::NeverRan));
                 // Waiting for the answer: nothing is made twice meanwhile.
                 let after = MS + self.below(150 * MS);
-                self.later(after, Event::Ran { node: n, life, key, shard, how });
+                self.schedule(after, Event::AttemptFinished { node: n, incarnation, key, shard, result });
             }
             SendDecision::AwaitGrant => {}
             SendDecision::Never => {
@@ -107,20 +109,26 @@
         }
     }
 
-    pub(super) fn ran(&mut self, n: usize, key: ExecutionKey, shard: u32, how: How) {
+    pub(super) fn attempt_finished(
+        &mut self,
+        n: usize,
+        key: ExecutionKey,
+        shard: u32,
+        result: AttemptResult,
+    ) {
         let now = self.clock(n);
         let Some(run) = self.nodes[n].runs.get_mut(&key) else { return };
         let Some(next) = run.next.get_mut(&shard) else { return };
-        match how {
-            How::Value => {
+        match result {
+            AttemptResult::Value => {
                 (*next, run.values) = (None, run.values + 1);
-                self.nodes[n].works.record_value(now, key, 0, shard, b"v".as_slice().into(), 1.0);
+                self.nodes[n].takeover.record_value(now, key, 0, shard, b"v".as_slice().into(), 1.0);
             }
-            How::NeverRan => {
+            AttemptResult::NeverRan => {
                 *next = next.map(|a| a + 1);
-                self.nodes[n].works.record_cleared(now, key, 0, shard);
+                self.nodes[n].takeover.record_cleared(now, key, 0, shard);
             }
-            How::Lost => *next = next.map(|a| a + 1),
+            AttemptResult::Lost => *next = next.map(|a| a + 1),
         }
         self.attempt(n, key, shard);
         self.finish(n, key);
@@ -133,7 +141,7 @@
             run.done = true;
             // No two runs end alike, so two outcomes of one id show.
             let outcome = [&run.record.payload[..], b"|", &nonce.to_be_bytes()].concat();
-            self.nodes[n].works.finish(now, key, outcome.into());
+            self.nodes[n].takeover.finish(now, key, outcome.into());
         }
     }
 }
