--- a/tests/takeover_protocol/sim/actions.rs
+++ b/tests/takeover_protocol/sim/actions.rs
@@ -1,16 +1,16 @@
-//! What a member's machine wants done: messages on the links, and an executor whose parts run, fail or are
-//! lost.
+//! Carries out a member's actions: messages on the links, and an executor whose parts run, fail or are lost.
+use std::collections::BTreeMap;
 use std::rc::Rc;
 
 use marlgap::cluster::takeover::message::Body;
-use marlgap::cluster::takeover::{Action, ExecutionKey, Message, Part, SendDecision};
+use marlgap::cluster::takeover::{Action, ExecutionKey, Message, Part, Record, SendDecision};
 use marlgap::cluster::MemberId;
 use rand_core::RngCore;
 
 use super::{AttemptResult, Event, Run, Simulation, MS};
 
 impl Simulation {
-    /// Does what a member's machine wants done, and what its executor makes of that.
+    /// Carries out a member's actions, those that its executor's calls bring too, and sets its timer.
     pub(super) fn carry_out(&mut self, n: usize) {
         loop {
             let actions = self.nodes[n].takeover.take_actions();
@@ -20,23 +20,7 @@
             for action in actions {
                 match action {
                     Action::Send { to, message } => self.send(n, to, message),
-                    Action::Start { key, record, takeover } => {
-                        self.check_started(n, &record.id);
-                        let next = |p: &Part| {
-                            let first = if takeover { p.granted as u8 } else { 0 };
-                            (p.shard, p.value.is_none().then_some(first))
-                        };
-                        let run = Run {
-                            next: record.parts.iter().map(next).collect(),
-                            record,
-                            values: 0,
-                            done: false,
-                        };
-                        let shards: Vec<u32> = run.next.keys().copied().collect();
-                        self.nodes[n].runs.insert(key, run);
-                        shards.into_iter().for_each(|s| self.attempt(n, key, s));
-                        self.finish(n, key);
-                    }
+                    Action::Start { key, record, takeover } => self.start(n, key, record, takeover),
                     Action::Granted { key, shard, .. } => {
                         self.attempt(n, key, shard);
                         self.finish(n, key);
@@ -61,6 +45,19 @@
         }
     }
 
+    fn start(&mut self, n: usize, key: ExecutionKey, record: Rc<Record>, takeover: bool) {
+        self.check_started(n, &record.id);
+        let next = |p: &Part| {
+            let first = if takeover { p.granted as u8 } else { 0 };
+            (p.shard, p.value.is_none().then_some(first))
+        };
+        let next: BTreeMap<u32, Option<u8>> = record.parts.iter().map(next).collect();
+        let shards: Vec<u32> = next.keys().copied().collect();
+        self.nodes[n].runs.insert(key, Run { record, next, values: 0, done: false });
+        shards.into_iter().for_each(|shard| self.attempt(n, key, shard));
+        self.finish(n, key);
+    }
+
     fn send(&mut self, n: usize, to: MemberId, message: Message) {
         self.messages += 1;
         if let Some(Body::Decided(d)) = &message.body {
