--- a/benches/fleet.rs
+++ b/benches/fleet.rs
@@ -24,11 +24,11 @@
 
 use std::time::{Duration, Instant};
 
-use checker::Broken;
+use checker::Violation;
 use client::{fields, once};
 use cluster::{Cluster, Setup};
-use history::{Ask, What};
-use servers::Does;
+use history::{Ask, EventKind};
+use servers::ServerAction;
 
 const ROUNDS: usize = 5;
 const SPAN: Duration = Duration::from_millis(1000);
@@ -84,9 +84,9 @@
 fn cost(members: usize, rounds: usize, serve: Duration) {
     let start = |on: bool| {
         let name = format!("bench-{members}-{on}-{}", serve.as_millis());
-        let cluster = Cluster::with(&name, &ZONES[..members], setup(on));
+        let cluster = Cluster::start_with(&name, &ZONES[..members], setup(on));
         if !serve.is_zero() {
-            cluster.servers.script(move |_| Does::Late(serve));
+            cluster.servers.script(move |_| ServerAction::Late(serve));
         }
         cluster
     };
@@ -128,13 +128,13 @@
     once_asked: usize,
     once_answered: usize,
     once_ended: usize,
-    broken: Vec<Broken>,
+    broken: Vec<Violation>,
 }
 
 /// One of three killed, some milliseconds after eight queries were asked that it owns; its own clients ask the others.
 fn kill(n: usize, all: &mut Killed) {
-    let mut cluster = Cluster::with(&format!("bench-kill-{}", n % 4), &ZONES[..3], setup(true));
-    cluster.servers.script(|_| Does::Late(Duration::from_millis(25)));
+    let mut cluster = Cluster::start_with(&format!("bench-kill-{}", n % 4), &ZONES[..3], setup(true));
+    cluster.servers.script(|_| ServerAction::Late(Duration::from_millis(25)));
     let ask = |i: usize| {
         let id = cluster.id(0, i);
         Ask { wait_ms: LEFT_MS, ..if i < 6 { fields(&id) } else { once(&id) } }
@@ -143,7 +143,7 @@
     let first: Vec<_> = asks.iter().enumerate().map(|(i, a)| cluster.ask(i % 3, a)).collect();
     std::thread::sleep(Duration::from_millis(n as u64 % 60));
     cluster.kill(0);
-    let killed = cluster.history.wait(0, "the kill", |w| *w == What::Killed { member: 0 });
+    let killed = cluster.history.wait(0, "the kill", |w| *w == EventKind::Killed { member: 0 });
     for (i, (ask, client)) in asks.iter().zip(first).enumerate() {
         let mut end = client.end_at();
         if end.1.is_none() {
@@ -194,7 +194,7 @@
         "with {LEFT_MS} ms left, parts that may repeat: {:.3} of {} answered; that must not: {} of {} answered, {} ended honestly",
         all.answered as f64 / all.asked.max(1) as f64, all.asked, all.once_answered, all.once_asked, all.once_ended
     );
-    let twice = |b: &&Broken| matches!(b, Broken::TwoOutcomes { .. } | Broken::RanTwice { .. });
+    let twice = |b: &&Violation| matches!(b, Violation::TwoOutcomes { .. } | Violation::RanTwice { .. });
     println!(
         "twice answered or run: {}; rules broken: {:?}",
         all.broken.iter().filter(twice).count(),
--- a/tests/cluster_processes/checker.rs
+++ b/tests/cluster_processes/checker.rs
@@ -3,20 +3,20 @@
 
 use serde_json::Value;
 
-use crate::history::{Ask, Event, What};
+use crate::history::{Ask, Event, EventKind};
 
 /// An index whose parts must not run twice.
 pub const ONCE: &str = "overlaps";
 /// Nothing goes to a server later than this after its drain, in microseconds.
-const DRAIN: u64 = 250_000;
+const DRAIN_GRACE_US: u64 = 250_000;
 /// Attempts of a part in all, over all members.
-const MOST_TRIES: usize = 4;
-/// What an answer may take on its way beyond the client's end, in microseconds: guards against the machine's own
-/// hiccups being counted.
-const SLACK: u64 = 700_000;
+const MAX_ATTEMPTS: usize = 4;
+/// What an answer may take on its way beyond the client's end, in microseconds, so that the machine's own
+/// pauses are not counted.
+const DEADLINE_SLACK_US: u64 = 700_000;
 
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Broken {
+pub enum Violation {
     /// Two answers under one id that are not the same.
     TwoOutcomes {
         id: String,
@@ -26,15 +26,15 @@
         id: String,
         shard: u32,
     },
-    TooManyTries {
+    TooManyAttempts {
         id: String,
         shard: u32,
     },
     /// Marked whole, or counting parts as in, without what the servers hold.
-    NotWhole {
+    Incomplete {
         id: String,
     },
-    AfterDrain {
+    SentAfterDrain {
         server: usize,
     },
     /// A client that stayed was not answered in time.
@@ -46,7 +46,7 @@
         id: String,
     },
     /// A refusal that does not say when to come back, or an answer of no known kind.
-    Dishonest {
+    InvalidStatus {
         client: usize,
         status: u16,
     },
@@ -57,7 +57,7 @@
     format!("h{shard}")
 }
 
-pub fn check(events: &[Event]) -> Vec<Broken> {
+pub fn check(events: &[Event]) -> Vec<Violation> {
     let mut broken = BTreeSet::new();
     outcomes(events, &mut broken);
     attempts(events, &mut broken);
@@ -70,7 +70,7 @@
 fn asks(events: &[Event]) -> BTreeMap<usize, (u64, usize, &Ask)> {
     let mut all = BTreeMap::new();
     for event in events {
-        if let What::Asked { client, member, ask } = &event.what {
+        if let EventKind::Asked { client, member, ask } = &event.what {
             all.insert(*client, (event.at, *member, ask));
         }
     }
@@ -82,24 +82,24 @@
     !matches!(status, 409 | 429 | 504)
 }
 
-fn outcomes(events: &[Event], broken: &mut BTreeSet<Broken>) {
+fn outcomes(events: &[Event], broken: &mut BTreeSet<Violation>) {
     let asks = asks(events);
     let mut first: BTreeMap<&str, (u16, &str, &Ask)> = BTreeMap::new();
     for event in events {
-        let What::Answered { client, status, body, retry_after } = &event.what else { continue };
+        let EventKind::Answered { client, status, body, retry_after } = &event.what else { continue };
         let Some((_, _, ask)) = asks.get(client) else { continue };
         if !matches!(status, 200 | 409 | 429 | 503 | 504) || (*status == 429 && !retry_after) {
-            broken.insert(Broken::Dishonest { client: *client, status: *status });
+            broken.insert(Violation::InvalidStatus { client: *client, status: *status });
         }
         if !decides(*status) {
             continue;
         }
         let held = first.entry(&ask.id).or_insert((*status, body, ask));
         if (held.0, held.1) != (*status, body) || !ask.same(held.2) {
-            broken.insert(Broken::TwoOutcomes { id: ask.id.clone() });
+            broken.insert(Violation::TwoOutcomes { id: ask.id.clone() });
         }
         if *status == 200 && !whole(ask, body) {
-            broken.insert(Broken::NotWhole { id: ask.id.clone() });
+            broken.insert(Violation::Incomplete { id: ask.id.clone() });
         }
     }
 }
@@ -119,64 +119,66 @@
     counted && got.len() == hits.len() && got.iter().all(|id| wanted.contains(*id)) && (complete || !claimed)
 }
 
-fn attempts(events: &[Event], broken: &mut BTreeSet<Broken>) {
+fn attempts(events: &[Event], broken: &mut BTreeSet<Violation>) {
     let once: BTreeSet<&str> =
         asks(events).values().filter(|(.., a)| a.index == ONCE).map(|(.., a)| &a.id[..]).collect();
     let mut tries: BTreeMap<(&str, u32, bool), (usize, usize)> = BTreeMap::new();
     for event in events {
-        let What::Part { id, shard, second, ran, .. } = &event.what else { continue };
+        let EventKind::Part { id, shard, second, ran, .. } = &event.what else { continue };
         let (sent, runs) = tries.entry((id, *shard, *second)).or_default();
         *sent += 1;
         *runs += usize::from(*ran);
-        if *sent > MOST_TRIES {
-            broken.insert(Broken::TooManyTries { id: id.clone(), shard: *shard });
+        if *sent > MAX_ATTEMPTS {
+            broken.insert(Violation::TooManyAttempts { id: id.clone(), shard: *shard });
         }
         if *runs > 1 && once.contains(&id[..]) {
-            broken.insert(Broken::RanTwice { id: id.clone(), shard: *shard });
+            broken.insert(Violation::RanTwice { id: id.clone(), shard: *shard });
         }
     }
 }
 
-fn drains(events: &[Event], broken: &mut BTreeSet<Broken>) {
+fn drains(events: &[Event], broken: &mut BTreeSet<Violation>) {
     let mut since: BTreeMap<usize, u64> = BTreeMap::new();
     for event in events {
         match &event.what {
-            What::Drained { server } => drop(since.entry(*server).or_insert(event.at)),
-            What::Back { server } => drop(since.remove(server)),
-            What::Part { server, .. } if since.get(server).is_some_and(|t| event.at > t + DRAIN) => {
-                broken.insert(Broken::AfterDrain { server: *server });
+            EventKind::Drained { server } => drop(since.entry(*server).or_insert(event.at)),
+            EventKind::Back { server } => drop(since.remove(server)),
+            EventKind::Part { server, .. }
+                if since.get(server).is_some_and(|t| event.at > t + DRAIN_GRACE_US) =>
+            {
+                broken.insert(Violation::SentAfterDrain { server: *server });
             }
             _ => {}
         }
     }
 }
 
-fn answers(events: &[Event], broken: &mut BTreeSet<Broken>) {
+fn answers(events: &[Event], broken: &mut BTreeSet<Violation>) {
     let mut served: BTreeMap<&str, bool> = BTreeMap::new();
     let lost = |events: &[Event], member: usize, by: u64| {
-        events.iter().any(|e| e.what == What::Killed { member } && e.at <= by)
+        events.iter().any(|e| e.what == EventKind::Killed { member } && e.at <= by)
     };
     for (client, (at, member, ask)) in asks(events) {
         let end = events.iter().find_map(|e| match &e.what {
-            What::Answered { client: c, .. } if *c == client => Some((e.at, true, false)),
-            What::Left { client: c, own } if *c == client => Some((e.at, false, *own)),
+            EventKind::Answered { client: c, .. } if *c == client => Some((e.at, true, false)),
+            EventKind::Left { client: c, own } if *c == client => Some((e.at, false, *own)),
             _ => None,
         });
-        let latest = at + ask.wait_ms * 1000 + SLACK;
+        let latest = at + ask.wait_ms * 1000 + DEADLINE_SLACK_US;
         let stayed = end.is_none_or(|(_, answered, own)| answered || !own);
         match end {
             Some((at, true, _)) if at <= latest => *served.entry(&ask.id).or_default() |= true,
             Some((_, false, true)) => {}
             // Broken by the loss of the member: it counts for the id, since it may ask elsewhere.
             Some((at, false, false)) if lost(events, member, at) => {}
-            _ => drop(broken.insert(Broken::Unanswered { client })),
+            _ => drop(broken.insert(Violation::Unanswered { client })),
         }
         if stayed {
             served.entry(&ask.id).or_default();
         }
     }
     for (id, _) in served.iter().filter(|(_, served)| !**served) {
-        broken.insert(Broken::Lost { id: (*id).to_owned() });
+        broken.insert(Violation::Lost { id: (*id).to_owned() });
     }
 }
 
@@ -194,25 +196,25 @@
         serde_json::json!({"timed_out": false, "_shards": shards, "hits": {"hits": hits}}).to_string()
     }
 
-    fn asked(client: usize, index: &'static str) -> What {
-        What::Asked { client, member: 0, ask: ask("q", index) }
+    fn asked(client: usize, index: &'static str) -> EventKind {
+        EventKind::Asked { client, member: 0, ask: ask("q", index) }
     }
 
-    fn answered(client: usize, status: u16, body: String) -> What {
-        What::Answered { client, status, retry_after: false, body }
+    fn answered(client: usize, status: u16, body: String) -> EventKind {
+        EventKind::Answered { client, status, retry_after: false, body }
     }
 
-    fn part(shard: u32, server: usize, ran: bool) -> What {
-        What::Part { id: "q".into(), shard, second: false, server, from: 0, ran }
+    fn part(shard: u32, server: usize, ran: bool) -> EventKind {
+        EventKind::Part { id: "q".into(), shard, second: false, server, from: 0, ran }
     }
 
     /// Events 100 ms apart.
-    fn run(all: Vec<What>) -> Vec<Broken> {
+    fn run(all: Vec<EventKind>) -> Vec<Violation> {
         let event = |(n, what)| Event { at: n as u64 * 100_000, what };
         check(&all.into_iter().enumerate().map(event).collect::<Vec<_>>())
     }
 
-    fn good() -> Vec<What> {
+    fn good() -> Vec<EventKind> {
         let whole = || body(&["h0", "h1"], 0);
         vec![
             asked(0, "fields"),
@@ -232,8 +234,8 @@
         assert_eq!(run(partial), []);
         let moved = vec![
             asked(0, "fields"),
-            What::Killed { member: 0 },
-            What::Left { client: 0, own: false },
+            EventKind::Killed { member: 0 },
+            EventKind::Left { client: 0, own: false },
             asked(1, "fields"),
             answered(1, 504, String::new()),
         ];
@@ -244,48 +246,50 @@
     fn each_rule_that_is_broken_is_found() {
         let (id, once) = (|| "q".to_owned(), || vec![asked(0, ONCE), part(0, 0, true)]);
         let end = || answered(0, 504, String::new());
-        let spoil = |place: usize, with: What| {
+        let spoil = |place: usize, with: EventKind| {
             let mut all = good();
             all[place] = with;
             all
         };
         let two = spoil(6, answered(1, 503, String::new()));
-        assert_eq!(run(two), [Broken::TwoOutcomes { id: id() }]);
+        assert_eq!(run(two), [Violation::TwoOutcomes { id: id() }]);
         let unlike = spoil(6, answered(1, 200, body(&["h1", "h0"], 0)));
-        assert_eq!(run(unlike), [Broken::TwoOutcomes { id: id() }]);
+        assert_eq!(run(unlike), [Violation::TwoOutcomes { id: id() }]);
         let lacking = vec![asked(0, "fields"), answered(0, 200, body(&["h0"], 0))];
-        assert_eq!(run(lacking), [Broken::NotWhole { id: id() }]);
+        assert_eq!(run(lacking), [Violation::Incomplete { id: id() }]);
         let foreign = vec![asked(0, "fields"), answered(0, 200, body(&["h0", "h7"], 0))];
-        assert_eq!(run(foreign), [Broken::NotWhole { id: id() }]);
+        assert_eq!(run(foreign), [Violation::Incomplete { id: id() }]);
         assert_eq!(
             run([once(), vec![part(0, 1, true), end()]].concat()),
-            [Broken::RanTwice { id: id(), shard: 0 }]
+            [Violation::RanTwice { id: id(), shard: 0 }]
         );
         assert_eq!(run([once(), vec![part(0, 1, false), part(1, 1, true), end()]].concat()), []);
         let five = [vec![asked(0, "fields")], vec![part(1, 0, false); 5], vec![end()]].concat();
-        assert_eq!(run(five), [Broken::TooManyTries { id: id(), shard: 1 }]);
-        let drained = |gap: usize, back: Vec<What>| {
-            let drain = What::Drained { server: 1 };
-            let gap = vec![What::Stopped { member: 0 }; gap];
+        assert_eq!(run(five), [Violation::TooManyAttempts { id: id(), shard: 1 }]);
+        let drained = |gap: usize, back: Vec<EventKind>| {
+            let drain = EventKind::Drained { server: 1 };
+            let gap = vec![EventKind::Stopped { member: 0 }; gap];
             run([vec![asked(0, "fields"), drain], gap, back, vec![part(1, 1, true), end()]].concat())
         };
-        assert_eq!(drained(2, Vec::new()), [Broken::AfterDrain { server: 1 }]);
+        assert_eq!(drained(2, Vec::new()), [Violation::SentAfterDrain { server: 1 }]);
         assert_eq!(drained(1, Vec::new()), []);
-        assert_eq!(drained(2, vec![What::Back { server: 1 }]), []);
-        let lost = [Broken::Unanswered { client: 0 }, Broken::Lost { id: id() }];
+        assert_eq!(drained(2, vec![EventKind::Back { server: 1 }]), []);
+        let lost = [Violation::Unanswered { client: 0 }, Violation::Lost { id: id() }];
         assert_eq!(run(vec![asked(0, "fields")]), lost);
-        let late = [vec![asked(0, "fields")], vec![What::Stopped { member: 0 }; 20], vec![end()]].concat();
+        let late =
+            [vec![asked(0, "fields")], vec![EventKind::Stopped { member: 0 }; 20], vec![end()]].concat();
         assert_eq!(run(late), lost);
         let left = |own, member| {
-            run(vec![asked(0, "fields"), What::Killed { member }, What::Left { client: 0, own }])
+            run(vec![asked(0, "fields"), EventKind::Killed { member }, EventKind::Left { client: 0, own }])
         };
         assert_eq!((left(true, 1), left(false, 1)), (vec![], lost.to_vec()));
-        assert_eq!(left(false, 0), [Broken::Lost { id: id() }]);
+        assert_eq!(left(false, 0), [Violation::Lost { id: id() }]);
         let mut other = good();
-        other[1] = What::Asked { client: 1, member: 1, ask: Ask { text: "x".into(), ..ask("q", "fields") } };
-        assert_eq!(run(other), [Broken::TwoOutcomes { id: id() }]);
+        other[1] =
+            EventKind::Asked { client: 1, member: 1, ask: Ask { text: "x".into(), ..ask("q", "fields") } };
+        assert_eq!(run(other), [Violation::TwoOutcomes { id: id() }]);
         let odd = |status| run(vec![asked(0, "fields"), answered(0, status, String::new())]);
-        assert_eq!(odd(429), [Broken::Dishonest { client: 0, status: 429 }]);
-        assert_eq!(odd(500), [Broken::Dishonest { client: 0, status: 500 }]);
+        assert_eq!(odd(429), [Violation::InvalidStatus { client: 0, status: 429 }]);
+        assert_eq!(odd(500), [Violation::InvalidStatus { client: 0, status: 500 }]);
     }
 }
--- a/tests/cluster_processes/client.rs
+++ b/tests/cluster_processes/client.rs
@@ -8,7 +8,7 @@
 use serde_json::json;
 
 use crate::checker::ONCE;
-use crate::history::{Ask, History, What};
+use crate::history::{Ask, EventKind, History};
 use crate::servers::read_http;
 
 /// A client that waits for its answer; dropped, its connection goes.
@@ -21,7 +21,7 @@
 impl Client {
     /// Drop the connection.
     pub fn leave(mut self) {
-        self.history.note(What::Left { client: self.number, own: true });
+        self.history.note(EventKind::Left { client: self.number, own: true });
         drop(self.task.take());
     }
 
@@ -36,10 +36,10 @@
         let at = self.history.wait(
             0,
             "the end of an ask",
-            |w| matches!(w, What::Answered { client, .. } | What::Left { client, .. } if *client == number),
+            |w| matches!(w, EventKind::Answered { client, .. } | EventKind::Left { client, .. } if *client == number),
         );
         let end = match self.history.events().swap_remove(at).what {
-            What::Answered { status, body, .. } => Some((status, body)),
+            EventKind::Answered { status, body, .. } => Some((status, body)),
             _ => None,
         };
         (at, end)
@@ -73,10 +73,10 @@
     read_http(&mut &stream).await
 }
 
-pub fn answered(client: usize, text: &str) -> What {
+pub fn answered(client: usize, text: &str) -> EventKind {
     let (head, body) = text.split_once("\r\n\r\n").expect("a head");
     let retry_after = head.lines().any(|l| l.starts_with("Retry-After: "));
-    What::Answered {
+    EventKind::Answered {
         client,
         status: head[9..12].parse().expect("a status"),
         retry_after,
--- a/tests/cluster_processes/cluster.rs
+++ b/tests/cluster_processes/cluster.rs
@@ -18,7 +18,7 @@
 use crate::checker;
 use crate::client::{answered, exchange, Client};
 use crate::common::{configure, place, records, PATIENCE};
-use crate::history::{Ask, History, What};
+use crate::history::{Ask, EventKind, History};
 use crate::servers::Servers;
 use crate::wires::Wires;
 
@@ -102,10 +102,10 @@
 impl Cluster {
     /// A fleet with a member for each of `zones`, formed and serving.
     pub fn start(test: &str, zones: &[&str]) -> Cluster {
-        Cluster::with(test, zones, Setup { protect: true, direct: false, threads: 1 })
+        Cluster::start_with(test, zones, Setup { protect: true, direct: false, threads: 1 })
     }
 
-    pub fn with(test: &str, zones: &[&str], setup: Setup) -> Cluster {
+    pub fn start_with(test: &str, zones: &[&str], setup: Setup) -> Cluster {
         let history = Arc::new(History::new());
         let executor = Arc::new(Executor::new());
         let (stop, stopped) = async_channel::bounded::<()>(1);
@@ -219,20 +219,20 @@
 
     /// Kill a member; it has ended when this returns.
     pub fn kill(&mut self, n: usize) {
-        self.history.note(What::Killed { member: n });
+        self.history.note(EventKind::Killed { member: n });
         self.wires.target(n, None);
         let mut process = self.processes[n].take().expect("it runs");
         process.child.kill().expect("killed");
         process.child.wait().expect("ended");
     }
 
-    pub fn halt(&self, n: usize) {
+    pub fn pause(&self, n: usize) {
         self.signal(n, "-STOP");
-        self.history.note(What::Stopped { member: n });
+        self.history.note(EventKind::Stopped { member: n });
     }
 
-    pub fn go_on(&self, n: usize) {
-        self.history.note(What::Continued { member: n });
+    pub fn resume(&self, n: usize) {
+        self.history.note(EventKind::Continued { member: n });
         self.signal(n, "-CONT");
     }
 
@@ -255,7 +255,7 @@
             let all: Vec<_> = doors.iter().enumerate().map(|(n, at)| (*at, state(n))).collect();
             records(folder, &all);
         }
-        self.history.note(What::Drained { server });
+        self.history.note(EventKind::Drained { server });
     }
 
     /// The members of the group of an id: its owner first.
@@ -282,7 +282,7 @@
         let number = self.clients.fetch_add(1, Ordering::SeqCst);
         let history = self.history.clone();
         let at = self.search(member);
-        history.note(What::Asked { client: number, member, ask: ask.clone() });
+        history.note(EventKind::Asked { client: number, member, ask: ask.clone() });
         let (asked, noted) = (ask.clone(), history.clone());
         let task = self.executor.spawn(async move {
             // Longer than any honest answer takes.
@@ -292,7 +292,7 @@
             };
             let what = match exchange(at, &asked).or(patience).await {
                 Some(text) => answered(number, &text),
-                None => What::Left { client: number, own: false },
+                None => EventKind::Left { client: number, own: false },
             };
             noted.note(what);
         });
@@ -300,7 +300,7 @@
     }
 
     /// Ask one member after the other until one answers: what a client does whose connection breaks.
-    pub fn insist(&self, members: &[usize], ask: &Ask) -> (u16, String) {
+    pub fn ask_until_answered(&self, members: &[usize], ask: &Ask) -> (u16, String) {
         members.iter().find_map(|m| self.ask(*m, ask).end()).expect("an answer")
     }
 
@@ -308,22 +308,22 @@
     pub fn sent(&self, from: usize, ask: &Ask) {
         for wanted in &ask.parts {
             self.history.wait(0, "a part", |w| {
-                matches!(w, What::Part { id, shard, from: f, .. } if *id == ask.id && shard == wanted && *f == from)
+                matches!(w, EventKind::Part { id, shard, from: f, .. } if *id == ask.id && shard == wanted && *f == from)
             });
         }
     }
 
     /// How many times a part was sent so far.
-    pub fn tries(&self, ask: &Ask, part: u32) -> usize {
+    pub fn attempts(&self, ask: &Ask, part: u32) -> usize {
         self.history
-            .count(0, |w| matches!(w, What::Part { id, shard, .. } if *id == ask.id && *shard == part))
+            .count(0, |w| matches!(w, EventKind::Part { id, shard, .. } if *id == ask.id && *shard == part))
     }
 
-    /// Wait until frames of an ask's owner with the bytes that are watched for as `mark` have reached its guards.
+    /// Wait until frames of an ask's owner with the bytes that are watched for as `mark` have reached its acceptors.
     pub fn carried(&self, group: &[usize], wanted: &str) {
-        for guard in &group[1..] {
-            self.history.wait(0, "a frame to a guard", |w| {
-                matches!(w, What::RequestContext { from, to, mark } if *from == group[0] && to == guard && mark == wanted)
+        for acceptor in &group[1..] {
+            self.history.wait(0, "a frame to an acceptor", |w| {
+                matches!(w, EventKind::Forwarded { from, to, mark } if *from == group[0] && to == acceptor && mark == wanted)
             });
         }
     }
--- a/tests/cluster_processes/cuts.rs
+++ b/tests/cluster_processes/cuts.rs
@@ -1,8 +1,8 @@
 //! Links between members that are cut, slow or unruly.
 use crate::client::{fields, once};
 use crate::cluster::Cluster;
-use crate::history::{Ask, What};
-use crate::servers::Does;
+use crate::history::{Ask, EventKind};
+use crate::servers::ServerAction;
 use crate::wires::Rule;
 
 const FIVE: [&str; 5] = ["a", "b", "c", "d", "e"];
@@ -12,7 +12,7 @@
 /// still be told what was decided.
 fn cut_off(test: &str, hears: bool, cut: impl Fn(&Cluster, usize)) {
     let cluster = Cluster::start(test, &FIVE);
-    cluster.servers.script(|part| if part.from == 0 { Does::Hold } else { Does::Serve });
+    cluster.servers.script(|part| if part.from == 0 { ServerAction::Hold } else { ServerAction::Serve });
     let ask = Ask { wait_ms: 1500, ..fields(&cluster.id(0, 0)) };
     let group = cluster.group(&ask.id);
     let own = cluster.ask(0, &ask);
@@ -27,7 +27,7 @@
     let end = own.end().expect("an answer");
     let refused = [429, 503, 504].contains(&end.0);
     assert!(refused || (hears && end == decided), "{end:?}: nothing is answered without a majority");
-    let sent = |w: &What| matches!(w, What::Part { id, from: 0, .. } if *id == ask.id);
+    let sent = |w: &EventKind| matches!(w, EventKind::Part { id, from: 0, .. } if *id == ask.id);
     assert_eq!(cluster.history.count(from, sent), 0, "nor sent");
     cluster.wires.all(Rule::default());
     assert_eq!(cluster.ask(0, &ask).status(), 200, "healed, it learns what was decided");
@@ -47,7 +47,7 @@
 #[test]
 fn an_owner_that_is_heard_and_does_not_hear() {
     let cluster = Cluster::start("deaf", &FIVE);
-    cluster.servers.script(|part| if part.from == 0 { Does::Hold } else { Does::Serve });
+    cluster.servers.script(|part| if part.from == 0 { ServerAction::Hold } else { ServerAction::Serve });
     let ask = fields(&cluster.id(0, 0));
     let entry = cluster.group(&ask.id)[1];
     let client = cluster.ask(entry, &ask);
@@ -60,12 +60,13 @@
     let mut at = 0;
     // One comes each third of a lease.
     for _ in 0..5 {
-        let swallowed = |w: &What| matches!(w, What::Swallowed { from, to: 0, .. } if *from == entry);
+        let swallowed =
+            |w: &EventKind| matches!(w, EventKind::Swallowed { from, to: 0, .. } if *from == entry);
         at = 1 + cluster.history.wait(at, "an acknowledgement, swallowed", swallowed);
     }
     cluster.servers.release();
     let status = client.status();
-    assert_eq!(status, 200, "it falls silent, so that its guards may take over");
+    assert_eq!(status, 200, "it falls silent, so that its acceptors may take over");
     cluster.wires.all(Rule::default());
     cluster.check();
 }
--- a/tests/cluster_processes/history.rs
+++ b/tests/cluster_processes/history.rs
@@ -25,7 +25,7 @@
 }
 
 #[derive(Clone, Debug, PartialEq)]
-pub enum What {
+pub enum EventKind {
     Asked {
         client: usize,
         member: usize,
@@ -68,7 +68,7 @@
         member: usize,
     },
     /// A frame with the bytes that were watched for has been handed on; or was swallowed by a cut.
-    RequestContext {
+    Forwarded {
         from: usize,
         to: usize,
         mark: String,
@@ -84,7 +84,7 @@
 pub struct Event {
     /// Microseconds since the run began.
     pub at: u64,
-    pub what: What,
+    pub what: EventKind,
 }
 
 pub struct History {
@@ -102,7 +102,7 @@
         self.events.lock().expect("sound")
     }
 
-    pub fn note(&self, what: What) {
+    pub fn note(&self, what: EventKind) {
         let mut events = self.lock();
         // Read under the lock: the order of the events is that of their times.
         let at = self.begun.elapsed().as_micros() as u64;
@@ -119,7 +119,7 @@
     }
 
     /// Wait for an event from the `from`th on that `wanted` picks; gives its place.
-    pub fn wait(&self, from: usize, what: &str, wanted: impl Fn(&What) -> bool) -> usize {
+    pub fn wait(&self, from: usize, what: &str, wanted: impl Fn(&EventKind) -> bool) -> usize {
         let mut events = self.lock();
         let latest = Instant::now() + PATIENCE;
         let mut next = from;
@@ -137,7 +137,7 @@
     }
 
     /// How many events from the `from`th on `wanted` picks.
-    pub fn count(&self, from: usize, wanted: impl Fn(&What) -> bool) -> usize {
+    pub fn count(&self, from: usize, wanted: impl Fn(&EventKind) -> bool) -> usize {
         self.lock().iter().skip(from).filter(|e| wanted(&e.what)).count()
     }
 }
--- a/tests/cluster_processes/losses.rs
+++ b/tests/cluster_processes/losses.rs
@@ -1,8 +1,8 @@
 //! A coordinator is lost, or stopped, at each step of a query that it owns.
 use crate::client::{fields, once};
 use crate::cluster::Cluster;
-use crate::history::{Ask, What};
-use crate::servers::Does;
+use crate::history::{Ask, EventKind};
+use crate::servers::ServerAction;
 use crate::wires::Rule;
 
 const THREE: [&str; 3] = ["a", "b", "c"];
@@ -12,7 +12,7 @@
 /// Its servers hold what member 0 asks for, until they are told to let go.
 fn held(test: &str, zones: &[&str]) -> Cluster {
     let cluster = Cluster::start(test, zones);
-    cluster.servers.script(|part| if part.from == 0 { Does::Hold } else { Does::Serve });
+    cluster.servers.script(|part| if part.from == 0 { ServerAction::Hold } else { ServerAction::Serve });
     cluster
 }
 
@@ -21,20 +21,25 @@
     let mut cluster = Cluster::start("before-record", &THREE);
     let ask = fields(&cluster.id(0, 0));
     let group = cluster.group(&ask.id);
-    for guard in &group[1..] {
-        cluster.wires.watch(0, *guard, &ask.id, "record");
-        cluster.wires.set(0, *guard, CUT);
+    for acceptor in &group[1..] {
+        cluster.wires.watch(0, *acceptor, &ask.id, "record");
+        cluster.wires.set(0, *acceptor, CUT);
     }
     let client = cluster.ask(0, &ask);
-    for guard in &group[1..] {
-        let swallowed = |w: &What| matches!(w, What::Swallowed { from: 0, to, .. } if to == guard);
+    for acceptor in &group[1..] {
+        let swallowed =
+            |w: &EventKind| matches!(w, EventKind::Swallowed { from: 0, to, .. } if to == acceptor);
         cluster.history.wait(0, "the record, swallowed", swallowed);
     }
-    assert_eq!(cluster.tries(&ask, 0) + cluster.tries(&ask, 1), 0, "the record comes before the first part");
+    assert_eq!(
+        cluster.attempts(&ask, 0) + cluster.attempts(&ask, 1),
+        0,
+        "the record comes before the first part"
+    );
     cluster.kill(0);
     assert_eq!(client.end(), None);
-    assert_eq!(cluster.insist(&group[1..], &ask).0, 200);
-    assert_eq!((cluster.tries(&ask, 0), cluster.tries(&ask, 1)), (1, 1));
+    assert_eq!(cluster.ask_until_answered(&group[1..], &ask).0, 200);
+    assert_eq!((cluster.attempts(&ask, 0), cluster.attempts(&ask, 1)), (1, 1));
     cluster.check();
 }
 
@@ -55,19 +60,25 @@
 #[test]
 fn owner_killed_after_a_value_is_in() {
     let mut cluster = Cluster::start("value-in", &THREE);
-    cluster.servers.script(|part| if (part.from, part.shard) == (0, 1) { Does::Hold } else { Does::Serve });
+    cluster.servers.script(|part| {
+        if (part.from, part.shard) == (0, 1) {
+            ServerAction::Hold
+        } else {
+            ServerAction::Serve
+        }
+    });
     let ask = fields(&cluster.id(0, 0));
     let group = cluster.group(&ask.id);
-    for guard in &group[1..] {
-        cluster.wires.watch(0, *guard, "\"_id\":\"h0\"", "value");
+    for acceptor in &group[1..] {
+        cluster.wires.watch(0, *acceptor, "\"_id\":\"h0\"", "value");
     }
     let client = cluster.ask(0, &ask);
     cluster.sent(0, &ask);
     cluster.carried(&group, "value");
     cluster.kill(0);
     assert_eq!(client.end(), None);
-    assert_eq!(cluster.insist(&group[1..], &ask).0, 200);
-    assert_eq!(cluster.tries(&ask, 0), 1, "what was in is not asked for again");
+    assert_eq!(cluster.ask_until_answered(&group[1..], &ask).0, 200);
+    assert_eq!(cluster.attempts(&ask, 0), 1, "what was in is not asked for again");
     cluster.check();
 }
 
@@ -80,8 +91,8 @@
     let client = cluster.ask(entry, &ask);
     cluster.sent(0, &ask);
     cluster.wires.set(0, entry, CUT);
-    for guard in &group[1..] {
-        cluster.wires.watch(0, *guard, "\"successful\":2", "outcome");
+    for acceptor in &group[1..] {
+        cluster.wires.watch(0, *acceptor, "\"successful\":2", "outcome");
     }
     cluster.servers.release();
     cluster.carried(&group, "outcome");
@@ -89,7 +100,7 @@
     let (status, body) = client.end().expect("its connection is to another");
     assert_eq!(status, 200);
     assert_eq!(cluster.ask(group[2], &ask).end(), Some((200, body)));
-    assert_eq!((cluster.tries(&ask, 0), cluster.tries(&ask, 1)), (1, 1), "nothing is asked for again");
+    assert_eq!((cluster.attempts(&ask, 0), cluster.attempts(&ask, 1)), (1, 1), "nothing is asked for again");
     cluster.check();
 }
 
@@ -100,19 +111,19 @@
     let group = cluster.group(&ask.id);
     let (own, other) = (cluster.ask(0, &ask), cluster.ask(group[1], &ask));
     cluster.sent(0, &ask);
-    cluster.halt(0);
+    cluster.pause(0);
     let (status, body) = other.end().expect("an answer");
     assert_eq!(status, 200);
     // What it waited for comes in at the moment that it goes on.
     cluster.servers.release();
     let from = cluster.history.len();
-    cluster.go_on(0);
+    cluster.resume(0);
     if let Some((status, its)) = own.end() {
         assert!((status, &its) == (200, &body) || [429, 504].contains(&status), "{status} {its}");
     }
     let later = fields(&cluster.id(0, 1));
     assert_eq!(cluster.ask(0, &later).status(), 200, "it is back");
-    let sent = |w: &What| matches!(w, What::Part { id, from: 0, .. } if *id == ask.id);
+    let sent = |w: &EventKind| matches!(w, EventKind::Part { id, from: 0, .. } if *id == ask.id);
     assert_eq!(cluster.history.count(from, sent), 0);
     cluster.check();
 }
@@ -128,16 +139,16 @@
     assert_eq!(own.end(), None);
     let status = other.status();
     assert!([503, 504].contains(&status), "{status}: what may have run can't be had");
-    assert_eq!((cluster.tries(&ask, 0), cluster.tries(&ask, 1)), (1, 1));
+    assert_eq!((cluster.attempts(&ask, 0), cluster.attempts(&ask, 1)), (1, 1));
     // Turned away before it began: it may run again, once.
-    cluster.servers.script(|part| if part.server == 0 { Does::Busy } else { Does::Serve });
+    cluster.servers.script(|part| if part.server == 0 { ServerAction::Busy } else { ServerAction::Serve });
     let turned = Ask { parts: vec![0, 1, 2, 3], ..once(&cluster.id(group[1], 0)) };
     assert_eq!(cluster.ask(group[2], &turned).status(), 200);
     cluster.check();
 }
 
 #[test]
-fn guards_lost_one_by_one() {
+fn acceptors_lost_one_by_one() {
     let mut cluster = Cluster::start("guards", &FIVE);
     let group = cluster.group(&cluster.id(0, 0));
     let alike: Vec<Ask> = (0..100).map(|n| fields(&cluster.id(0, n))).collect();
@@ -149,7 +160,7 @@
     let alone = Ask { wait_ms: 800, ..alike[2].clone() };
     let status = cluster.ask(0, &alone).status();
     assert!([429, 503, 504].contains(&status), "{status}: without a majority nothing is promised");
-    assert_eq!(cluster.tries(&alone, 0), 0, "nor run");
+    assert_eq!(cluster.attempts(&alone, 0), 0, "nor run");
     // Two of three left again, for another id.
     let rest: Vec<usize> = (0..5).filter(|n| !group[1..].contains(n)).collect();
     let mut ids = (0..100).map(|n| cluster.id(0, n));
@@ -167,7 +178,7 @@
     cluster.sent(0, &ask);
     cluster.kill(group[1]);
     cluster.restart(group[1], false);
-    // The record stands with the owner and the last guard.
+    // The record stands with the owner and the last acceptor.
     cluster.servers.release();
     assert_eq!(client.status(), 200);
     assert_eq!(cluster.ask(group[1], &ask).status(), 200, "led to those who know");
--- a/tests/cluster_processes/servers.rs
+++ b/tests/cluster_processes/servers.rs
@@ -11,10 +11,10 @@
 use futures_lite::{AsyncReadExt, AsyncWriteExt};
 
 use crate::checker::known;
-use crate::history::{History, What};
+use crate::history::{EventKind, History};
 
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Does {
+pub enum ServerAction {
     Serve,
     /// Served once the gate is opened.
     Hold,
@@ -34,7 +34,7 @@
     pub server: usize,
 }
 
-type Script = Box<dyn Fn(&Part) -> Does + Send>;
+type Script = Box<dyn Fn(&Part) -> ServerAction + Send>;
 
 pub struct Servers {
     history: Arc<History>,
@@ -56,7 +56,7 @@
         let listeners: Vec<Vec<_>> = (0..members).map(|_| (0..count).map(bind).collect()).collect();
         let address = |l: &Async<TcpListener>| l.get_ref().local_addr().expect("bound");
         let doors = listeners.iter().map(|of| of.iter().map(address).collect()).collect();
-        let script = Mutex::new(Box::new(|_: &Part| Does::Serve) as Script);
+        let script = Mutex::new(Box::new(|_: &Part| ServerAction::Serve) as Script);
         let (open, opened) = Default::default();
         let servers = Arc::new(Servers { history, script, open, opened, doors });
         for (from, of) in listeners.into_iter().enumerate() {
@@ -68,7 +68,7 @@
         servers
     }
 
-    pub fn script(&self, script: impl Fn(&Part) -> Does + Send + 'static) {
+    pub fn script(&self, script: impl Fn(&Part) -> ServerAction + Send + 'static) {
         *self.script.lock().expect("sound") = Box::new(script);
     }
 
@@ -116,15 +116,15 @@
     let shard: u32 = shard.parse().ok()?;
     let second = !message.contains("\"_source\":false");
     let does = servers.script.lock().expect("sound")(&Part { id, shard, from, server });
-    let ran = does != Does::Busy;
-    servers.history.note(What::Part { id: id.to_owned(), shard, second, server, from, ran });
+    let ran = does != ServerAction::Busy;
+    servers.history.note(EventKind::Part { id: id.to_owned(), shard, second, server, from, ran });
     match does {
-        Does::Hold => servers.gate().await,
-        Does::Late(by) => drop(Timer::after(by).await),
+        ServerAction::Hold => servers.gate().await,
+        ServerAction::Late(by) => drop(Timer::after(by).await),
         _ => {}
     }
-    let failed = u8::from(does == Does::Fail);
-    let failures = if does == Does::Fail {
+    let failed = u8::from(does == ServerAction::Fail);
+    let failures = if does == ServerAction::Fail {
         r#""failures":[{"shard":0,"reason":{"type":"io_exception","reason":"disk"}}],"#
     } else {
         ""
--- a/tests/cluster_processes/standins.rs
+++ b/tests/cluster_processes/standins.rs
@@ -6,12 +6,12 @@
 
 use async_executor::Executor;
 
-use crate::checker::{self, Broken};
+use crate::checker::{self, Violation};
 use crate::client::{fields, once};
 use crate::cluster::{Cluster, Setup};
 use crate::common::PATIENCE;
-use crate::history::{Ask, History, What};
-use crate::servers::Does;
+use crate::history::{Ask, EventKind, History};
+use crate::servers::ServerAction;
 use crate::wires::{Rule, Wires};
 
 fn frame(kind: u8, text: &str) -> Vec<u8> {
@@ -55,10 +55,10 @@
     wires.watch(0, 1, "plain", "seen");
     send("plain");
     assert_eq!(next(&mut taken).as_deref(), Some("plain"));
-    history.wait(0, "the watched frame", |w| matches!(w, What::RequestContext { from: 0, to: 1, .. }));
+    history.wait(0, "the watched frame", |w| matches!(w, EventKind::Forwarded { from: 0, to: 1, .. }));
     wires.set(0, 1, Rule { swallow: true, ..Rule::default() });
     send("plain too");
-    history.wait(0, "a swallowed frame", |w| matches!(w, What::Swallowed { from: 0, to: 1, .. }));
+    history.wait(0, "a swallowed frame", |w| matches!(w, EventKind::Swallowed { from: 0, to: 1, .. }));
     wires.set(0, 1, Rule { double: true, ..Rule::default() });
     send("twice");
     assert_eq!((next(&mut taken).as_deref(), next(&mut taken).as_deref()), (Some("twice"), Some("twice")));
@@ -90,19 +90,19 @@
 /// Servers, clients and checker before one process without a fleet.
 #[test]
 fn servers_and_clients_note_all_that_one_process_does() {
-    let cluster = Cluster::with("plain", &["a"], Setup { protect: false, direct: false, threads: 1 });
+    let cluster = Cluster::start_with("plain", &["a"], Setup { protect: false, direct: false, threads: 1 });
     cluster.servers.script(|part| match (part.id, part.shard) {
-        ("held", 1) => Does::Hold,
-        ("failed", 1) => Does::Fail,
-        ("late", _) => Does::Late(Duration::from_millis(20)),
-        ("busy", _) => Does::Busy,
-        _ => Does::Serve,
+        ("held", 1) => ServerAction::Hold,
+        ("failed", 1) => ServerAction::Fail,
+        ("late", _) => ServerAction::Late(Duration::from_millis(20)),
+        ("busy", _) => ServerAction::Busy,
+        _ => ServerAction::Serve,
     });
     assert_eq!(cluster.ask(0, &fields("late")).status(), 200);
     assert_eq!(cluster.ask(0, &fields("failed")).status(), 503);
     assert_ne!(cluster.ask(0, &Ask { wait_ms: 300, ..fields("busy") }).status(), 200);
     let held = cluster.ask(0, &fields("held"));
-    let part = |w: &What| matches!(w, What::Part { id, shard: 1, from: 0, .. } if id == "held");
+    let part = |w: &EventKind| matches!(w, EventKind::Part { id, shard: 1, from: 0, .. } if id == "held");
     cluster.history.wait(0, "the held part", part);
     let gone = cluster.ask(0, &fields("held"));
     gone.leave();
@@ -113,7 +113,7 @@
     assert_eq!(cluster.ask(0, &once("again")).status(), 200);
     assert_eq!(cluster.ask(0, &once("again")).status(), 200);
     let broken = checker::check(&cluster.history.events());
-    let twice = |shard| Broken::RanTwice { id: "again".into(), shard };
+    let twice = |shard| Violation::RanTwice { id: "again".into(), shard };
     assert!(broken.contains(&twice(0)) && broken.contains(&twice(1)), "{broken:?}");
 }
 
@@ -121,7 +121,7 @@
 #[test]
 fn a_fleet_forms() {
     let cluster =
-        Cluster::with("forms", &["a", "b", "c"], Setup { protect: false, direct: false, threads: 1 });
+        Cluster::start_with("forms", &["a", "b", "c"], Setup { protect: false, direct: false, threads: 1 });
     assert_eq!(cluster.ask(2, &fields("q")).status(), 200);
     cluster.check();
 }
--- a/tests/cluster_processes/wires.rs
+++ b/tests/cluster_processes/wires.rs
@@ -12,7 +12,7 @@
 use futures_lite::{AsyncReadExt, AsyncWriteExt, FutureExt};
 use prost::Message;
 
-use crate::history::{History, What};
+use crate::history::{EventKind, History};
 
 /// What becomes of the frames of one direction between two members.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
@@ -115,8 +115,8 @@
             if frame.windows(bytes.len()).any(|w| w == bytes) {
                 let mark = mark.clone();
                 self.history.note(match swallowed {
-                    true => What::Swallowed { from, to, mark },
-                    false => What::RequestContext { from, to, mark },
+                    true => EventKind::Swallowed { from, to, mark },
+                    false => EventKind::Forwarded { from, to, mark },
                 });
             }
         }
--- a/tests/golden_wire/work.rs
+++ b/tests/golden_wire/work.rs
@@ -1,4 +1,4 @@
-//! What members say to each other about work in hand: a message of each kind, each field with a value of its own.
+//! The messages of the takeover protocol: one of each kind, each field with a value of its own.
 use bytes::Bytes;
 use marlgap::cluster::takeover::message::{
     Accept, Accepted, Body, Decided, Fence, Fenced, ForwardedSubmit, Prepare, Promised, Rejected, Renew,
@@ -31,7 +31,7 @@
     }
 }
 
-fn asked() -> ForwardedSubmit {
+fn forwarded_submit() -> ForwardedSubmit {
     ForwardedSubmit {
         epoch: 101,
         id: "asked-id".to_owned(),
@@ -43,11 +43,11 @@
     }
 }
 
-fn told(what: SubmitStatus) -> SubmitReply {
+fn submit_reply(status: SubmitStatus) -> SubmitReply {
     SubmitReply {
         epoch: 102,
         id: "told-id".to_owned(),
-        status: what.into(),
+        status: status.into(),
         outcome: Bytes::from_static(b"told outcome"),
         retry_after_s: 1.25,
         redirect_epoch: 99,
@@ -96,19 +96,19 @@
         failed: true,
         opening_id: 0x1112_1314_1516_1718,
     };
-    let seal = Fence { epoch: 109, id: "seal-id".to_owned(), class: 14, remaining_us: 2_500_009 };
-    let sealed = Fenced { epoch: 110, id: "sealed-id".to_owned(), exists: true, at_capacity: true };
-    let sealed_exists = Fenced { epoch: 111, id: "sealed-id".to_owned(), exists: true, at_capacity: false };
-    let sealed_full = Fenced { epoch: 112, id: "sealed-id".to_owned(), exists: false, at_capacity: true };
+    let fence = Fence { epoch: 109, id: "seal-id".to_owned(), class: 14, remaining_us: 2_500_009 };
+    let fenced = Fenced { epoch: 110, id: "sealed-id".to_owned(), exists: true, at_capacity: true };
+    let fenced_exists = Fenced { epoch: 111, id: "sealed-id".to_owned(), exists: true, at_capacity: false };
+    let fenced_full = Fenced { epoch: 112, id: "sealed-id".to_owned(), exists: false, at_capacity: true };
     vec![
-        ("ask", Body::Submit(asked())),
-        ("told_in_hand", Body::SubmitReply(told(SubmitStatus::InProgress))),
-        ("told_outcome", Body::SubmitReply(told(SubmitStatus::Outcome))),
-        ("told_other_text", Body::SubmitReply(told(SubmitStatus::IdConflict))),
-        ("told_refused", Body::SubmitReply(told(SubmitStatus::Rejected))),
-        ("told_unprotected", Body::SubmitReply(told(SubmitStatus::Unprotected))),
-        ("told_failed", Body::SubmitReply(told(SubmitStatus::Failed))),
-        ("told_elsewhere", Body::SubmitReply(told(SubmitStatus::Redirected))),
+        ("ask", Body::Submit(forwarded_submit())),
+        ("told_in_hand", Body::SubmitReply(submit_reply(SubmitStatus::InProgress))),
+        ("told_outcome", Body::SubmitReply(submit_reply(SubmitStatus::Outcome))),
+        ("told_other_text", Body::SubmitReply(submit_reply(SubmitStatus::IdConflict))),
+        ("told_refused", Body::SubmitReply(submit_reply(SubmitStatus::Rejected))),
+        ("told_unprotected", Body::SubmitReply(submit_reply(SubmitStatus::Unprotected))),
+        ("told_failed", Body::SubmitReply(submit_reply(SubmitStatus::Failed))),
+        ("told_elsewhere", Body::SubmitReply(submit_reply(SubmitStatus::Redirected))),
         ("accept", Body::Accept(accept())),
         ("accepted", Body::Accepted(accepted)),
         ("prepare", Body::Prepare(prepare)),
@@ -117,10 +117,10 @@
         ("decided", Body::Decided(decided)),
         ("renew", Body::Renew(Renew { sent_us: 5_000_013 })),
         ("renewed", Body::Renewed(Renew { sent_us: 5_000_014 })),
-        ("seal", Body::Fence(seal)),
-        ("sealed", Body::Fenced(sealed)),
-        ("sealed_exists", Body::Fenced(sealed_exists)),
-        ("sealed_full", Body::Fenced(sealed_full)),
+        ("seal", Body::Fence(fence)),
+        ("sealed", Body::Fenced(fenced)),
+        ("sealed_exists", Body::Fenced(fenced_exists)),
+        ("sealed_full", Body::Fenced(fenced_full)),
     ]
 }
 
@@ -142,7 +142,7 @@
     }
 }
 
-/// Guards members of two builds: what one says, the other must read as meant.
+/// Members of two builds must understand each other.
 #[test]
 fn messages_about_work_are_read_and_written_as_stored() {
     let messages = messages();
