--- a/src/cluster/takeover/api.rs
+++ b/src/cluster/takeover/api.rs
@@ -116,7 +116,7 @@
         /// An earlier owner has begun it.
         takeover: bool,
     },
-    /// More attempts of a part are granted than the executor was last told.
+    /// More attempts of a part are granted than were announced before.
     Granted {
         /// The execution.
         key: ExecutionKey,
--- a/src/cluster/takeover/message.rs
+++ b/src/cluster/takeover/message.rs
@@ -13,7 +13,7 @@
 /// One message. `body` is `None` if a later version sent a kind that is not known here.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct Message {
-    /// What it says.
+    /// The kind and its fields.
     #[prost(oneof = "Body", tags = "1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11, 12")]
     pub body: Option<Body>,
 }
--- a/src/cluster/takeover/proposer.rs
+++ b/src/cluster/takeover/proposer.rs
@@ -110,9 +110,9 @@
         };
         vote.promised = true;
         if let Some(record) = message.record.filter(|record| record.validation_error().is_none()) {
-            let shown = (message.accepted_ballot, message.seq);
+            let accepted = (message.accepted_ballot, message.seq);
             let highest = leader.highest_accepted.as_ref();
-            if highest.is_none_or(|highest| (highest.ballot, highest.seq) < shown) {
+            if highest.is_none_or(|highest| (highest.ballot, highest.seq) < accepted) {
                 let record = Rc::new(record);
                 leader.highest_accepted =
                     Some(slot::Accepted { ballot: message.accepted_ballot, seq: message.seq, record });
--- a/src/config/operator/cluster.rs
+++ b/src/config/operator/cluster.rs
@@ -2,6 +2,7 @@
 //!
 //! The keys of the file are serde's names here and stay. Every error names the path of its key from the
 //! section on.
+#![warn(missing_docs)]
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
--- a/src/net/cluster/accept.rs
+++ b/src/net/cluster/accept.rs
@@ -2,6 +2,7 @@
 //!
 //! Bounds the connections whose hello has not come, and the frames handled in one turn; never writes more
 //! than its hello.
+#![warn(missing_docs)]
 use std::io;
 use std::net::{SocketAddr, TcpListener};
 use std::rc::{Rc, Weak};
--- a/src/net/cluster/driver.rs
+++ b/src/net/cluster/driver.rs
@@ -2,6 +2,7 @@
 //!
 //! Decides nothing itself. Invariant: actions are carried out in the order in which the state machines
 //! returned them, whatever further events carrying them out brings.
+#![warn(missing_docs)]
 mod actions;
 
 use std::cell::{Cell, RefCell};
--- a/src/net/cluster/link.rs
+++ b/src/net/cluster/link.rs
@@ -1,6 +1,7 @@
 //! The connection that this member dials to another one, on which it writes.
 //!
 //! Dials for good, with backoff; never reads more than the peer's hello.
+#![warn(missing_docs)]
 use std::io;
 use std::net::SocketAddr;
 use std::rc::Rc;
--- a/src/net/cluster/outbox.rs
+++ b/src/net/cluster/outbox.rs
@@ -2,6 +2,7 @@
 //!
 //! Never waits for a slow peer: frames that find no place are dropped and counted, since the state machines
 //! send again what is unanswered.
+#![warn(missing_docs)]
 use std::cell::{Cell, RefCell};
 use std::collections::VecDeque;
 
--- a/tests/takeover.rs
+++ b/tests/takeover.rs
@@ -1,4 +1,4 @@
-//! Queries that another coordinator goes on with: attempts spent and values in, in the module and in the core.
+//! Queries that a successor continues: earlier attempts and values, in the balancer and in the coordinator.
 mod common;
 
 use std::cell::{Cell, RefCell};
@@ -9,8 +9,14 @@
 use async_executor::LocalExecutor;
 use common::class;
 use futures_lite::FutureExt;
-use marlgap::balancer::interface::*;
-use marlgap::coordinator::*;
+use marlgap::balancer::interface::{
+    Action, Class, ClassId, Endpoint, EndpointState, EndpointUpdate, Event, Idempotency, LoadReport, Outcome,
+    PartId, QueryId, QueryNumber, ReplicaId, Settings, ShardId, TenantId,
+};
+use marlgap::coordinator::{
+    AttemptGate, AttemptResult, Call, CancellationToken, Coordinator, PendingGrant, PriorProgress,
+    QueryHandle, QueryOutcome, TakeoverProtection, Transport, Value,
+};
 use marlgap::Balancer;
 
 fn settings(class: Class) -> Settings {
@@ -56,15 +62,15 @@
 }
 
 fn failed(part: PartId, attempt: u8, replica: ReplicaId) -> Event {
-    let (over, outcome) = (false, Outcome::Error);
-    Event::Outcome { part, attempt, replica, part_finished: over, outcome, elapsed: 0.1, report: None }
+    let outcome = Outcome::Error;
+    Event::Outcome { part, attempt, replica, part_finished: false, outcome, elapsed: 0.1, report: None }
 }
 
 const REFUSED: Action = Action::Reject { query: QueryId(9), retry_after: None };
 const FAILED: Action = Action::Fail { query: QueryId(9) };
 
 #[test]
-fn attempts_spent_count_among_the_four_and_the_next_one_goes_at_once() {
+fn earlier_attempts_count_among_the_four_and_the_next_one_is_sent_at_once() {
     for spent in 0..=4 {
         let mut balancer = balancer(class());
         let mut actions = enter(&mut balancer, &[(spent, false)]);
@@ -91,7 +97,7 @@
 }
 
 #[test]
-fn values_that_are_in_count_toward_the_answer() {
+fn earlier_values_count_toward_the_answer() {
     let mut balancer = balancer(class());
     let actions = enter(&mut balancer, &[(1, true), (0, false), (0, true)]);
     let [(PartId(101), replica)] = sent(&actions)[..] else { panic!("one part alone is out: {actions:?}") };
@@ -111,7 +117,7 @@
 
 /// A wide query that tries one part first, after a death was seen, has its try behind it with a value in.
 #[test]
-fn a_suspect_query_goes_on_when_a_value_is_in() {
+fn a_suspected_query_of_death_continues_when_a_value_has_arrived() {
     let mut balancer = balancer(class());
     let [(part, replica)] = sent(&enter(&mut balancer, &[(0, false)]))[..] else { panic!("sent") };
     let outcome = Outcome::Reset;
@@ -126,8 +132,8 @@
     };
     balancer.round(1.0, &[reset, Event::ClientDisconnected { query: QueryId(9) }]);
     let parts: Vec<_> = (0..14).map(|n| (0, n == 3)).collect();
-    let begun = sent(&enter(&mut balancer, &parts)).into_iter().map(|(part, _)| part);
-    assert_eq!(begun.collect::<BTreeSet<_>>().len(), 13);
+    let started = sent(&enter(&mut balancer, &parts)).into_iter().map(|(part, _)| part);
+    assert_eq!(started.collect::<BTreeSet<_>>().len(), 13);
 }
 
 /// What happened, in order.
@@ -151,14 +157,12 @@
             return Outcome::NeverSent.into();
         }
         self.notes.borrow_mut().push(format!("sent {}", call.shard.0));
-        match self.serves {
-            true => {
-                let served =
-                    Some((Rc::from(format!("v{}", call.shard.0).as_bytes()), f64::from(call.shard.0)));
-                AttemptResult { outcome: Outcome::Succeeded, served, report: None }
-            }
-            false => Outcome::Error.into(),
+        if !self.serves {
+            return Outcome::Error.into();
         }
+        let value = Rc::from(format!("v{}", call.shard.0).as_bytes());
+        let served = Some((value, f64::from(call.shard.0)));
+        AttemptResult { outcome: Outcome::Succeeded, served, report: None }
     }
     async fn probe(self: Rc<Self>, _: ReplicaId) -> (bool, Option<LoadReport>) {
         (true, None)
@@ -263,7 +267,7 @@
 }
 
 #[test]
-fn a_query_called_off_before_its_grant_is_not_sent_after_it() {
+fn a_query_cancelled_before_its_grant_is_not_sent_after_it() {
     let rig = Rig::new(class(), true);
     rig.gate.open.set(false);
     let taken = rig.take(1, &[]);
@@ -276,7 +280,7 @@
 }
 
 #[test]
-fn a_lost_hold_calls_off_what_waits_for_its_connect() {
+fn a_lost_lease_cancels_what_waits_for_its_connection() {
     let rig = Rig::new(Class { idempotency: Idempotency::NonIdempotent, ..class() }, true);
     rig.stub.connects.set(false);
     let taken = rig.take(1, &[]);
@@ -287,7 +291,7 @@
     rig.stub.wake.notify(usize::MAX);
     rig.settle();
     assert_eq!(rig.noted(), ["asked 0 0 0", "cleared 0 0", "asked 0 0 1"]);
-    // It never ran: with hold and grant again, even a part that must not run twice is sent.
+    // It never ran: with lease and grant again, even a part that must not run twice is sent.
     rig.gate.held.set(true);
     rig.gate.open.set(true);
     rig.gate.wake.notify(usize::MAX);
@@ -307,7 +311,7 @@
 }
 
 #[test]
-fn a_part_that_must_not_run_twice_goes_on_only_from_attempts_that_never_ran() {
+fn a_part_that_must_not_run_twice_continues_only_after_attempts_that_never_ran() {
     let class = Class { idempotency: Idempotency::NonIdempotent, ..class() };
     let rig = Rig::new(class, true);
     let taken = rig.take(1, &[(0, 0, earlier(1, 0, None))]);
