--- a/benches/scale/control/plane/workers.rs
+++ b/benches/scale/control/plane/workers.rs
@@ -1,10 +1,12 @@
-//! Hollow members that hold works for each other: the program's own [`Works`] with its messages and frames, and an
+//! Hollow members that hold works for each other: the program's own [`TakeoverState`] with its messages and frames, and an
 //! executor that never ends, so that the number of works in hand stays as it was set.
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::rc::Rc;
 use std::time::Instant;
 
-use marlgap::cluster::takeover::{Act, Ask, ClassRule, Key, Limits, WhenFull, Works};
+use marlgap::cluster::takeover::{
+    Action, ClassRule, ExecutionKey, Limits, SubmitRequest, TakeoverState, WhenFull,
+};
 use marlgap::cluster::{Configuration, MemberId};
 use marlgap::net::cluster::frames::{self, Frame};
 
@@ -23,7 +25,7 @@
 struct Worker {
     id: MemberId,
     place: Place,
-    works: Option<Works>,
+    works: Option<TakeoverState>,
     traffic: Traffic,
     /// Whom it spoke to.
     peers: BTreeSet<u32>,
@@ -31,7 +33,7 @@
     /// Works begun here.
     owns: u64,
     /// All that it executes, by id.
-    runs: BTreeMap<Rc<str>, Key>,
+    runs: BTreeMap<Rc<str>, ExecutionKey>,
 }
 
 /// What happens to members that hold works.
@@ -70,15 +72,15 @@
         let all = (0..count).map(|i| seat(i).member).collect();
         let config = Configuration::new(1, all).map_err(|e| e.to_string())?;
         let rule = ClassRule {
-            repeats: true,
-            guards: GROUP,
-            slack_ms: 5_000,
-            when_full: WhenFull::Refuse,
-            worth: 1.0,
+            idempotent: true,
+            group_size: GROUP,
+            outcome_retention_ms: 5_000,
+            when_full: WhenFull::Reject,
+            priority_weight: 1.0,
         };
         let worker = |i| {
             let id = seat(i).member.id;
-            let mut works = Works::new(id.clone(), vec![Some(rule.clone())], Limits::default());
+            let mut works = TakeoverState::new(id.clone(), vec![Some(rule.clone())], Limits::default());
             works.configure(1, config.clone());
             let (traffic, peers) = Default::default();
             Worker {
@@ -140,7 +142,7 @@
         let mut holding = BTreeMap::new();
         for member in self.members.iter().filter(|m| of(m.place)) {
             let Some(works) = &member.works else { continue };
-            for (id, _) in member.runs.iter().filter(|(_, key)| works.holds(now, **key)) {
+            for (id, _) in member.runs.iter().filter(|(_, key)| works.holds_lease(now, **key)) {
                 *holding.entry(id.clone()).or_default() += 1;
             }
         }
@@ -159,7 +161,7 @@
         }
         self.members[to].traffic.received.add(bytes.len());
         match frames::parse(bytes, bytes.len()) {
-            Ok(Some((Frame::Work(message), _))) => {
+            Ok(Some((Frame::Takeover(message), _))) => {
                 self.with(to, |works, now, unix| works.receive(now, unix, &id, message));
             }
             other => self.broken = Some(format!("a frame is read as {other:?}")),
@@ -167,14 +169,14 @@
     }
 
     /// Calls a member's machine, carries out what it says, and sets its bell.
-    fn with(&mut self, i: usize, call: impl FnOnce(&mut Works, Micros, u64)) {
+    fn with(&mut self, i: usize, call: impl FnOnce(&mut TakeoverState, Micros, u64)) {
         let now = self.now().max(1);
         let member = &mut self.members[i];
         let Some(works) = &mut member.works else { return };
         let begun = Instant::now();
         call(works, now, UNIX + now / MS);
-        let acts = works.ready();
-        let due = works.due();
+        let acts = works.take_actions();
+        let due = works.next_due();
         member.traffic.took(begun.elapsed());
         if let Some(due) = due.filter(|due| member.wakes.is_none_or(|wakes| *due < wakes)) {
             member.wakes = Some(due);
@@ -183,11 +185,11 @@
         acts.into_iter().for_each(|act| self.act(i, act));
     }
 
-    fn act(&mut self, i: usize, act: Act) {
+    fn act(&mut self, i: usize, act: Action) {
         match act {
-            Act::Send { to, message } => {
+            Action::Send { to, message } => {
                 let Some(to) = self.names.get(&to.name).copied() else { return };
-                let bytes = Frame::Work(message).bytes();
+                let bytes = Frame::Takeover(message).bytes();
                 let member = &mut self.members[i];
                 member.traffic.sent.add(bytes.len());
                 member.peers.insert(to as u32);
@@ -196,7 +198,7 @@
                     self.queue.later(delay, Event::Deliver { from: i, to, bytes });
                 }
             }
-            Act::Start { key, record, takeover } => {
+            Action::Start { key, record, takeover } => {
                 self.members[i].runs.insert(record.id.as_str().into(), key);
                 self.started += u64::from(!takeover);
                 self.members[i].owns += u64::from(!takeover);
@@ -204,7 +206,7 @@
                     self.taken_over.entry(record.id.as_str().into()).or_insert(self.queue.now);
                 }
             }
-            Act::Granted { .. } | Act::Stop { .. } | Act::Answer { .. } => {}
+            Action::Granted { .. } | Action::Stop { .. } | Action::Answer { .. } => {}
         }
     }
 }
@@ -224,12 +226,12 @@
                 self.with(i, |works, now, unix| works.tick(now, unix));
             }
             Event::Ask(i, n) => {
-                let ask = Ask {
+                let ask = SubmitRequest {
                     id: format!("work-{i:04}-{n:04}").as_str().into(),
                     class: 0,
-                    text: vec![b't'; TEXT].into(),
-                    ends: UNIX + 600_000,
-                    parts: [1, 2, 3].into(),
+                    payload: vec![b't'; TEXT].into(),
+                    deadline_unix_ms: UNIX + 600_000,
+                    shards: [1, 2, 3].into(),
                 };
                 self.with(i, |works, now, unix| {
                     works.submit(now, unix, n + 1, ask);
--- /dev/null
+++ b/src/cluster/takeover/submission.rs
@@ -0,0 +1,329 @@
+//! Requests of this member's own clients: forwards each to its group, follows redirects, and answers the
+//! clients.
+use std::hash::Hasher;
+use std::rc::Rc;
+
+use bytes::Bytes;
+
+use super::message::{Body, ForwardedSubmit, SubmitReply, SubmitStatus};
+use super::record::{MAX_ID_BYTES, MAX_PARTS};
+use super::slot::AcceptorSlot;
+use super::{
+    Action, ClientReply, ClientToken, MemberId, Micros, SubmitRequest, TakeoverState, WhenFull, WorkId,
+};
+
+/// Clients of one process that wait for one id.
+const MAX_CLIENTS_PER_ID: usize = 1024;
+
+/// When a rejected client may retry, in seconds: a little over what most queries take.
+const RETRY_AFTER_S: f64 = 0.5;
+
+/// The longest time after which another member may let a client retry, in seconds.
+const MAX_RETRY_AFTER_S: f64 = 60.0;
+
+fn request_fingerprint(class: u32, payload: &[u8]) -> u64 {
+    let mut hasher = fnv::FnvHasher::default();
+    hasher.write_u32(class);
+    hasher.write(payload);
+    hasher.finish()
+}
+
+/// A request that waits for its reply.
+#[derive(Debug)]
+pub struct PendingSubmission {
+    request: SubmitRequest,
+    /// That of the request, for messages.
+    payload: Bytes,
+    clients: Vec<ClientToken>,
+    /// On this member's clock.
+    deadline: Micros,
+    /// The epoch whose group it goes to.
+    epoch: u64,
+    /// The rank in that group that it goes to; may be over the group's size, and counts around it then.
+    rank: usize,
+    /// When that member was first sent it, or last answered.
+    last_progress_at: Micros,
+    /// That member has answered that the work item is in progress.
+    in_progress: bool,
+    next_send_at: Micros,
+}
+
+impl PendingSubmission {
+    /// When it must be sent again or ended.
+    pub(super) fn due_at(&self) -> Micros {
+        self.next_send_at.min(self.deadline)
+    }
+
+    /// Addresses it to a rank of a group that has not answered yet.
+    fn address_to(&mut self, epoch: u64, rank: usize, now: Micros) {
+        self.epoch = epoch;
+        self.rank = rank;
+        self.last_progress_at = now;
+        self.in_progress = false;
+    }
+}
+
+impl TakeoverState {
+    /// A client submits a request. It is answered by one [`Action::Answer`], at its deadline at the latest.
+    ///
+    /// Requests of several clients under one id are one; they must agree in payload and class.
+    pub fn submit(&mut self, now: Micros, unix_ms: u64, token: ClientToken, request: SubmitRequest) {
+        self.now = self.now.max(now);
+        let Some(when_full) = self.rule(request.class.into()).map(|rule| rule.when_full) else {
+            self.counters.unprotected += 1;
+            return self.answer(token, ClientReply::Unprotected);
+        };
+        let remaining = request.deadline_unix_ms.saturating_sub(unix_ms).saturating_mul(1000);
+        if remaining == 0 {
+            return self.answer(token, ClientReply::DeadlineExceeded);
+        }
+        if self.submissions.contains_key(&request.id) {
+            return self.join_submission(token, request, when_full);
+        }
+        let valid = (1..=MAX_ID_BYTES).contains(&request.id.len())
+            && request.payload.len() <= self.limits.max_record_bytes
+            && request.shards.len() <= MAX_PARTS;
+        let has_capacity = self.submissions.len() < self.limits.max_work_items;
+        if !valid || !has_capacity || self.configurations.is_empty() {
+            return self.answer_without_capacity(token, when_full);
+        }
+        let id = Rc::clone(&request.id);
+        let submission = PendingSubmission {
+            payload: Bytes::copy_from_slice(&request.payload),
+            request,
+            clients: vec![token],
+            deadline: self.now.saturating_add(remaining),
+            epoch: self.newest_epoch(),
+            rank: 0,
+            last_progress_at: self.now,
+            in_progress: false,
+            next_send_at: self.now,
+        };
+        self.clients.insert(token, Rc::clone(&id));
+        self.submissions.insert(Rc::clone(&id), submission);
+        self.forward(&id);
+    }
+
+    /// A client submits what another client of this process waits for.
+    fn join_submission(&mut self, token: ClientToken, request: SubmitRequest, when_full: WhenFull) {
+        let Some(submission) = self.submissions.get_mut(&request.id) else { return };
+        let pending = &submission.request;
+        let same = pending.class == request.class && pending.payload == request.payload;
+        if self.checks.id_conflict && !same {
+            self.counters.id_conflicts += 1;
+            return self.answer(token, ClientReply::IdConflict);
+        }
+        if submission.clients.len() >= MAX_CLIENTS_PER_ID {
+            return self.answer_without_capacity(token, when_full);
+        }
+        submission.clients.push(token);
+        self.clients.insert(token, request.id);
+    }
+
+    /// That client has disconnected; its work item continues.
+    pub fn remove_client(&mut self, token: ClientToken) {
+        let Some(id) = self.clients.remove(&token) else { return };
+        if let Some(submission) = self.submissions.get_mut(&id) {
+            submission.clients.retain(|client| *client != token);
+            if submission.clients.is_empty() {
+                self.submissions.remove(&id);
+            }
+        }
+    }
+
+    /// Answers as the class's rule says for want of capacity.
+    fn answer_without_capacity(&mut self, token: ClientToken, when_full: WhenFull) {
+        match when_full {
+            WhenFull::Reject => {
+                self.counters.rejected += 1;
+                self.answer(token, ClientReply::Rejected { retry_after_s: RETRY_AFTER_S });
+            }
+            WhenFull::Unprotected => {
+                self.counters.unprotected += 1;
+                self.answer(token, ClientReply::Unprotected);
+            }
+        }
+    }
+
+    fn answer(&mut self, token: ClientToken, reply: ClientReply) {
+        self.actions.push(Action::Answer { token, reply });
+    }
+
+    /// Sends the request to the member that it is addressed to, or to the next of the group that is not
+    /// suspected to be dead, if there is one.
+    fn forward(&mut self, id: &Rc<str>) {
+        let now = self.now;
+        let interval = self.resend_interval();
+        let Some(submission) = self.submissions.get(id) else { return };
+        let class = u32::from(submission.request.class);
+        let group = self.group(&(submission.epoch, Rc::clone(id)), class);
+        let Some(submission) = self.submissions.get_mut(id) else { return };
+        let wait = if submission.in_progress { 3 * interval } else { interval };
+        submission.next_send_at = now.saturating_add(wait);
+        let Some(group) = group.filter(|group| !group.is_empty()) else { return };
+        let size = group.len();
+        let is_trusted = |rank: &usize| {
+            let member = group.get(*rank % size);
+            member.is_some_and(|member| !self.suspected.contains(member))
+        };
+        let addressed = submission.rank;
+        let rank = (addressed..addressed + size).find(is_trusted).unwrap_or(addressed) % size;
+        if rank != addressed {
+            submission.address_to(submission.epoch, rank, now);
+        }
+        let Some(to) = group.get(rank).cloned() else { return };
+        let message = ForwardedSubmit {
+            epoch: submission.epoch,
+            id: id.to_string(),
+            class,
+            deadline_unix_ms: submission.request.deadline_unix_ms,
+            remaining_us: submission.deadline.saturating_sub(now),
+            payload: submission.payload.clone(),
+            shards: submission.request.shards.to_vec(),
+        };
+        self.send(&to, Body::Submit(message));
+    }
+
+    /// Addresses all requests that are not in progress to the group of a new configuration: from there, what
+    /// is in progress in an earlier one is found.
+    pub(super) fn resubmit_to(&mut self, epoch: u64) {
+        let now = self.now;
+        for submission in self.submissions.values_mut().filter(|s| !s.in_progress) {
+            submission.address_to(epoch, 0, now);
+            submission.next_send_at = now;
+        }
+    }
+
+    /// Sends all requests again at the next tick: those to a suspected member then go to another one.
+    pub(super) fn resend_submissions_soon(&mut self) {
+        let soon = self.now.saturating_add(1);
+        for submission in self.submissions.values_mut() {
+            submission.next_send_at = submission.next_send_at.min(soon);
+        }
+    }
+
+    pub(super) fn tick_submissions(&mut self) {
+        let now = self.now;
+        let due = self.submissions.iter().filter(|(_, submission)| submission.due_at() <= now);
+        let due: Vec<Rc<str>> = due.map(|(id, _)| Rc::clone(id)).collect();
+        for id in due {
+            let Some(submission) = self.submissions.get_mut(&id) else { continue };
+            if submission.deadline <= now {
+                self.resolve(&id, ClientReply::DeadlineExceeded);
+                continue;
+            }
+            // No answer for a lease: the next rank is tried.
+            if now.saturating_sub(submission.last_progress_at) >= self.limits.lease {
+                submission.address_to(submission.epoch, submission.rank + 1, now);
+            }
+            self.forward(&id);
+        }
+    }
+
+    pub(super) fn handle_submit_reply(&mut self, from: MemberId, reply: SubmitReply) {
+        let id: Rc<str> = reply.id.as_str().into();
+        let Some(submission) = self.submissions.get(&id) else { return };
+        let class = u32::from(submission.request.class);
+        let fingerprint = request_fingerprint(class, &submission.payload);
+        let is_ours = fingerprint == reply.request_fingerprint || !self.checks.id_conflict;
+        let group = self.group(&(reply.epoch, Rc::clone(&id)), class);
+        let rank = group.as_ref().and_then(|group| self.rank(group, &from));
+        let status = SubmitStatus::try_from(reply.status);
+        let (Some(group), Some(rank), Ok(status)) = (group, rank, status) else {
+            self.counters.rejected_messages += 1;
+            return;
+        };
+        let is_addressee = reply.epoch == submission.epoch && rank == submission.rank % group.len();
+        match status {
+            SubmitStatus::Outcome | SubmitStatus::Failed if !is_ours => {}
+            SubmitStatus::Outcome => self.resolve(&id, ClientReply::Outcome(reply.outcome.to_vec().into())),
+            SubmitStatus::Failed => self.resolve(&id, ClientReply::DeadlineExceeded),
+            SubmitStatus::IdConflict => self.resolve(&id, ClientReply::IdConflict),
+            SubmitStatus::Rejected => {
+                let retry_after_s = if reply.retry_after_s.is_finite() {
+                    reply.retry_after_s.clamp(0.0, MAX_RETRY_AFTER_S)
+                } else {
+                    RETRY_AFTER_S
+                };
+                self.resolve(&id, ClientReply::Rejected { retry_after_s });
+            }
+            SubmitStatus::Unprotected => self.resolve(&id, ClientReply::Unprotected),
+            SubmitStatus::InProgress if is_addressee => self.note_in_progress(&id),
+            SubmitStatus::Redirected
+                if is_addressee && self.configuration(reply.redirect_epoch).is_some() =>
+            {
+                self.follow_redirect(&id, rank, group.len(), reply.redirect_epoch);
+            }
+            SubmitStatus::InProgress | SubmitStatus::Redirected => {}
+        }
+    }
+
+    fn note_in_progress(&mut self, id: &Rc<str>) {
+        if let Some(submission) = self.submissions.get_mut(id) {
+            submission.last_progress_at = self.now;
+            submission.in_progress = true;
+        }
+    }
+
+    /// The member of that rank has redirected it to another epoch.
+    fn follow_redirect(&mut self, id: &Rc<str>, rank: usize, group_size: usize, redirect_epoch: u64) {
+        let now = self.now;
+        let newest = self.newest_epoch();
+        let Some(submission) = self.submissions.get_mut(id) else { return };
+        if redirect_epoch < submission.epoch {
+            submission.address_to(redirect_epoch, 0, now);
+        } else if rank + 1 < group_size {
+            // It was redirected to this very group: another member of it has it.
+            submission.address_to(submission.epoch, rank + 1, now);
+        } else {
+            submission.address_to(newest, 0, now);
+        }
+        self.forward(id);
+    }
+
+    /// Answers all clients that wait for an id here.
+    fn resolve(&mut self, id: &Rc<str>, reply: ClientReply) {
+        let Some(submission) = self.submissions.remove(id) else { return };
+        for token in submission.clients {
+            self.clients.remove(&token);
+            match reply {
+                ClientReply::Rejected { .. } => self.counters.rejected += 1,
+                ClientReply::Unprotected => self.counters.unprotected += 1,
+                ClientReply::IdConflict => self.counters.id_conflicts += 1,
+                ClientReply::Outcome(_) | ClientReply::DeadlineExceeded => {}
+            }
+            self.answer(token, reply.clone());
+        }
+    }
+
+    /// Answers a forwarded request without an outcome.
+    pub(super) fn send_status(&mut self, to: &MemberId, work: &WorkId, status: SubmitStatus) {
+        self.send_reply(to, work, status, Bytes::new());
+    }
+
+    pub(super) fn send_reply(&mut self, to: &MemberId, work: &WorkId, status: SubmitStatus, outcome: Bytes) {
+        let record = self.slots.get(work).and_then(AcceptorSlot::record);
+        let reply = SubmitReply {
+            epoch: work.0,
+            id: work.1.to_string(),
+            status: status.into(),
+            outcome,
+            retry_after_s: RETRY_AFTER_S,
+            redirect_epoch: work.0,
+            request_fingerprint: record.map_or(0, |r| request_fingerprint(r.class, &r.payload)),
+        };
+        self.send(to, Body::SubmitReply(reply));
+    }
+
+    /// Redirects a forwarded request to the group of another epoch.
+    pub(super) fn redirect(&mut self, to: &MemberId, work: &WorkId, redirect_epoch: u64) {
+        let reply = SubmitReply {
+            epoch: work.0,
+            id: work.1.to_string(),
+            status: SubmitStatus::Redirected.into(),
+            redirect_epoch,
+            ..SubmitReply::default()
+        };
+        self.send(to, Body::SubmitReply(reply));
+    }
+}
--- a/src/net/opensearch/protected.rs
+++ b/src/net/opensearch/protected.rs
@@ -13,10 +13,10 @@
 use super::search::{error, ClusterAccess, PreparedSearch, QueryApiServer};
 use super::servers::SearchProgress;
 use crate::balancer::interface::ShardId;
-use crate::cluster::takeover::{Ask, Key, Part, Record, Reply};
+use crate::cluster::takeover::{ClientReply, ExecutionKey, Part, Record, SubmitRequest};
 use crate::coordinator::{AttemptGate, PendingGrant, PriorProgress, ScoredValue, TakeoverProtection};
 use crate::net::buffer::Buffer;
-use crate::net::cluster::{ClusterNode, Execute, Hold};
+use crate::net::cluster::{ClusterNode, ExecutionHandle, WorkExecutor};
 use crate::net::http::{Message, Response};
 use crate::net::timeout_at;
 
@@ -31,7 +31,7 @@
     pub fn join(self: &Rc<Self>, fleet: Rc<ClusterNode>, executor: &Rc<LocalExecutor<'static>>) {
         let executor = executor.clone();
         if self.joined.set(ClusterAccess { fleet: fleet.clone(), executor }).is_ok() {
-            fleet.executes(self.clone());
+            fleet.set_executor(self.clone());
         }
     }
 
@@ -41,10 +41,10 @@
         message: &Message,
         buffer: &Buffer,
         prepared: &PreparedSearch,
-    ) -> Option<(Rc<ClusterNode>, Ask)> {
+    ) -> Option<(Rc<ClusterNode>, SubmitRequest)> {
         let fleet = &self.joined.get()?.fleet;
         let class = prepared.query.class.0;
-        if !fleet.protects(class) {
+        if !fleet.is_protected(class) {
             return None;
         }
         let id = message.unique_header(buffer, "X-Opaque-Id").ok()??;
@@ -56,35 +56,49 @@
         let ends = fleet.unix_ms().saturating_add(u64::try_from(left).unwrap_or(u64::MAX));
         let text = SearchText { target: &SearchText::untimed(target), body: &body }.encode().into();
         let parts = prepared.parts.iter().map(|s| s.0).collect();
-        Some((fleet.clone(), Ask { id: id.into(), class, text, ends, parts }))
+        Some((
+            fleet.clone(),
+            SubmitRequest { id: id.into(), class, payload: text, deadline_unix_ms: ends, shards: parts },
+        ))
     }
 
     /// The fleet's answer to a search. `None`: it is to be run here, without protection.
-    pub(super) async fn submit(&self, fleet: &ClusterNode, ask: Ask, deadline: Instant) -> Option<Response> {
+    pub(super) async fn submit(
+        &self,
+        fleet: &ClusterNode,
+        ask: SubmitRequest,
+        deadline: Instant,
+    ) -> Option<Response> {
         let latest = deadline.checked_add(FORGOTTEN).unwrap_or(deadline);
-        let reply = timeout_at(latest, fleet.ask(ask)).await.unwrap_or(Reply::Late);
+        let reply = timeout_at(latest, fleet.submit(ask)).await.unwrap_or(ClientReply::DeadlineExceeded);
         Some(match reply {
-            Reply::Outcome(bytes) => match outcome::decode(&bytes) {
+            ClientReply::Outcome(bytes) => match outcome::decode(&bytes) {
                 Ok(answer) => answer,
                 Err(e) => {
                     self.log_corrupt("corrupt outcome of a protected search", &e);
                     error(500, "outcome_exception", "the outcome cannot be read")
                 }
             },
-            Reply::OtherText => {
+            ClientReply::IdConflict => {
                 error(409, "id_conflict_exception", "the id is that of another search that is not over yet")
             }
-            Reply::Refused { retry_after } => Response {
-                retry_after: Some(retry_after),
+            ClientReply::Rejected { retry_after_s } => Response {
+                retry_after: Some(retry_after_s),
                 ..error(429, "rejected_execution_exception", "the fleet cannot take the search now")
             },
-            Reply::Late => error(504, "timeout_exception", "the search ran out of time"),
-            Reply::Unprotected => return None,
+            ClientReply::DeadlineExceeded => error(504, "timeout_exception", "the search ran out of time"),
+            ClientReply::Unprotected => return None,
         })
     }
 
     /// From the record to its outcome, for as long as the hold on it lasts.
-    async fn execute(self: Rc<Self>, record: Rc<Record>, takeover: bool, ends: Instant, hold: Hold) {
+    async fn execute(
+        self: Rc<Self>,
+        record: Rc<Record>,
+        takeover: bool,
+        ends: Instant,
+        hold: ExecutionHandle,
+    ) {
         let lost = async {
             hold.stopped().await;
             None
@@ -97,8 +111,14 @@
         }
     }
 
-    async fn executed(&self, record: &Record, takeover: bool, ends: Instant, hold: &Hold) -> Response {
-        let text = match SearchText::decode(&record.text) {
+    async fn executed(
+        &self,
+        record: &Record,
+        takeover: bool,
+        ends: Instant,
+        hold: &ExecutionHandle,
+    ) -> Response {
+        let text = match SearchText::decode(&record.payload) {
             Ok(text) => text,
             Err(e) => {
                 self.log_corrupt("corrupt text of a protected search", &e);
@@ -136,10 +156,10 @@
     }
 }
 
-impl Execute for QueryApiServer {
-    fn start(self: Rc<Self>, _: Key, record: Rc<Record>, takeover: bool, hold: Hold) {
+impl WorkExecutor for QueryApiServer {
+    fn start(self: Rc<Self>, _: ExecutionKey, record: Rc<Record>, takeover: bool, hold: ExecutionHandle) {
         let Some(ClusterAccess { fleet, executor }) = self.joined.get() else { return };
-        let left = Duration::from_millis(record.ends.saturating_sub(fleet.unix_ms()));
+        let left = Duration::from_millis(record.deadline_unix_ms.saturating_sub(fleet.unix_ms()));
         let now = Instant::now();
         let ends = now.checked_add(left).unwrap_or(now);
         executor.spawn(self.clone().execute(record, takeover, ends, hold)).detach();
@@ -161,7 +181,7 @@
 
 /// The fleet's hold on a search, as the core asks for it.
 struct ClusterGate {
-    hold: Hold,
+    hold: ExecutionHandle,
     progress: Rc<RefCell<SearchProgress>>,
 }
 
@@ -172,15 +192,15 @@
     }
 
     fn is_owned(&self) -> bool {
-        self.hold.holds()
+        self.hold.holds_lease()
     }
 
     fn record_never_ran(&self, step: u8, shard: ShardId) {
-        self.hold.cleared(step, shard.0);
+        self.hold.record_cleared(step, shard.0);
     }
 
     fn record_value(&self, step: u8, shard: ShardId, value: &ScoredValue) {
-        self.hold.value(step, shard.0, value.value.clone(), value.score);
+        self.hold.record_value(step, shard.0, value.value.clone(), value.score);
     }
 
     /// Told here too: a second step may be in without any call of it.
--- a/src/server/cluster.rs
+++ b/src/server/cluster.rs
@@ -27,7 +27,7 @@
 
     /// Listen to the other members and connect to them.
     pub async fn start(&self, startup: &Startup) -> Result<(), ServeError> {
-        self.node.begin(listen(self.listen).await?, &startup.executor);
+        self.node.start(listen(self.listen).await?, &startup.executor);
         let counts = metrics::log_cluster_counts(self.node.clone(), startup.log.clone());
         startup.executor.spawn(counts).detach();
         Ok(())
--- a/src/server/metrics.rs
+++ b/src/server/metrics.rs
@@ -33,6 +33,6 @@
 pub(super) async fn log_cluster_counts(node: Rc<ClusterNode>, log: Logger) {
     loop {
         Timer::at(Instant::now() + LOG_INTERVAL).await;
-        info!(log, "cluster counts"; "totals" => ?node.counts(), "dropped" => node.dropped());
+        info!(log, "cluster counts"; "totals" => ?node.counters(), "dropped" => node.dropped_frames());
     }
 }
--- a/src/server/shutdown.rs
+++ b/src/server/shutdown.rs
@@ -42,7 +42,7 @@
         Timer::at(started + ACCEPT_GRACE).await;
         self.notice.stop_keep_alive();
         if let Some(cluster) = &self.cluster {
-            cluster.leave();
+            cluster.start_draining();
         }
         let Shutdown { notice, fronts, cluster, search_deadline, log, .. } = self;
         let drained = async {
@@ -52,7 +52,7 @@
             // Searches that are executed here for clients of other members: after their longest deadline they are
             // finished, or another member has taken them over.
             if let Some(cluster) = &cluster {
-                cluster.idle(started.checked_add(search_deadline).unwrap_or(started)).await;
+                cluster.wait_until_idle(started.checked_add(search_deadline).unwrap_or(started)).await;
             }
         };
         // Bounds the wait for clients that don't read: SIGKILL would come before they do.
--- a/tests/fleet_links.rs
+++ b/tests/cluster_links.rs
@@ -9,11 +9,11 @@
 use async_executor::LocalExecutor;
 use async_io::Async;
 use marlgap::cluster::bootstrap::first_configuration::{Kind, Note, Round};
-use marlgap::cluster::takeover::{Ask, Key, Record, Reply};
+use marlgap::cluster::takeover::{ClientReply, ExecutionKey, Record, SubmitRequest};
 use marlgap::cluster::Configuration;
 use marlgap::config::operator::OperatorConfig;
 use marlgap::net::cluster::frames::{parse, Frame, Hello};
-use marlgap::net::cluster::{ClusterNode, Execute, Hold};
+use marlgap::net::cluster::{ClusterNode, ExecutionHandle, WorkExecutor};
 use slog::{o, Drain, Logger};
 
 const PATIENCE: Duration = Duration::from_secs(20);
@@ -46,8 +46,8 @@
     idles: bool,
 }
 
-impl Execute for Front {
-    fn start(self: Rc<Self>, _: Key, record: Rc<Record>, takeover: bool, hold: Hold) {
+impl WorkExecutor for Front {
+    fn start(self: Rc<Self>, _: ExecutionKey, record: Rc<Record>, takeover: bool, hold: ExecutionHandle) {
         let executor = self.executor.clone();
         let run = async move {
             for part in &record.parts {
@@ -57,11 +57,11 @@
                     std::future::pending::<()>().await;
                 }
                 let sent = hold.may_send(step, part.shard, attempt).await;
-                if sent && hold.holds() {
-                    hold.value(step, part.shard, b"v"[..].into(), 1.0);
+                if sent && hold.holds_lease() {
+                    hold.record_value(step, part.shard, b"v"[..].into(), 1.0);
                 }
             }
-            hold.finish(self.fleet.me().name.as_bytes().into());
+            hold.finish(self.fleet.member_id().name.as_bytes().into());
         };
         executor.spawn(run).detach();
     }
@@ -88,17 +88,23 @@
             let log = Logger::root(slog_term::FullFormat::new(decorator).build().fuse(), o!());
             let executor = Rc::new(LocalExecutor::new());
             let fleet = ClusterNode::new(&section(name, places), &log);
-            fleet.executes(Rc::new(Front { fleet: fleet.clone(), executor: executor.clone(), idles }));
-            fleet.begin(Async::new(listener).expect("a listener"), &executor);
+            fleet.set_executor(Rc::new(Front { fleet: fleet.clone(), executor: executor.clone(), idles }));
+            fleet.start(Async::new(listener).expect("a listener"), &executor);
             let (runs, asking) = (executor.clone(), fleet.clone());
             let serve = async move {
                 while let Ok((id, size, reply)) = asked.recv().await {
-                    let (text, parts) = (vec![7; size].into(), [1, 2, 3][..].into());
-                    let ask = Ask { id: id.into(), class: 1, text, ends: asking.unix_ms() + 15_000, parts };
+                    let (payload, shards) = (vec![7; size].into(), [1, 2, 3][..].into());
+                    let request = SubmitRequest {
+                        id: id.into(),
+                        class: 1,
+                        payload,
+                        deadline_unix_ms: asking.unix_ms() + 15_000,
+                        shards,
+                    };
                     let fleet = asking.clone();
                     let answered = async move {
-                        let outcome = match fleet.ask(ask).await {
-                            Reply::Outcome(by) => String::from_utf8(by.to_vec()).ok(),
+                        let outcome = match fleet.submit(request).await {
+                            ClientReply::Outcome(by) => String::from_utf8(by.to_vec()).ok(),
                             _ => None,
                         };
                         let _ = reply.send(outcome);
@@ -108,8 +114,8 @@
             };
             let ended = async { stopped.recv().await.unwrap_or_default() };
             async_io::block_on(executor.run(futures_lite::future::or(ended, serve)));
-            fleet.end();
-            slog::info!(log, "ended"; "dropped" => fleet.dropped());
+            fleet.stop();
+            slog::info!(log, "ended"; "dropped" => fleet.dropped_frames());
         };
         Member { asks, lines, stop, thread: Some(std::thread::spawn(life)) }
     }
@@ -164,7 +170,7 @@
 }
 
 /// Send `bytes` to the member; it must close the connection.
-fn refused(at: SocketAddr, bytes: &[&[u8]]) {
+fn assert_closed(at: SocketAddr, bytes: &[&[u8]]) {
     let mut stream = TcpStream::connect(at).expect("connected");
     stream.set_read_timeout(Some(PATIENCE)).expect("set");
     stream.write_all(&bytes.concat()).expect("sent");
@@ -180,7 +186,7 @@
 }
 
 #[test]
-fn members_found_epoch_one_once_and_redial_one_that_restarts() {
+fn members_agree_on_epoch_one_once_and_redial_one_that_restarts() {
     let (listeners, places) = places();
     let mut members: Vec<Member> =
         NAMES.into_iter().zip(listeners).map(|(name, l)| Member::start(name, l, places, false)).collect();
@@ -188,13 +194,13 @@
     drop(members.pop());
     members.iter().for_each(|m| drop(m.log("fleet member lost")));
     let again = Member::start("c", TcpListener::bind(places[2]).expect("bound again"), places, false);
-    again.log("this member started too late to count");
+    again.log("this member is not in the fleet configuration: it started later");
     again.log("fleet configuration, epoch: 1, members: 3");
     members.iter().for_each(|m| assert!(m.log("fleet member reached").contains("member: c/")));
 }
 
 #[test]
-fn foreign_hellos_are_refused_with_one_line_and_change_nothing() {
+fn hellos_of_others_are_rejected_with_one_line_and_change_nothing() {
     let (listeners, places) = places();
     let [la, lb, lc] = listeners;
     let a = Member::start("a", la, places, false);
@@ -207,16 +213,16 @@
         (vec![0, 16, 0, 1], "a frame of 1048577 bytes"),
     ];
     for (bytes, said) in cases {
-        refused(places[0], &[&bytes]);
+        assert_closed(places[0], &[&bytes]);
         let line = a.log("WARN");
-        assert!(line.contains("unusable connection in the fleet") && line.contains(said), "{line}");
+        assert!(line.contains("fleet connection closed: protocol error") && line.contains(said), "{line}");
     }
     let _others = [Member::start("b", lb, places, false), Member::start("c", lc, places, false)];
     a.log("fleet configuration, epoch: 1, members: 3");
 }
 
 #[test]
-fn spoilt_frames_of_a_member_end_its_connection_and_change_nothing() {
+fn malformed_frames_close_the_connection_and_change_nothing() {
     let (listeners, places) = places();
     let [la, lb, lc] = listeners;
     let a = Member::start("a", la, places, false);
@@ -226,12 +232,12 @@
         (&[&c, &c], "a hello that is missing or out of place"),
         (&[&c, &frame(1, b"\xff\xff")], "a message that cannot be read"),
         (&[&c, &frame(9, b"")], "a frame of the unknown kind 9"),
-        (&[&Frame::Hello(hello("c", 4)).bytes()], "c/4 is an earlier life"),
+        (&[&Frame::Hello(hello("c", 4)).bytes()], "c/4 is an earlier incarnation"),
     ];
     for (frames, said) in cases {
-        refused(places[0], frames);
+        assert_closed(places[0], frames);
         let line = a.log("WARN");
-        assert!(line.contains("unusable connection in the fleet") && line.contains(said), "{line}");
+        assert!(line.contains("fleet connection closed: protocol error") && line.contains(said), "{line}");
     }
     let _others = [Member::start("b", lb, places, false), Member::start("c", lc, places, false)];
     a.log("fleet configuration, epoch: 1, members: 3");
@@ -245,7 +251,7 @@
 }
 
 #[test]
-fn works_of_a_member_that_is_lost_are_finished_by_the_others() {
+fn work_of_a_lost_member_is_finished_by_the_others() {
     let (listeners, places) = places();
     let [la, lb, lc] = listeners;
     let (a, b) = (Member::start("a", la, places, false), Member::start("b", lb, places, false));
@@ -307,7 +313,7 @@
 }
 
 #[test]
-fn a_member_that_reads_nothing_holds_nobody_up() {
+fn a_member_that_reads_nothing_delays_nobody() {
     let (listeners, places) = places();
     let [la, lb, lc] = listeners;
     let (a, b) = (Member::start("a", la, places, false), Member::start("b", lb, places, false));
