--- a/benches/scale/control/plane/days/region.rs
+++ b/benches/scale/control/plane/days/region.rs
@@ -1,5 +1,5 @@
 //! A region that the others lose for minutes: what is in force there, what it may do, and how it learns afterwards.
-use marlgap::cluster::consensus_log::{Command, MOST_VOTERS};
+use marlgap::cluster::consensus_log::{Command, MAX_VOTERS};
 use marlgap::cluster::Configuration;
 
 use super::super::links::{Place, REGIONS};
@@ -73,12 +73,12 @@
     let ahead = inside.iter().filter(|i| has(i)).count();
     let log = |i: &usize| members.nodes[*i].log.as_ref();
     let sure = inside.iter().filter(|i| log(i).is_some_and(|l| l.leader().is_some())).count();
-    let leads = inside.iter().filter(|i| log(i).is_some_and(|l| l.leads())).count();
-    let newest = |i: &usize| log(i).and_then(|l| l.roster().newest()).map(Configuration::epoch);
+    let leads = inside.iter().filter(|i| log(i).is_some_and(|l| l.is_leader())).count();
+    let newest = |i: &usize| log(i).and_then(|l| l.membership().latest()).map(Configuration::epoch);
     let serves = inside.iter().filter(|i| newest(i).is_some()).count();
     let mut taken = 0;
     for i in inside.iter().copied() {
-        let ask = Command::Closed { ms: 1, logical: i as u32 };
+        let ask = Command::ClosedTimestamp { ms: 1, logical: i as u32 };
         taken += usize::from(members.propose(i, &ask).is_ok());
     }
     let figure = |name: &str, n: usize, bound| Finding::new(day, name, n as f64, "1", bound);
@@ -113,7 +113,7 @@
         }
     }
     let share = |n: usize| n as f64 / ids as f64 * 100.0;
-    let voters = config.group(b"log", MOST_VOTERS);
+    let voters = config.group(b"log", MAX_VOTERS);
     let at = |r: usize| voters.iter().filter(|m| region(&m.id.name) == r).count();
     let most = (0..REGIONS).map(at).max().unwrap_or(0);
     let (worst, owner) =
--- a/benches/scale/control/plane/members.rs
+++ b/benches/scale/control/plane/members.rs
@@ -11,7 +11,7 @@
 use std::rc::Rc;
 use std::time::Instant;
 
-use marlgap::cluster::consensus_log::{Limits, Log, Seat, Stored};
+use marlgap::cluster::consensus_log::{ConsensusLog, Limits, StoredLog, Voter};
 
 use super::links::{Links, Micros, Place, MS};
 use super::queue::{Played, Queue};
@@ -27,11 +27,11 @@
 
 /// One hollow member.
 pub struct Hollow {
-    pub seat: Seat,
+    pub seat: Voter,
     pub place: Place,
-    pub disk: Stored,
+    pub disk: StoredLog,
     /// None: the process is down.
-    pub log: Option<Log>,
+    pub log: Option<ConsensusLog>,
     /// The last index applied, and a sum over all that was.
     pub state: (u64, u64),
     pub traffic: Traffic,
@@ -90,7 +90,7 @@
 
     /// The member that leads the latest term.
     pub fn leader(&self) -> Option<usize> {
-        let term = |n: &Hollow| n.log.as_ref().filter(|l| l.leads()).map(Log::term);
+        let term = |n: &Hollow| n.log.as_ref().filter(|l| l.is_leader()).map(ConsensusLog::term);
         let led = self.nodes.iter().enumerate().filter_map(|(i, n)| Some((term(n)?, i)));
         led.max().map(|(_, i)| i)
     }
@@ -136,8 +136,8 @@
         let node = &mut self.nodes[i];
         node.seat.member.id.incarnation = self.lives;
         if !with_disk {
-            node.disk = Stored::joining(self.cluster);
-            node.seat.disk = build::disk(i, self.lives);
+            node.disk = StoredLog::joining(self.cluster);
+            node.seat.disk_id = build::disk(i, self.lives);
         }
         self.begin(i);
         self.waiting.push(i);
--- a/benches/scale/control/plane/members/acts.rs
+++ b/benches/scale/control/plane/members/acts.rs
@@ -2,7 +2,7 @@
 use std::hash::Hasher;
 
 use fnv::FnvHasher;
-use marlgap::cluster::consensus_log::{encode_command, Command, CompactError, LogAct};
+use marlgap::cluster::consensus_log::{encode_command, Command, CompactError, LogAction};
 
 use super::*;
 
@@ -26,19 +26,19 @@
         }
     }
 
-    fn one(&mut self, i: usize, act: LogAct) {
+    fn one(&mut self, i: usize, act: LogAction) {
         match act {
-            LogAct::Persist(batch) => self.nodes[i].disk.add(&batch),
-            LogAct::Send { to, bytes } => self.send(i, &to, bytes),
-            LogAct::Restored { index, others, .. } => {
-                let sum = others.try_into().map_or(0, u64::from_be_bytes);
+            LogAction::Persist(batch) => self.nodes[i].disk.apply(&batch),
+            LogAction::Send { to, bytes } => self.send(i, &to, bytes),
+            LogAction::Restored { index, application_state, .. } => {
+                let sum = application_state.try_into().map_or(0, u64::from_be_bytes);
                 let before = self.nodes[i].state.0;
                 self.nodes[i].state = (index, sum);
                 let differs = self.ledger.range(..=index).next_back().is_some_and(|(_, s)| *s != sum);
                 self.break_if(differs, || format!("member {i} restored another state at {index}"));
                 self.in_force(i, before, index);
             }
-            LogAct::Applied { index, proposal, command, .. } => {
+            LogAction::Applied { index, proposal, command, .. } => {
                 let (last, before) = self.nodes[i].state;
                 self.break_if(index <= last, || format!("member {i} applied {index} after {last}"));
                 let sum = sum(before, index, &encode_command(proposal, &command));
@@ -48,9 +48,9 @@
                 self.note(index, &command);
                 self.in_force(i, index - 1, index);
             }
-            LogAct::Compact => self.compact(i),
-            LogAct::Lead(leads) => self.leaders += u64::from(leads),
-            LogAct::Stopped(why) => self.break_if(true, || format!("member {i} stopped: {why}")),
+            LogAction::Compact => self.compact(i),
+            LogAction::Lead(leads) => self.leaders += u64::from(leads),
+            LogAction::Stopped(why) => self.break_if(true, || format!("member {i} stopped: {why}")),
         }
     }
 
@@ -105,10 +105,10 @@
                 let bytes = self.nodes[i].disk.snapshot.as_ref().map_or(0, Vec::len);
                 self.snapshots = (self.snapshots.0 + 1, self.snapshots.1.max(bytes));
             }
-            Err(CompactError::Large { bytes, .. }) => {
+            Err(CompactError::TooLarge { bytes, .. }) => {
                 self.refused_snapshots = (self.refused_snapshots.0 + 1, bytes);
             }
-            Err(CompactError::NotNow) => {}
+            Err(CompactError::ActionsPending) => {}
             Err(e) => self.break_if(true, || format!("member {i}: {e}")),
         }
     }
--- a/benches/scale/control/plane/members/asks.rs
+++ b/benches/scale/control/plane/members/asks.rs
@@ -2,7 +2,7 @@
 //! until it sees what it asked for applied, as [`Log::propose`] wants it.
 use std::collections::HashSet;
 
-use marlgap::cluster::consensus_log::{Command, Outcome, ProposeError};
+use marlgap::cluster::consensus_log::{Command, CommandOutcome, ProposeError};
 use marlgap::cluster::{Configuration, MemberId};
 
 use super::*;
@@ -63,14 +63,14 @@
     fn admit(&mut self) {
         let Some(at) = self.leader() else { return };
         let Some(log) = &self.nodes[at].log else { return };
-        let counting: HashSet<MemberId> = log.roster().seats().map(|s| s.member.id.clone()).collect();
-        let base = log.roster().newest().map_or(0, Configuration::epoch);
+        let counting: HashSet<MemberId> = log.membership().seats().map(|s| s.member.id.clone()).collect();
+        let base = log.membership().latest().map_or(0, Configuration::epoch);
         let nodes = &self.nodes;
         self.waiting.retain(|i| !counting.contains(&nodes[*i].seat.member.id));
         let asks: Vec<_> = self.waiting.iter().take(A_ROUND).map(|i| self.nodes[*i].seat.clone()).collect();
         for seat in asks {
-            match self.propose(at, &Command::Admit { seat, base }) {
-                Ok(()) | Err(ProposeError::Pointless(Outcome::Stood)) => {}
+            match self.propose(at, &Command::Admit { voter: seat, known_epoch: base }) {
+                Ok(()) | Err(ProposeError::NoEffect(CommandOutcome::Unchanged)) => {}
                 Err(_) => break,
             }
         }
@@ -80,9 +80,9 @@
     fn close(&mut self) {
         let Some(at) = self.leader() else { return };
         let Some(log) = &self.nodes[at].log else { return };
-        let roster = log.roster();
-        let newest = roster.newest().map_or(0, Configuration::epoch);
-        if roster.epochs().count() > OPEN {
+        let roster = log.membership();
+        let newest = roster.latest().map_or(0, Configuration::epoch);
+        if roster.open_epochs().count() > OPEN {
             let _ = self.propose(at, &Command::CloseEpoch(newest - 1));
         }
     }
--- a/benches/scale/control/plane/members/build.rs
+++ b/benches/scale/control/plane/members/build.rs
@@ -10,25 +10,25 @@
 }
 
 /// The seat of a member: its name, zone and address are as long as an operator's would be.
-pub fn seat(i: usize) -> Seat {
+pub fn seat(i: usize) -> Voter {
     let place = Place::of(i);
     let name = format!("coordinator-{i:04}");
     let id = MemberId::new(&name, 1);
     let zone = format!("region-{}-zone-{:02}", place.region, place.zone).as_str().into();
     let address = ([10, place.zone as u8, (i >> 8) as u8, i as u8], 7400).into();
-    Seat { member: Member { id, zone, address }, disk: disk(i, 1) }
+    Voter { member: Member { id, zone, address }, disk_id: disk(i, 1) }
 }
 
 impl Members {
     /// Members that found together: the program draws the voters from all of them.
     pub fn founded(count: usize, seed: u64, loss: u64, limits: Limits) -> Members {
-        let seats: Vec<Seat> = (0..count).map(seat).collect();
+        let seats: Vec<Voter> = (0..count).map(seat).collect();
         let cluster = seed | 1;
-        let (stored, broken) = match Stored::founded(cluster, seats.clone()) {
+        let (stored, broken) = match StoredLog::bootstrap(cluster, seats.clone()) {
             Ok(stored) => (stored, None),
-            Err(e) => (Stored::joining(cluster), Some(e.to_string())),
+            Err(e) => (StoredLog::joining(cluster), Some(e.to_string())),
         };
-        let node = |(i, seat): (usize, Seat)| Hollow {
+        let node = |(i, seat): (usize, Voter)| Hollow {
             seat,
             place: Place::of(i),
             disk: stored.clone(),
@@ -78,11 +78,11 @@
 
     pub(super) fn begin(&mut self, i: usize) {
         let node = &mut self.nodes[i];
-        let me = Identity { name: node.seat.member.id.name.clone(), disk: node.seat.disk };
+        let me = Identity { name: node.seat.member.id.name.clone(), disk_id: node.seat.disk_id };
         node.state = (0, 0);
         node.life += 1;
         let begun = Instant::now();
-        match Log::new(me, node.disk.clone(), self.limits.clone()) {
+        match ConsensusLog::new(me, node.disk.clone(), self.limits.clone()) {
             Ok(log) => node.log = Some(log),
             Err(e) => self.broken = Some(format!("member {i} does not start: {e}")),
         }
--- a/benches/scale/control/plane/sweeps/log.rs
+++ b/benches/scale/control/plane/sweeps/log.rs
@@ -1,5 +1,5 @@
 //! The log along its members, its voters, its rate of changes and its open epochs.
-use marlgap::cluster::consensus_log::{Command, Roster, MOST_EPOCHS};
+use marlgap::cluster::consensus_log::{Command, Membership, MAX_OPEN_EPOCHS};
 use marlgap::cluster::MemberId;
 
 use super::super::finding::{Spec, Sweeps};
@@ -94,8 +94,8 @@
 /// The leader, another voter and a learner; the same one each time.
 pub fn roles(members: &Members) -> Option<(usize, Option<usize>, Option<usize>)> {
     let leader = members.leader()?;
-    let (voters, _) = members.nodes[leader].log.as_ref()?.roster().voters();
-    let votes = |i: &usize| voters.contains(&members.nodes[*i].seat.voter());
+    let (voters, _) = members.nodes[leader].log.as_ref()?.membership().voters();
+    let votes = |i: &usize| voters.contains(&members.nodes[*i].seat.voter_id());
     let voter = (0..members.nodes.len()).find(|i| votes(i) && *i != leader);
     let learner = (0..members.nodes.len()).rev().find(|i| !votes(i));
     Some((leader, voter, learner))
@@ -222,7 +222,7 @@
     for size in sizes.iter().copied() {
         let mut members = Members::led(size, SEED, 0);
         let Some((leader, ..)) = roles(&members) else { continue };
-        let votes = members.nodes[leader].log.as_ref().map_or(0, |l| l.roster().voters().0.len());
+        let votes = members.nodes[leader].log.as_ref().map_or(0, |l| l.membership().voters().0.len());
         sweeps.point(&VOTERS, size as f64, votes as f64);
         let window = Window::open(&mut members);
         members.run(10 * SECOND);
@@ -278,25 +278,27 @@
     const EPOCHS: Spec = Spec {
         figure: "roster in a snapshot, all members",
         axis: "open epochs",
-        target: MOST_EPOCHS as f64,
+        target: MAX_OPEN_EPOCHS as f64,
         ..SPEC
     };
     let mut sweeps = Sweeps::default();
     for size in sizes.iter().copied() {
-        let Ok(mut roster) = Roster::founded(1, (0..size).map(seat).collect()) else { continue };
+        let Ok(mut roster) = Membership::bootstrap(1, (0..size).map(seat).collect()) else { continue };
         sweeps.point(&SPEC, size as f64, roster.encode().len() as f64);
-        for epoch in 2..=MOST_EPOCHS as u64 {
+        for epoch in 2..=MAX_OPEN_EPOCHS as u64 {
             if Some(&size) == sizes.last() {
                 sweeps.point(&EPOCHS, (epoch - 1) as f64, roster.encode().len() as f64);
             }
             let mut later = seat(size - 1);
             later.member.id = MemberId::new(&later.member.id.name, epoch);
-            if let (_, Some(next)) = roster.after(epoch, &Command::Admit { seat: later, base: epoch }) {
+            if let (_, Some(next)) =
+                roster.evaluate(epoch, &Command::Admit { voter: later, known_epoch: epoch })
+            {
                 roster = next;
             }
         }
         if Some(&size) == sizes.last() {
-            sweeps.point(&EPOCHS, MOST_EPOCHS as f64, roster.encode().len() as f64);
+            sweeps.point(&EPOCHS, MAX_OPEN_EPOCHS as f64, roster.encode().len() as f64);
         }
         sweeps.point(&FULL, size as f64, roster.encode().len() as f64);
     }
--- a/src/cluster/bootstrap/mod.rs
+++ b/src/cluster/bootstrap/mod.rs
@@ -19,38 +19,38 @@
 
 use prost::Message as _;
 
-use super::consensus_log::{fnv, form, mix, seat_in, seat_out, FormError, Seat, MOST_MEMBERS};
+use super::consensus_log::{fnv, form, mix, seat_in, seat_out, DecodeError, Voter, MAX_MEMBERS};
 
 /// How far a member is.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Stage {
+pub enum BootstrapState {
     Empty,
-    Pinned(Set),
+    Accepted(InitialMembers),
     /// It knows its cluster: it was founded with this set, or joined it later.
-    Founded(u64),
+    Bootstrapped(u64),
 }
 
 /// The members of a founding, in the order of their names.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Set(Rc<[Seat]>);
+pub struct InitialMembers(Rc<[Voter]>);
 
-impl Set {
-    pub fn new(mut seats: Vec<Seat>) -> Set {
+impl InitialMembers {
+    pub fn new(mut seats: Vec<Voter>) -> InitialMembers {
         seats.sort_by(|a, b| a.member.id.cmp(&b.member.id));
-        Set(seats.into())
+        InitialMembers(seats.into())
     }
 
-    pub fn seats(&self) -> &[Seat] {
+    pub fn voters(&self) -> &[Voter] {
         &self.0
     }
 
     /// The cluster's number: of its name and all its members with their lives and disks. Never 0.
-    pub fn cluster(&self, name: &str) -> u64 {
+    pub fn cluster_id(&self, name: &str) -> u64 {
         mix(fnv(name.as_bytes()) ^ mix(fnv(&self.encode()))).max(1)
     }
 
     fn holds(&self, name: &str, disk: u64) -> bool {
-        self.0.iter().any(|s| &*s.member.id.name == name && s.disk == disk)
+        self.0.iter().any(|s| &*s.member.id.name == name && s.disk_id == disk)
     }
 
     /// For the disk.
@@ -58,59 +58,59 @@
         Seats { seats: self.0.iter().map(seat_out).collect() }.encode_to_vec()
     }
 
-    pub fn decode(bytes: &[u8]) -> Result<Set, FormError> {
+    pub fn decode(bytes: &[u8]) -> Result<InitialMembers, DecodeError> {
         let seats = Seats::decode(bytes)?.seats;
-        if seats.len() > MOST_MEMBERS {
-            return Err(FormError::Undecodable(format!("{} members, {MOST_MEMBERS} at most", seats.len())));
+        if seats.len() > MAX_MEMBERS {
+            return Err(DecodeError::Undecodable(format!("{} members, {MAX_MEMBERS} at most", seats.len())));
         }
-        Ok(Set::new(seats.into_iter().map(seat_in).collect::<Result<_, _>>()?))
+        Ok(InitialMembers::new(seats.into_iter().map(seat_in).collect::<Result<_, _>>()?))
     }
 }
 
 #[derive(Clone, PartialEq, prost::Message)]
 struct Seats {
     #[prost(message, repeated, tag = "1")]
-    seats: Vec<form::Seat>,
+    seats: Vec<form::Voter>,
 }
 
 /// What a member says of itself, on each connection and at each tick while it founds.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Say {
-    pub seat: Seat,
-    pub stage: Stage,
+pub struct BootstrapMessage {
+    pub voter: Voter,
+    pub state: BootstrapState,
 }
 
 #[derive(Clone, PartialEq, prost::Message)]
 struct SayForm {
     #[prost(message, optional, tag = "1")]
-    seat: Option<form::Seat>,
+    seat: Option<form::Voter>,
     #[prost(bytes = "vec", optional, tag = "2")]
     pinned: Option<Vec<u8>>,
     #[prost(fixed64, tag = "3")]
     founded: u64,
 }
 
-impl Say {
+impl BootstrapMessage {
     pub fn encode(&self) -> Vec<u8> {
-        let (pinned, founded) = match &self.stage {
-            Stage::Empty => (None, 0),
-            Stage::Pinned(set) => (Some(set.encode()), 0),
-            Stage::Founded(cluster) => (None, *cluster),
+        let (pinned, founded) = match &self.state {
+            BootstrapState::Empty => (None, 0),
+            BootstrapState::Accepted(set) => (Some(set.encode()), 0),
+            BootstrapState::Bootstrapped(cluster) => (None, *cluster),
         };
-        SayForm { seat: Some(seat_out(&self.seat)), pinned, founded }.encode_to_vec()
+        SayForm { seat: Some(seat_out(&self.voter)), pinned, founded }.encode_to_vec()
     }
 
     /// The caller has bounded the bytes.
-    pub fn decode(bytes: &[u8]) -> Result<Say, FormError> {
+    pub fn decode(bytes: &[u8]) -> Result<BootstrapMessage, DecodeError> {
         let said = SayForm::decode(bytes)?;
-        let seat = seat_in(said.seat.ok_or(FormError::Missing("a member"))?)?;
+        let seat = seat_in(said.seat.ok_or(DecodeError::MissingField("a member"))?)?;
         let stage = match (said.pinned, said.founded) {
-            (None, 0) => Stage::Empty,
-            (Some(set), 0) => Stage::Pinned(Set::decode(&set)?),
-            (None, cluster) => Stage::Founded(cluster),
-            _ => return Err(FormError::Undecodable("pinned and founded at once".into())),
+            (None, 0) => BootstrapState::Empty,
+            (Some(set), 0) => BootstrapState::Accepted(InitialMembers::decode(&set)?),
+            (None, cluster) => BootstrapState::Bootstrapped(cluster),
+            _ => return Err(DecodeError::Undecodable("pinned and founded at once".into())),
         };
-        Ok(Say { seat, stage })
+        Ok(BootstrapMessage { voter: seat, state: stage })
     }
 }
 
@@ -118,55 +118,55 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum FoundAct {
     /// Durable before anything is said.
-    Pin(Set),
+    PersistAccepted(InitialMembers),
     /// To every member of the file, and again at each tick.
-    Say(Say),
+    Say(BootstrapMessage),
     /// All have pinned it: the log starts with [`super::log::Stored::founded`], durable first.
-    Founded { cluster: u64, set: Set },
+    Bootstrapped { cluster_id: u64, members: InitialMembers },
     /// A cluster stands without this life: the log starts with [`super::log::Stored::joining`], durable first, and this
     /// member asks to be admitted.
-    Join { cluster: u64 },
+    Join { cluster_id: u64 },
     /// Nothing more is done here before the operator looks; said once.
-    Stuck(Stuck),
+    Stuck(BootstrapError),
 }
 
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Stuck {
+pub enum BootstrapError {
     /// Most disks of the pinned set were replaced: it may have gone on without this member.
-    Lost(Vec<Rc<str>>),
+    MajorityLost(Vec<Rc<str>>),
     /// A member of the file is in a cluster that this one is not of.
-    Foreign { name: Rc<str>, cluster: u64 },
+    OtherCluster { name: Rc<str>, cluster_id: u64 },
 }
 
-impl fmt::Display for Stuck {
+impl fmt::Display for BootstrapError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Stuck::Lost(names) => write!(
+            BootstrapError::MajorityLost(names) => write!(
                 f,
                 "founding was broken off: most disks of it are gone ({}); remove the stores of the others to found anew",
                 names.join(", ")
             ),
-            Stuck::Foreign { name, cluster } => write!(f, "'{name}' is of another cluster, {cluster:x}"),
+            BootstrapError::OtherCluster { name, cluster_id } => write!(f, "'{name}' is of another cluster, {cluster_id:x}"),
         }
     }
 }
 
-pub struct Founding {
+pub struct Bootstrap {
     name: Rc<str>,
     /// The names of the operator's file.
     names: Vec<Rc<str>>,
-    me: Seat,
-    stage: Stage,
+    me: Voter,
+    stage: BootstrapState,
     /// What each of them said last.
-    said: BTreeMap<Rc<str>, Say>,
-    stuck: Option<Stuck>,
+    said: BTreeMap<Rc<str>, BootstrapMessage>,
+    stuck: Option<BootstrapError>,
     acts: Vec<FoundAct>,
 }
 
-impl Founding {
+impl Bootstrap {
     /// `stage` is what the disk says. `name` is that of the cluster; `names` are those of the file, this one among them.
-    pub fn new(name: &str, names: &[Rc<str>], me: Seat, stage: Stage) -> Founding {
-        let mut founding = Founding {
+    pub fn new(name: &str, names: &[Rc<str>], me: Voter, stage: BootstrapState) -> Bootstrap {
+        let mut founding = Bootstrap {
             name: name.into(),
             names: names.to_vec(),
             me,
@@ -180,7 +180,7 @@
         founding
     }
 
-    pub fn stage(&self) -> &Stage {
+    pub fn state(&self) -> &BootstrapState {
         &self.stage
     }
 
@@ -191,15 +191,16 @@
     /// What another member said of itself. What one life says comes in order (the same connection, or none of an earlier
     /// one after it); what an earlier life said may come at any time. The incarnations of a name rise with each start.
     /// Whoever is not in the file is not asked; a founded one is heeded whoever it is, for members join later.
-    pub fn hear(&mut self, say: Say) {
-        let name = say.seat.member.id.name.clone();
-        let later = |held: &Say| held.seat.member.id.incarnation > say.seat.member.id.incarnation;
+    pub fn receive(&mut self, say: BootstrapMessage) {
+        let name = say.voter.member.id.name.clone();
+        let later =
+            |held: &BootstrapMessage| held.voter.member.id.incarnation > say.voter.member.id.incarnation;
         if name == self.me.member.id.name || self.said.get(&name).is_some_and(later) {
             // An earlier life of that name, overtaken by the later one.
             return;
         }
-        if let Stage::Founded(cluster) = say.stage {
-            self.told(&name, say.seat.disk, cluster);
+        if let BootstrapState::Bootstrapped(cluster) = say.state {
+            self.told(&name, say.voter.disk_id, cluster);
         }
         if self.names.contains(&name) {
             self.said.insert(name, say);
@@ -212,7 +213,7 @@
     }
 
     fn say(&mut self) {
-        let say = FoundAct::Say(Say { seat: self.me.clone(), stage: self.stage.clone() });
+        let say = FoundAct::Say(BootstrapMessage { voter: self.me.clone(), state: self.stage.clone() });
         if !self.acts.contains(&say) {
             self.acts.push(say);
         }
@@ -220,31 +221,33 @@
 
     fn told(&mut self, name: &Rc<str>, disk: u64, cluster: u64) {
         match &self.stage {
-            Stage::Founded(own) if *own == cluster => {}
-            Stage::Founded(_) => self.stick(Stuck::Foreign { name: name.clone(), cluster }),
-            Stage::Pinned(set) if set.cluster(&self.name) == cluster => self.found(set.clone()),
+            BootstrapState::Bootstrapped(own) if *own == cluster => {}
+            BootstrapState::Bootstrapped(_) => {
+                self.stick(BootstrapError::OtherCluster { name: name.clone(), cluster_id: cluster })
+            }
+            BootstrapState::Accepted(set) if set.cluster_id(&self.name) == cluster => self.found(set.clone()),
             // This set never stands any more: one that is of it, on the disk that it names, is of another cluster.
-            Stage::Pinned(set) if set.holds(name, disk) => self.join(cluster),
+            BootstrapState::Accepted(set) if set.holds(name, disk) => self.join(cluster),
             // The teller is a new disk of a name; those of the set are asked.
-            Stage::Pinned(_) => {}
-            Stage::Empty => self.join(cluster),
+            BootstrapState::Accepted(_) => {}
+            BootstrapState::Empty => self.join(cluster),
         }
     }
 
     fn join(&mut self, cluster: u64) {
-        self.stage = Stage::Founded(cluster);
-        self.acts.push(FoundAct::Join { cluster });
+        self.stage = BootstrapState::Bootstrapped(cluster);
+        self.acts.push(FoundAct::Join { cluster_id: cluster });
         self.say();
     }
 
-    fn found(&mut self, set: Set) {
-        let cluster = set.cluster(&self.name);
-        self.stage = Stage::Founded(cluster);
-        self.acts.push(FoundAct::Founded { cluster, set });
+    fn found(&mut self, set: InitialMembers) {
+        let cluster = set.cluster_id(&self.name);
+        self.stage = BootstrapState::Bootstrapped(cluster);
+        self.acts.push(FoundAct::Bootstrapped { cluster_id: cluster, members: set });
         self.say();
     }
 
-    fn stick(&mut self, stuck: Stuck) {
+    fn stick(&mut self, stuck: BootstrapError) {
         if self.stuck.as_ref() != Some(&stuck) {
             self.acts.push(FoundAct::Stuck(stuck.clone()));
             self.stuck = Some(stuck);
@@ -252,40 +255,44 @@
     }
 
     fn look(&mut self) {
-        if matches!(self.stage, Stage::Founded(_)) {
+        if matches!(self.stage, BootstrapState::Bootstrapped(_)) {
             return;
         }
         let own = self.me.member.id.name.clone();
         let others: Vec<Rc<str>> = self.names.iter().filter(|n| **n != own).cloned().collect();
-        if !others.iter().all(|n| self.said.get(n).is_some_and(|s| !matches!(s.stage, Stage::Founded(_)))) {
+        if !others
+            .iter()
+            .all(|n| self.said.get(n).is_some_and(|s| !matches!(s.state, BootstrapState::Bootstrapped(_))))
+        {
             return;
         }
-        let mut seats: Vec<Seat> =
-            others.iter().filter_map(|n| self.said.get(n)).map(|s| s.seat.clone()).collect();
+        let mut seats: Vec<Voter> =
+            others.iter().filter_map(|n| self.said.get(n)).map(|s| s.voter.clone()).collect();
         seats.push(self.me.clone());
-        let seen = Set::new(seats);
+        let seen = InitialMembers::new(seats);
         let pinned = match &self.stage {
-            Stage::Pinned(set) => Some(set.clone()),
+            BootstrapState::Accepted(set) => Some(set.clone()),
             _ => None,
         };
         if pinned.as_ref() != Some(&seen) {
             if let Some(set) = pinned {
                 let gone: Vec<Rc<str>> = set
-                    .seats()
+                    .voters()
                     .iter()
-                    .filter(|s| !seen.holds(&s.member.id.name, s.disk))
+                    .filter(|s| !seen.holds(&s.member.id.name, s.disk_id))
                     .map(|s| s.member.id.name.clone())
                     .collect();
-                if 2 * (set.seats().len() - gone.len()) <= set.seats().len() {
-                    return self.stick(Stuck::Lost(gone));
+                if 2 * (set.voters().len() - gone.len()) <= set.voters().len() {
+                    return self.stick(BootstrapError::MajorityLost(gone));
                 }
             }
-            self.stage = Stage::Pinned(seen.clone());
-            self.acts.push(FoundAct::Pin(seen.clone()));
+            self.stage = BootstrapState::Accepted(seen.clone());
+            self.acts.push(FoundAct::PersistAccepted(seen.clone()));
             self.say();
         }
-        let all =
-            others.iter().all(|n| self.said.get(n).is_some_and(|s| s.stage == Stage::Pinned(seen.clone())));
+        let all = others
+            .iter()
+            .all(|n| self.said.get(n).is_some_and(|s| s.state == BootstrapState::Accepted(seen.clone())));
         if all {
             self.found(seen);
         }
--- a/src/cluster/consensus_log/command.rs
+++ b/src/cluster/consensus_log/command.rs
@@ -13,19 +13,19 @@
 /// A member with the disk that it votes from. Its incarnation is the life of its process: it ends with the process. The
 /// disk is the life of its store: it ends with the file. A voter of the log is one name on one disk.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Seat {
+pub struct Voter {
     pub member: Member,
-    pub disk: u64,
+    pub disk_id: u64,
 }
 
-impl Seat {
-    pub fn voter(&self) -> u64 {
-        voter(&self.member.id.name, self.disk)
+impl Voter {
+    pub fn voter_id(&self) -> u64 {
+        voter_id(&self.member.id.name, self.disk_id)
     }
 }
 
 /// The number of a voter: another disk is another voter. Never 0, which the log takes for nobody.
-pub fn voter(name: &str, disk: u64) -> u64 {
+pub fn voter_id(name: &str, disk: u64) -> u64 {
     mix(fnv(name.as_bytes()) ^ mix(disk)).max(1)
 }
 
@@ -49,8 +49,8 @@
     /// A life of a name counts from now on, in the place of the one before. `base` is the epoch that the asker knew: an
     /// ask that was under way while another life of the name was admitted changes nothing.
     Admit {
-        seat: Seat,
-        base: u64,
+        voter: Voter,
+        known_epoch: u64,
     },
     /// That life counts no more.
     Leave(MemberId),
@@ -59,7 +59,7 @@
     Layout(Rc<[u8]>),
     Plan(Rc<[u8]>),
     /// Closed time: milliseconds since 1970 and the logical part.
-    Closed {
+    ClosedTimestamp {
         ms: u64,
         logical: u32,
     },
@@ -68,42 +68,42 @@
 /// The proposer's own name of a proposal: its voter, and a number that it never gives twice.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct ProposalId {
-    pub by: u64,
-    pub serial: u64,
+    pub proposer: u64,
+    pub sequence: u64,
 }
 
 /// Bytes that are no command, roster or seat of this version.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum FormError {
+pub enum DecodeError {
     Undecodable(String),
-    Version(u32),
-    Missing(&'static str),
-    Address(String),
+    UnsupportedVersion(u32),
+    MissingField(&'static str),
+    InvalidAddress(String),
 }
 
-impl fmt::Display for FormError {
+impl fmt::Display for DecodeError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            FormError::Undecodable(why) => write!(f, "undecodable: {why}"),
-            FormError::Version(v) => write!(f, "version {v}, {VERSION} is known"),
-            FormError::Missing(what) => write!(f, "without {what}"),
-            FormError::Address(a) => write!(f, "'{a}' is no address"),
+            DecodeError::Undecodable(why) => write!(f, "undecodable: {why}"),
+            DecodeError::UnsupportedVersion(v) => write!(f, "version {v}, {VERSION} is known"),
+            DecodeError::MissingField(what) => write!(f, "without {what}"),
+            DecodeError::InvalidAddress(a) => write!(f, "'{a}' is no address"),
         }
     }
 }
 
-impl std::error::Error for FormError {}
+impl std::error::Error for DecodeError {}
 
-impl From<prost::DecodeError> for FormError {
-    fn from(e: prost::DecodeError) -> FormError {
-        FormError::Undecodable(e.to_string())
+impl From<prost::DecodeError> for DecodeError {
+    fn from(e: prost::DecodeError) -> DecodeError {
+        DecodeError::Undecodable(e.to_string())
     }
 }
 
 /// The form of these on the wire and on disk.
 pub(in crate::cluster) mod form {
     #[derive(Clone, PartialEq, prost::Message)]
-    pub struct Seat {
+    pub struct Voter {
         #[prost(string, tag = "1")]
         pub name: String,
         #[prost(fixed64, tag = "2")]
@@ -119,7 +119,7 @@
     #[derive(Clone, PartialEq, prost::Message)]
     pub struct Admit {
         #[prost(message, optional, tag = "1")]
-        pub seat: Option<Seat>,
+        pub seat: Option<Voter>,
         #[prost(uint64, tag = "2")]
         pub base: u64,
     }
@@ -169,26 +169,27 @@
     }
 }
 
-pub(in crate::cluster) fn seat_out(seat: &Seat) -> form::Seat {
-    form::Seat {
+pub(in crate::cluster) fn seat_out(seat: &Voter) -> form::Voter {
+    form::Voter {
         name: seat.member.id.name.to_string(),
         incarnation: seat.member.id.incarnation,
-        disk: seat.disk,
+        disk: seat.disk_id,
         zone: seat.member.zone.to_string(),
         address: seat.member.address.to_string(),
     }
 }
 
-pub(in crate::cluster) fn seat_in(seat: form::Seat) -> Result<Seat, FormError> {
-    let address: SocketAddr = seat.address.parse().map_err(|_| FormError::Address(seat.address.clone()))?;
+pub(in crate::cluster) fn seat_in(seat: form::Voter) -> Result<Voter, DecodeError> {
+    let address: SocketAddr =
+        seat.address.parse().map_err(|_| DecodeError::InvalidAddress(seat.address.clone()))?;
     let id = MemberId::new(&seat.name, seat.incarnation);
-    Ok(Seat { member: Member { id, zone: seat.zone.as_str().into(), address }, disk: seat.disk })
+    Ok(Voter { member: Member { id, zone: seat.zone.as_str().into(), address }, disk_id: seat.disk })
 }
 
 pub fn encode(id: ProposalId, command: &Command) -> Vec<u8> {
     let kind = match command {
-        Command::Admit { seat, base } => {
-            form::Kind::Admit(form::Admit { seat: Some(seat_out(seat)), base: *base })
+        Command::Admit { voter, known_epoch } => {
+            form::Kind::Admit(form::Admit { seat: Some(seat_out(voter)), base: *known_epoch })
         }
         Command::Leave(id) => {
             form::Kind::Leave(form::Life { name: id.name.to_string(), incarnation: id.incarnation })
@@ -196,25 +197,28 @@
         Command::CloseEpoch(epoch) => form::Kind::CloseEpoch(*epoch),
         Command::Layout(bytes) => form::Kind::Layout(bytes.to_vec()),
         Command::Plan(bytes) => form::Kind::Plan(bytes.to_vec()),
-        Command::Closed { ms, logical } => form::Kind::Closed(form::Closed { ms: *ms, logical: *logical }),
+        Command::ClosedTimestamp { ms, logical } => {
+            form::Kind::Closed(form::Closed { ms: *ms, logical: *logical })
+        }
     };
-    form::Entry { version: VERSION, by: id.by, serial: id.serial, kind: Some(kind) }.encode_to_vec()
+    form::Entry { version: VERSION, by: id.proposer, serial: id.sequence, kind: Some(kind) }.encode_to_vec()
 }
 
-pub fn decode(bytes: &[u8]) -> Result<(ProposalId, Command), FormError> {
+pub fn decode(bytes: &[u8]) -> Result<(ProposalId, Command), DecodeError> {
     let entry = form::Entry::decode(bytes)?;
     if entry.version != VERSION {
-        return Err(FormError::Version(entry.version));
+        return Err(DecodeError::UnsupportedVersion(entry.version));
     }
-    let command = match entry.kind.ok_or(FormError::Missing("a command"))? {
-        form::Kind::Admit(a) => {
-            Command::Admit { seat: seat_in(a.seat.ok_or(FormError::Missing("a member"))?)?, base: a.base }
-        }
+    let command = match entry.kind.ok_or(DecodeError::MissingField("a command"))? {
+        form::Kind::Admit(a) => Command::Admit {
+            voter: seat_in(a.seat.ok_or(DecodeError::MissingField("a member"))?)?,
+            known_epoch: a.base,
+        },
         form::Kind::Leave(l) => Command::Leave(MemberId::new(&l.name, l.incarnation)),
         form::Kind::CloseEpoch(epoch) => Command::CloseEpoch(epoch),
         form::Kind::Layout(bytes) => Command::Layout(bytes.into()),
         form::Kind::Plan(bytes) => Command::Plan(bytes.into()),
-        form::Kind::Closed(c) => Command::Closed { ms: c.ms, logical: c.logical },
+        form::Kind::Closed(c) => Command::ClosedTimestamp { ms: c.ms, logical: c.logical },
     };
-    Ok((ProposalId { by: entry.by, serial: entry.serial }, command))
+    Ok((ProposalId { proposer: entry.by, sequence: entry.serial }, command))
 }
--- a/src/cluster/consensus_log/frame.rs
+++ b/src/cluster/consensus_log/frame.rs
@@ -19,27 +19,27 @@
 /// A message that was refused. Nothing changed.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ReceiveError {
-    Large {
+    TooLarge {
         bytes: usize,
-        most: usize,
+        max_bytes: usize,
     },
-    Short(usize),
-    Version(u8),
+    TooShort(usize),
+    UnsupportedVersion(u8),
     /// Of another cluster.
-    Cluster(u64),
+    OtherCluster(u64),
     /// The check over the bytes does not agree.
-    Spoilt,
+    Corrupt,
     Undecodable(String),
     /// A kind that members do not send each other.
-    Kind(String),
+    UnexpectedType(String),
     /// For another voter: an earlier disk of this member, most likely.
-    NotMine(u64),
+    OtherRecipient(u64),
     /// Fields that no voter sends.
-    Fields(&'static str),
+    InvalidField(&'static str),
     /// Against what this voter holds.
-    Contradicts(&'static str),
+    ContradictsLog(&'static str),
     /// The consensus refused it.
-    Refused(String),
+    Rejected(String),
     /// This voter has stopped.
     Stopped(String),
 }
@@ -47,17 +47,17 @@
 impl fmt::Display for ReceiveError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            ReceiveError::Large { bytes, most } => write!(f, "{bytes} bytes, {most} at most"),
-            ReceiveError::Short(bytes) => write!(f, "{bytes} bytes are no message"),
-            ReceiveError::Version(v) => write!(f, "version {v}, {VERSION} is known"),
-            ReceiveError::Cluster(c) => write!(f, "of cluster {c:x}"),
-            ReceiveError::Spoilt => f.write_str("spoilt on its way"),
+            ReceiveError::TooLarge { bytes, max_bytes } => write!(f, "{bytes} bytes, {max_bytes} at most"),
+            ReceiveError::TooShort(bytes) => write!(f, "{bytes} bytes are no message"),
+            ReceiveError::UnsupportedVersion(v) => write!(f, "version {v}, {VERSION} is known"),
+            ReceiveError::OtherCluster(c) => write!(f, "of cluster {c:x}"),
+            ReceiveError::Corrupt => f.write_str("spoilt on its way"),
             ReceiveError::Undecodable(why) => write!(f, "undecodable: {why}"),
-            ReceiveError::Kind(kind) => write!(f, "{kind} is not for members to send"),
-            ReceiveError::NotMine(to) => write!(f, "for voter {to:x}"),
-            ReceiveError::Fields(what) => write!(f, "no voter sends {what}"),
-            ReceiveError::Contradicts(what) => write!(f, "contradicts what is held: {what}"),
-            ReceiveError::Refused(why) => write!(f, "refused: {why}"),
+            ReceiveError::UnexpectedType(kind) => write!(f, "{kind} is not for members to send"),
+            ReceiveError::OtherRecipient(to) => write!(f, "for voter {to:x}"),
+            ReceiveError::InvalidField(what) => write!(f, "no voter sends {what}"),
+            ReceiveError::ContradictsLog(what) => write!(f, "contradicts what is held: {what}"),
+            ReceiveError::Rejected(why) => write!(f, "refused: {why}"),
             ReceiveError::Stopped(why) => write!(f, "stopped: {why}"),
         }
     }
@@ -79,24 +79,24 @@
 /// message of empty entries alone.
 pub(super) fn decode(cluster: u64, most: usize, bytes: &[u8]) -> Result<Message, ReceiveError> {
     if bytes.len() > most {
-        return Err(ReceiveError::Large { bytes: bytes.len(), most });
+        return Err(ReceiveError::TooLarge { bytes: bytes.len(), max_bytes: most });
     }
     let number =
-        |b: &[u8]| b.try_into().map(u64::from_be_bytes).map_err(|_| ReceiveError::Short(bytes.len()));
+        |b: &[u8]| b.try_into().map(u64::from_be_bytes).map_err(|_| ReceiveError::TooShort(bytes.len()));
     let (Some(version), Some(of), Some(check), Some(body)) =
         (bytes.first(), bytes.get(1..9), bytes.get(9..HEAD), bytes.get(HEAD..))
     else {
-        return Err(ReceiveError::Short(bytes.len()));
+        return Err(ReceiveError::TooShort(bytes.len()));
     };
     if *version != VERSION {
-        return Err(ReceiveError::Version(*version));
+        return Err(ReceiveError::UnsupportedVersion(*version));
     }
     let of = number(of)?;
     if of != cluster {
-        return Err(ReceiveError::Cluster(of));
+        return Err(ReceiveError::OtherCluster(of));
     }
     if number(check)? != fnv(body) {
-        return Err(ReceiveError::Spoilt);
+        return Err(ReceiveError::Corrupt);
     }
     Message::parse_from_bytes(body).map_err(|e| ReceiveError::Undecodable(e.to_string()))
 }
@@ -115,10 +115,10 @@
 
 pub(super) fn check(message: &Message, held: &Held<'_>) -> Result<(), ReceiveError> {
     use MessageType::*;
-    let fields = |wrong: bool, what| if wrong { Err(ReceiveError::Fields(what)) } else { Ok(()) };
+    let fields = |wrong: bool, what| if wrong { Err(ReceiveError::InvalidField(what)) } else { Ok(()) };
     let now = message.term >= held.term;
     let against =
-        |wrong: bool, what| if wrong && now { Err(ReceiveError::Contradicts(what)) } else { Ok(()) };
+        |wrong: bool, what| if wrong && now { Err(ReceiveError::ContradictsLog(what)) } else { Ok(()) };
     let m = message;
     let kind = m.get_msg_type();
     match kind {
@@ -131,10 +131,10 @@
         | MsgHeartbeatResponse
         | MsgRequestPreVote
         | MsgRequestPreVoteResponse => {}
-        _ => return Err(ReceiveError::Kind(format!("{kind:?}"))),
+        _ => return Err(ReceiveError::UnexpectedType(format!("{kind:?}"))),
     }
     if m.to != held.me {
-        return Err(ReceiveError::NotMine(m.to));
+        return Err(ReceiveError::OtherRecipient(m.to));
     }
     fields(m.from == 0 || m.from == held.me, "as nobody, or as the receiver")?;
     fields(m.term == 0, "without a term")?;
--- a/src/cluster/consensus_log/membership.rs
+++ b/src/cluster/consensus_log/membership.rs
@@ -9,65 +9,65 @@
 
 use prost::Message as _;
 
-use super::command::{form, seat_in, seat_out, Command, FormError, Seat};
+use super::command::{form, seat_in, seat_out, Command, DecodeError, Voter};
 use crate::cluster::{Configuration, Member};
 
 /// Voters at most. Further members learn what is agreed and do not vote: each voter more is a message more for every
 /// entry, and five outlive any two.
-pub const MOST_VOTERS: usize = 5;
+pub const MAX_VOTERS: usize = 5;
 /// Members at most: the lists of members are kept and sent whole.
-pub const MOST_MEMBERS: usize = 4096;
+pub const MAX_MEMBERS: usize = 4096;
 /// Epochs that are open at most. A further change of members waits until one is closed: an epoch that was forgotten
 /// while work is pinned in it could open that work a second time.
-pub const MOST_EPOCHS: usize = 16;
+pub const MAX_OPEN_EPOCHS: usize = 16;
 /// Lives of a name that are remembered after their end. One that ended earlier and asks again was told to stop by as
 /// many successors.
 const PAST: usize = 64;
 
 /// What became of a command that was agreed on.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Outcome {
+pub enum CommandOutcome {
     /// The members changed: the configuration of this epoch stands.
-    Configured(Configuration),
+    Reconfigured(Configuration),
     /// Taken as it is: another part of the fleet acts on it.
-    Taken,
+    Accepted,
     /// It stood already; nothing changed.
-    Stood,
-    Refused(Refusal),
+    Unchanged,
+    Rejected(RejectionReason),
 }
 
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Refusal {
+pub enum RejectionReason {
     /// The name changed hands in this epoch, after the one that the asker knew.
-    Stale(u64),
+    StaleEpoch(u64),
     /// That life of the name has ended.
-    Ended,
+    IncarnationEnded,
     /// No such life counts.
-    Unknown,
+    NotAMember,
     /// The last voter does not leave.
-    Last,
+    LastRemaining,
     /// The bound on members, or on open epochs, is reached.
-    TooMany(&'static str),
+    LimitReached(&'static str),
     /// The list would be no configuration.
-    Invalid(String),
+    InvalidConfiguration(String),
 }
 
-impl fmt::Display for Refusal {
+impl fmt::Display for RejectionReason {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Refusal::Stale(epoch) => write!(f, "the name changed hands in epoch {epoch}"),
-            Refusal::Ended => f.write_str("that life of the name has ended"),
-            Refusal::Unknown => f.write_str("no such member counts"),
-            Refusal::Last => f.write_str("the last voter does not leave"),
-            Refusal::TooMany(what) => write!(f, "too many {what}"),
-            Refusal::Invalid(why) => f.write_str(why),
+            RejectionReason::StaleEpoch(epoch) => write!(f, "the name changed hands in epoch {epoch}"),
+            RejectionReason::IncarnationEnded => f.write_str("that life of the name has ended"),
+            RejectionReason::NotAMember => f.write_str("no such member counts"),
+            RejectionReason::LastRemaining => f.write_str("the last voter does not leave"),
+            RejectionReason::LimitReached(what) => write!(f, "too many {what}"),
+            RejectionReason::InvalidConfiguration(why) => f.write_str(why),
         }
     }
 }
 
 #[derive(Clone, Debug, PartialEq, Eq)]
 struct Place {
-    seat: Seat,
+    seat: Voter,
     votes: bool,
 }
 
@@ -79,21 +79,22 @@
 }
 
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Roster {
+pub struct Membership {
     places: BTreeMap<Rc<str>, Place>,
     histories: BTreeMap<Rc<str>, History>,
     epochs: VecDeque<Configuration>,
     closed: u64,
 }
 
-impl Roster {
+impl Membership {
     /// The founding members: the configuration of epoch `epoch`. The voters are spread over the zones as guards are.
-    pub fn founded(epoch: u64, seats: Vec<Seat>) -> Result<Roster, Refusal> {
+    pub fn bootstrap(epoch: u64, seats: Vec<Voter>) -> Result<Membership, RejectionReason> {
         let members: Vec<Member> = seats.iter().map(|s| s.member.clone()).collect();
-        let config = Configuration::new(epoch, members).map_err(|e| Refusal::Invalid(e.to_string()))?;
+        let config = Configuration::new(epoch, members)
+            .map_err(|e| RejectionReason::InvalidConfiguration(e.to_string()))?;
         let voters: Vec<Rc<str>> =
-            config.group(b"log", MOST_VOTERS).iter().map(|m| m.id.name.clone()).collect();
-        let mut roster = Roster::default();
+            config.group(b"log", MAX_VOTERS).iter().map(|m| m.id.name.clone()).collect();
+        let mut roster = Membership::default();
         for seat in seats {
             let name = seat.member.id.name.clone();
             let votes = voters.contains(&name);
@@ -105,20 +106,20 @@
     }
 
     /// The configurations of the open epochs, the newest last.
-    pub fn epochs(&self) -> impl DoubleEndedIterator<Item = &Configuration> {
+    pub fn open_epochs(&self) -> impl DoubleEndedIterator<Item = &Configuration> {
         self.epochs.iter()
     }
 
-    pub fn newest(&self) -> Option<&Configuration> {
+    pub fn latest(&self) -> Option<&Configuration> {
         self.epochs.back()
     }
 
     /// Epochs up to this one are closed.
-    pub fn closed(&self) -> u64 {
+    pub fn closed_epoch(&self) -> u64 {
         self.closed
     }
 
-    pub fn seats(&self) -> impl Iterator<Item = &Seat> {
+    pub fn seats(&self) -> impl Iterator<Item = &Voter> {
         self.places.values().map(|p| &p.seat)
     }
 
@@ -126,7 +127,7 @@
     pub fn voters(&self) -> (Vec<u64>, Vec<u64>) {
         let part = |votes| {
             let mut ids: Vec<u64> =
-                self.places.values().filter(|p| p.votes == votes).map(|p| p.seat.voter()).collect();
+                self.places.values().filter(|p| p.votes == votes).map(|p| p.seat.voter_id()).collect();
             ids.sort_unstable();
             ids
         };
@@ -134,24 +135,31 @@
     }
 
     /// What the entry at `index` does: the outcome, and the roster after it when it changes the roster.
-    pub fn after(&self, index: u64, command: &Command) -> (Outcome, Option<Roster>) {
+    pub fn evaluate(&self, index: u64, command: &Command) -> (CommandOutcome, Option<Membership>) {
         let changed = match command {
-            Command::Admit { seat, base } => self.admit(index, seat, *base),
+            Command::Admit { voter, known_epoch } => self.admit(index, voter, *known_epoch),
             Command::Leave(id) => match self.places.get(&id.name) {
                 Some(place) if place.seat.member.id == *id => self.leave(index, &id.name),
-                _ => Err(Refusal::Unknown),
+                _ => Err(RejectionReason::NotAMember),
             },
             Command::CloseEpoch(epoch) => return self.close(*epoch),
-            Command::Layout(_) | Command::Plan(_) | Command::Closed { .. } => return (Outcome::Taken, None),
+            Command::Layout(_) | Command::Plan(_) | Command::ClosedTimestamp { .. } => {
+                return (CommandOutcome::Accepted, None)
+            }
         };
         match changed {
-            Ok(Some((config, roster))) => (Outcome::Configured(config), Some(roster)),
-            Ok(None) => (Outcome::Stood, None),
-            Err(refusal) => (Outcome::Refused(refusal), None),
+            Ok(Some((config, roster))) => (CommandOutcome::Reconfigured(config), Some(roster)),
+            Ok(None) => (CommandOutcome::Unchanged, None),
+            Err(refusal) => (CommandOutcome::Rejected(refusal), None),
         }
     }
 
-    fn admit(&self, index: u64, seat: &Seat, base: u64) -> Result<Option<(Configuration, Roster)>, Refusal> {
+    fn admit(
+        &self,
+        index: u64,
+        seat: &Voter,
+        base: u64,
+    ) -> Result<Option<(Configuration, Membership)>, RejectionReason> {
         let name = &seat.member.id.name;
         let held = self.places.get(name);
         if held.is_some_and(|p| p.seat == *seat) {
@@ -159,37 +167,43 @@
         }
         if let Some(history) = self.histories.get(name) {
             if history.past.contains(&seat.member.id.incarnation) {
-                return Err(Refusal::Ended);
+                return Err(RejectionReason::IncarnationEnded);
             }
             if history.changed > base {
-                return Err(Refusal::Stale(history.changed));
+                return Err(RejectionReason::StaleEpoch(history.changed));
             }
         }
         if held.is_some_and(|p| p.seat.member.id == seat.member.id) {
             // One life has one disk, zone and address.
-            return Err(Refusal::Invalid("that life of the name counts with another disk or address".into()));
+            return Err(RejectionReason::InvalidConfiguration(
+                "that life of the name counts with another disk or address".into(),
+            ));
         }
         let mut next = self.clone();
         let voting = self.places.values().filter(|p| p.votes).count();
-        let votes = held.map_or(voting < MOST_VOTERS, |p| p.votes);
+        let votes = held.map_or(voting < MAX_VOTERS, |p| p.votes);
         next.end(name, index);
         next.places.insert(name.clone(), Place { seat: seat.clone(), votes });
         next.configured(index).map(Some)
     }
 
-    fn leave(&self, index: u64, name: &Rc<str>) -> Result<Option<(Configuration, Roster)>, Refusal> {
+    fn leave(
+        &self,
+        index: u64,
+        name: &Rc<str>,
+    ) -> Result<Option<(Configuration, Membership)>, RejectionReason> {
         let mut next = self.clone();
         next.end(name, index);
         next.places.remove(name);
         let voting = next.places.values().filter(|p| p.votes).count();
-        if voting < MOST_VOTERS {
+        if voting < MAX_VOTERS {
             // One who learned votes in the place of the one who left.
             if let Some(place) = next.places.values_mut().find(|p| !p.votes) {
                 place.votes = true;
             }
         }
         if !next.places.values().any(|p| p.votes) {
-            return Err(Refusal::Last);
+            return Err(RejectionReason::LastRemaining);
         }
         next.configured(index).map(Some)
     }
@@ -205,32 +219,33 @@
         }
     }
 
-    fn configured(mut self, index: u64) -> Result<(Configuration, Roster), Refusal> {
-        if self.histories.len() > MOST_MEMBERS {
-            return Err(Refusal::TooMany("members"));
+    fn configured(mut self, index: u64) -> Result<(Configuration, Membership), RejectionReason> {
+        if self.histories.len() > MAX_MEMBERS {
+            return Err(RejectionReason::LimitReached("members"));
         }
-        if self.epochs.len() >= MOST_EPOCHS {
-            return Err(Refusal::TooMany("open epochs"));
+        if self.epochs.len() >= MAX_OPEN_EPOCHS {
+            return Err(RejectionReason::LimitReached("open epochs"));
         }
         let members = self.seats().map(|s| s.member.clone()).collect();
-        let config = Configuration::new(index, members).map_err(|e| Refusal::Invalid(e.to_string()))?;
+        let config = Configuration::new(index, members)
+            .map_err(|e| RejectionReason::InvalidConfiguration(e.to_string()))?;
         self.epochs.push_back(config.clone());
         Ok((config, self))
     }
 
     /// The newest epoch stays open.
-    fn close(&self, epoch: u64) -> (Outcome, Option<Roster>) {
-        let newest = self.newest().map_or(0, Configuration::epoch);
+    fn close(&self, epoch: u64) -> (CommandOutcome, Option<Membership>) {
+        let newest = self.latest().map_or(0, Configuration::epoch);
         if epoch >= newest {
-            return (Outcome::Refused(Refusal::Last), None);
+            return (CommandOutcome::Rejected(RejectionReason::LastRemaining), None);
         }
         if epoch <= self.closed {
-            return (Outcome::Stood, None);
+            return (CommandOutcome::Unchanged, None);
         }
         let mut next = self.clone();
         next.epochs.retain(|c| c.epoch() > epoch);
         next.closed = epoch;
-        (Outcome::Taken, Some(next))
+        (CommandOutcome::Accepted, Some(next))
     }
 }
 
@@ -250,7 +265,7 @@
 #[derive(Clone, PartialEq, prost::Message)]
 struct KeptPlace {
     #[prost(message, optional, tag = "1")]
-    seat: Option<form::Seat>,
+    seat: Option<form::Voter>,
     #[prost(bool, tag = "2")]
     votes: bool,
 }
@@ -270,10 +285,10 @@
     #[prost(uint64, tag = "1")]
     epoch: u64,
     #[prost(message, repeated, tag = "2")]
-    members: Vec<form::Seat>,
+    members: Vec<form::Voter>,
 }
 
-impl Roster {
+impl Membership {
     pub(super) fn keep(&self) -> Kept {
         let place = |p: &Place| KeptPlace { seat: Some(seat_out(&p.seat)), votes: p.votes };
         let history = |(name, h): (&Rc<str>, &History)| KeptHistory {
@@ -283,7 +298,7 @@
         };
         let epoch = |c: &Configuration| KeptEpoch {
             epoch: c.epoch(),
-            members: c.members().iter().map(|m| seat_out(&Seat { member: m.clone(), disk: 0 })).collect(),
+            members: c.members().iter().map(|m| seat_out(&Voter { member: m.clone(), disk_id: 0 })).collect(),
         };
         Kept {
             places: self.places.values().map(place).collect(),
@@ -293,10 +308,10 @@
         }
     }
 
-    pub(super) fn kept(kept: Kept) -> Result<Roster, FormError> {
-        let mut roster = Roster { closed: kept.closed, ..Roster::default() };
+    pub(super) fn kept(kept: Kept) -> Result<Membership, DecodeError> {
+        let mut roster = Membership { closed: kept.closed, ..Membership::default() };
         for place in kept.places {
-            let seat = seat_in(place.seat.ok_or(FormError::Missing("a member"))?)?;
+            let seat = seat_in(place.seat.ok_or(DecodeError::MissingField("a member"))?)?;
             roster.places.insert(seat.member.id.name.clone(), Place { seat, votes: place.votes });
         }
         for h in kept.histories {
@@ -307,7 +322,7 @@
             let seats = e.members.into_iter().map(seat_in).collect::<Result<Vec<_>, _>>()?;
             let members = seats.into_iter().map(|s| s.member).collect();
             let config =
-                Configuration::new(e.epoch, members).map_err(|e| FormError::Undecodable(e.to_string()))?;
+                Configuration::new(e.epoch, members).map_err(|e| DecodeError::Undecodable(e.to_string()))?;
             roster.epochs.push_back(config);
         }
         Ok(roster)
@@ -318,7 +333,7 @@
     }
 
     /// The caller has bounded the bytes.
-    pub fn decode(bytes: &[u8]) -> Result<Roster, FormError> {
-        Roster::kept(Kept::decode(bytes)?)
+    pub fn decode(bytes: &[u8]) -> Result<Membership, DecodeError> {
+        Membership::kept(Kept::decode(bytes)?)
     }
 }
--- a/src/cluster/consensus_log/memory.rs
+++ b/src/cluster/consensus_log/memory.rs
@@ -2,12 +2,12 @@
 //! about to be: [`super::Log::ready`] gives the batch before anything that depends on it.
 use std::collections::VecDeque;
 
-use raft::eraftpb::{ConfState, Entry, HardState, Snapshot};
+use raft::eraftpb::{ConfState, Entry, HardState as RaftHardState, Snapshot};
 use raft::{Error, GetEntriesContext, RaftState, Result, StorageError};
 
 #[derive(Default)]
 pub struct Memory {
-    pub hard: HardState,
+    pub hard: RaftHardState,
     pub snapshot: Snapshot,
     /// As of the last entry that was applied.
     pub conf: ConfState,
--- a/src/cluster/consensus_log/mod.rs
+++ b/src/cluster/consensus_log/mod.rs
@@ -24,58 +24,58 @@
 
 pub use command::{decode as decode_command, encode as encode_command};
 pub(super) use command::{fnv, form, mix, seat_in, seat_out};
-pub use command::{voter, Command, FormError, ProposalId, Seat};
+pub use command::{voter_id, Command, DecodeError, ProposalId, Voter};
 pub use frame::ReceiveError;
-pub use membership::{Outcome, Refusal, Roster, MOST_EPOCHS, MOST_MEMBERS, MOST_VOTERS};
-pub use node::Log;
-pub use stored::{Batch, Hard, Stored};
+pub use membership::{CommandOutcome, Membership, RejectionReason, MAX_MEMBERS, MAX_OPEN_EPOCHS, MAX_VOTERS};
+pub use node::ConsensusLog;
+pub use stored::{Hard, StoredLog, WriteBatch};
 
 /// A name on a disk: who this voter is.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Identity {
     pub name: Rc<str>,
-    pub disk: u64,
+    pub disk_id: u64,
 }
 
 /// Bounds. Sizes are bytes.
 #[derive(Clone, Debug)]
 pub struct Limits {
     /// One message. A snapshot is one message: its state has to fit.
-    pub frame: usize,
+    pub max_frame_bytes: usize,
     /// One command, encoded.
-    pub command: usize,
+    pub max_command_bytes: usize,
     /// Commands proposed here and not agreed on yet.
-    pub under_way: usize,
+    pub max_uncommitted_bytes: usize,
     /// All entries that are held. Proposals are refused beyond it until a snapshot lets older ones go.
-    pub held: usize,
+    pub max_log_bytes: usize,
     /// Entries that stay behind a snapshot, for members that are a little behind. A snapshot is asked for after as many
     /// further ones.
-    pub keep: u64,
+    pub retained_entries: u64,
     /// Ticks without a leader until an election, at least; twice as many at most.
-    pub election: usize,
-    pub heartbeat: usize,
+    pub election_ticks: usize,
+    pub heartbeat_ticks: usize,
 }
 
 impl Default for Limits {
     fn default() -> Limits {
         Limits {
-            frame: 1 << 20,
-            command: 256 << 10,
-            under_way: 4 << 20,
-            held: 64 << 20,
-            keep: 1024,
-            election: 10,
-            heartbeat: 2,
+            max_frame_bytes: 1 << 20,
+            max_command_bytes: 256 << 10,
+            max_uncommitted_bytes: 4 << 20,
+            max_log_bytes: 64 << 20,
+            retained_entries: 1024,
+            election_ticks: 10,
+            heartbeat_ticks: 2,
         }
     }
 }
 
 /// What is to be done, in this order.
 #[derive(Debug, PartialEq)]
-pub enum LogAct {
+pub enum LogAction {
     /// Durable before the next act is begun. Where it fails, nothing that follows may be done, and the log is let go:
     /// it has already gone on in memory.
-    Persist(Batch),
+    Persist(WriteBatch),
     Send {
         to: Rc<str>,
         bytes: Vec<u8>,
@@ -84,15 +84,15 @@
     /// `others` is what [`Log::compact`] was given.
     Restored {
         index: u64,
-        roster: Roster,
-        others: Vec<u8>,
+        membership: Membership,
+        application_state: Vec<u8>,
     },
     /// Agreed on. Each member applies the same in the same order; after a restart those since the snapshot come again.
     Applied {
         index: u64,
         proposal: ProposalId,
         command: Command,
-        outcome: Outcome,
+        outcome: CommandOutcome,
     },
     /// [`Log::compact`] is wanted, with the state of the other parts as of all that was applied.
     Compact,
@@ -108,15 +108,15 @@
         leader: Option<Rc<str>>,
     },
     /// Another change of voters is under way.
-    Busy,
+    MembershipChangePending,
     /// Too much is under way, or held.
-    Full,
-    Large {
+    CapacityExceeded,
+    TooLarge {
         bytes: usize,
-        most: usize,
+        max_bytes: usize,
     },
     /// It would change nothing, and why.
-    Pointless(Outcome),
+    NoEffect(CommandOutcome),
     Stopped(String),
 }
 
@@ -125,11 +125,11 @@
         match self {
             ProposeError::NotLeader { leader: Some(name) } => write!(f, "{name} leads"),
             ProposeError::NotLeader { leader: None } => f.write_str("no leader is known"),
-            ProposeError::Busy => f.write_str("a change of voters is under way"),
-            ProposeError::Full => f.write_str("too many proposals are under way or held"),
-            ProposeError::Large { bytes, most } => write!(f, "{bytes} bytes, {most} at most"),
-            ProposeError::Pointless(Outcome::Refused(why)) => write!(f, "{why}"),
-            ProposeError::Pointless(_) => f.write_str("it stands already"),
+            ProposeError::MembershipChangePending => f.write_str("a change of voters is under way"),
+            ProposeError::CapacityExceeded => f.write_str("too many proposals are under way or held"),
+            ProposeError::TooLarge { bytes, max_bytes } => write!(f, "{bytes} bytes, {max_bytes} at most"),
+            ProposeError::NoEffect(CommandOutcome::Rejected(why)) => write!(f, "{why}"),
+            ProposeError::NoEffect(_) => f.write_str("it stands already"),
             ProposeError::Stopped(why) => write!(f, "stopped: {why}"),
         }
     }
@@ -139,56 +139,58 @@
 
 /// What was stored is no log of this voter.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum StoredError {
-    Form(FormError),
+pub enum RecoveryError {
+    Codec(DecodeError),
     /// Entries with a gap, or out of order.
     Gap(u64),
     /// Agreed on up to here, and the entries end before.
     Missing(u64),
-    Voters,
-    Limits(String),
+    InvalidVoters,
+    InvalidLimits(String),
 }
 
-impl fmt::Display for StoredError {
+impl fmt::Display for RecoveryError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            StoredError::Form(e) => write!(f, "the stored log: {e}"),
-            StoredError::Gap(index) => write!(f, "the stored log has a gap at {index}"),
-            StoredError::Missing(index) => {
+            RecoveryError::Codec(e) => write!(f, "the stored log: {e}"),
+            RecoveryError::Gap(index) => write!(f, "the stored log has a gap at {index}"),
+            RecoveryError::Missing(index) => {
                 write!(f, "the stored log ends before {index}, which was agreed on")
             }
-            StoredError::Voters => f.write_str("the stored log has impossible voters"),
-            StoredError::Limits(why) => write!(f, "limits of the log: {why}"),
+            RecoveryError::InvalidVoters => f.write_str("the stored log has impossible voters"),
+            RecoveryError::InvalidLimits(why) => write!(f, "limits of the log: {why}"),
         }
     }
 }
 
-impl std::error::Error for StoredError {}
+impl std::error::Error for RecoveryError {}
 
-impl From<FormError> for StoredError {
-    fn from(e: FormError) -> StoredError {
-        StoredError::Form(e)
+impl From<DecodeError> for RecoveryError {
+    fn from(e: DecodeError) -> RecoveryError {
+        RecoveryError::Codec(e)
     }
 }
 
 /// A state that is not kept.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum CompactError {
-    Large {
+    TooLarge {
         bytes: usize,
-        most: usize,
+        max_bytes: usize,
     },
     /// Acts are waiting: the state given can't be that after all of them.
-    NotNow,
-    Form(FormError),
+    ActionsPending,
+    Codec(DecodeError),
 }
 
 impl fmt::Display for CompactError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            CompactError::Large { bytes, most } => write!(f, "a state of {bytes} bytes, {most} at most"),
-            CompactError::NotNow => f.write_str("acts of the log are waiting"),
-            CompactError::Form(e) => write!(f, "{e}"),
+            CompactError::TooLarge { bytes, max_bytes } => {
+                write!(f, "a state of {bytes} bytes, {max_bytes} at most")
+            }
+            CompactError::ActionsPending => f.write_str("acts of the log are waiting"),
+            CompactError::Codec(e) => write!(f, "{e}"),
         }
     }
 }
--- a/src/cluster/consensus_log/node.rs
+++ b/src/cluster/consensus_log/node.rs
@@ -5,18 +5,18 @@
 use std::rc::Rc;
 
 use protobuf::Message as _;
-use raft::eraftpb::{ConfChangeV2, Entry, HardState, Message, Snapshot};
+use raft::eraftpb::{ConfChangeV2, Entry, HardState as RaftHardState, Message, Snapshot};
 use raft::{Config, ProgressState, RawNode, SnapshotStatus, StateRole, Storage as _};
 
 use self::apply::changes;
 use super::command::{self, mix, Command, ProposalId};
 use super::frame::{self, Held, ReceiveError, HEAD};
-use super::membership::{Outcome, Roster, MOST_MEMBERS};
+use super::membership::{CommandOutcome, Membership, MAX_MEMBERS};
 use super::memory::Memory;
-use super::stored::{self, Batch, Hard, Stored};
-use super::{voter, CompactError, Identity, Limits, LogAct, ProposeError, StoredError};
+use super::stored::{self, Hard, StoredLog, WriteBatch};
+use super::{voter_id, CompactError, Identity, Limits, LogAction, ProposeError, RecoveryError};
 
-pub struct Log {
+pub struct ConsensusLog {
     node: RawNode<Memory>,
     me: Identity,
     id: u64,
@@ -25,35 +25,35 @@
     seed: u64,
     serial: u64,
     ticks: u64,
-    roster: Roster,
+    roster: Membership,
     /// Names of the voters and of those who learn.
     names: BTreeMap<u64, Rc<str>>,
     applied: u64,
     leads: bool,
     wants: bool,
     stopped: Option<String>,
-    acts: Vec<LogAct>,
+    acts: Vec<LogAction>,
 }
 
-impl Log {
+impl ConsensusLog {
     /// Goes on from what is durable.
-    pub fn new(me: Identity, stored: Stored, limits: Limits) -> Result<Log, StoredError> {
-        let id = voter(&me.name, me.disk);
+    pub fn new(me: Identity, stored: StoredLog, limits: Limits) -> Result<ConsensusLog, RecoveryError> {
+        let id = voter_id(&me.name, me.disk_id);
         let mut memory = Memory::default();
-        let mut roster = Roster::default();
+        let mut roster = Membership::default();
         let mut acts = Vec::new();
         if let Some(bytes) = &stored.snapshot {
             let snapshot = Snapshot::parse_from_bytes(bytes)
-                .map_err(|e| command::FormError::Undecodable(e.to_string()))?;
+                .map_err(|e| command::DecodeError::Undecodable(e.to_string()))?;
             if !frame::plausible(snapshot.get_metadata().get_conf_state()) {
-                return Err(StoredError::Voters);
+                return Err(RecoveryError::InvalidVoters);
             }
             let (kept, others) = stored::contents(&snapshot)?;
             roster = kept;
-            acts.push(LogAct::Restored {
+            acts.push(LogAction::Restored {
                 index: snapshot.get_metadata().index,
-                roster: roster.clone(),
-                others,
+                membership: roster.clone(),
+                application_state: others,
             });
             memory.install(snapshot);
         }
@@ -64,7 +64,7 @@
             let follows =
                 entries.last().map_or(entry.index <= from + 1, |e: &Entry| entry.index == e.index + 1);
             if entry.index != *index || !follows {
-                return Err(StoredError::Gap(*index));
+                return Err(RecoveryError::Gap(*index));
             }
             entries.push(entry);
         }
@@ -75,38 +75,40 @@
             memory.base = (first.index, first.term);
         }
         memory.append(&entries);
-        let Hard { term, vote, commit } = stored.hard;
+        let Hard { term, vote, commit } = stored.hard_state;
         if commit > memory.last() || commit < from {
-            return Err(StoredError::Missing(commit.max(from)));
+            return Err(RecoveryError::Missing(commit.max(from)));
         }
-        memory.hard = HardState { term, vote, commit, ..HardState::default() };
+        memory.hard = RaftHardState { term, vote, commit, ..RaftHardState::default() };
         let config = Config {
             id,
-            election_tick: limits.election,
-            heartbeat_tick: limits.heartbeat,
-            min_election_tick: limits.election,
-            max_election_tick: limits.election.saturating_mul(2),
+            election_tick: limits.election_ticks,
+            heartbeat_tick: limits.heartbeat_ticks,
+            min_election_tick: limits.election_ticks,
+            max_election_tick: limits.election_ticks.saturating_mul(2),
             applied: from,
             // Well under a frame: one entry more than this may follow it into the message.
-            max_size_per_msg: (limits.frame.saturating_sub(limits.command + 1024) / 2) as u64,
+            max_size_per_msg: (limits.max_frame_bytes.saturating_sub(limits.max_command_bytes + 1024) / 2)
+                as u64,
             max_inflight_msgs: 64,
             check_quorum: true,
             pre_vote: true,
-            max_uncommitted_size: limits.under_way as u64,
+            max_uncommitted_size: limits.max_uncommitted_bytes as u64,
             max_committed_size_per_ready: 1 << 20,
             ..Config::default()
         };
-        if limits.command + 1024 > limits.frame {
-            return Err(StoredError::Limits("a command does not fit in a frame".into()));
+        if limits.max_command_bytes + 1024 > limits.max_frame_bytes {
+            return Err(RecoveryError::InvalidLimits("a command does not fit in a frame".into()));
         }
         let quiet = slog::Logger::root(slog::Discard, slog::o!());
-        let node = RawNode::new(&config, memory, &quiet).map_err(|e| StoredError::Limits(e.to_string()))?;
-        let mut log = Log {
+        let node =
+            RawNode::new(&config, memory, &quiet).map_err(|e| RecoveryError::InvalidLimits(e.to_string()))?;
+        let mut log = ConsensusLog {
             node,
             seed: mix(id),
             me,
             id,
-            cluster: stored.cluster,
+            cluster: stored.cluster_id,
             limits,
             serial: 0,
             ticks: 0,
@@ -128,15 +130,15 @@
         (&self.me, self.cluster)
     }
 
-    pub fn roster(&self) -> &Roster {
+    pub fn membership(&self) -> &Membership {
         &self.roster
     }
 
-    pub fn applied(&self) -> u64 {
+    pub fn applied_index(&self) -> u64 {
         self.applied
     }
 
-    pub fn leads(&self) -> bool {
+    pub fn is_leader(&self) -> bool {
         self.leads
     }
 
@@ -151,7 +153,7 @@
 
     /// A change of voters is not complete yet: those before it count beside those after it, and a disk more that is lost
     /// now may take the majority of one of the two.
-    pub fn changing(&self) -> bool {
+    pub fn has_pending_membership_change(&self) -> bool {
         self.node.raft.has_pending_conf() || !self.node.store().conf.get_voters_outgoing().is_empty()
     }
 
@@ -164,7 +166,7 @@
     pub fn tick(&mut self) {
         if self.stopped.is_none() {
             self.ticks += 1;
-            if self.leads && self.ticks.is_multiple_of(2 * self.limits.election as u64) {
+            if self.leads && self.ticks.is_multiple_of(2 * self.limits.election_ticks as u64) {
                 self.snapshots_again();
             }
             self.node.tick();
@@ -186,9 +188,9 @@
         if let Some(why) = &self.stopped {
             return Err(ReceiveError::Stopped(why.clone()));
         }
-        let message = frame::decode(self.cluster, self.limits.frame, bytes)?;
+        let message = frame::decode(self.cluster, self.limits.max_frame_bytes, bytes)?;
         if self.names.get(&message.from).is_some_and(|name| &**name != from) {
-            return Err(ReceiveError::Fields("in another's name"));
+            return Err(ReceiveError::InvalidField("in another's name"));
         }
         let log = &self.node.raft.raft_log;
         let held = Held {
@@ -200,11 +202,11 @@
             term_at: &|index| log.term(index).ok().filter(|t| *t != 0),
         };
         frame::check(&message, &held)?;
-        if !self.names.contains_key(&message.from) && self.names.len() < 2 * MOST_MEMBERS {
+        if !self.names.contains_key(&message.from) && self.names.len() < 2 * MAX_MEMBERS {
             // A member that joins knows nobody yet and has to answer.
             self.names.insert(message.from, from.into());
         }
-        let done = self.node.step(message).map_err(|e| ReceiveError::Refused(e.to_string()));
+        let done = self.node.step(message).map_err(|e| ReceiveError::Rejected(e.to_string()));
         self.time_out();
         done
     }
@@ -220,31 +222,34 @@
         }
         // A voter leads a term in one life at most: numbers of an earlier life are never given again.
         let serial = (self.serial + 1).max(self.node.raft.term << 32);
-        let proposal = ProposalId { by: self.id, serial };
+        let proposal = ProposalId { proposer: self.id, sequence: serial };
         let bytes = command::encode(proposal, command);
-        if bytes.len() > self.limits.command {
-            return Err(ProposeError::Large { bytes: bytes.len(), most: self.limits.command });
+        if bytes.len() > self.limits.max_command_bytes {
+            return Err(ProposeError::TooLarge {
+                bytes: bytes.len(),
+                max_bytes: self.limits.max_command_bytes,
+            });
         }
-        if self.node.store().bytes + bytes.len() > self.limits.held {
-            return Err(ProposeError::Full);
+        if self.node.store().bytes + bytes.len() > self.limits.max_log_bytes {
+            return Err(ProposeError::CapacityExceeded);
         }
-        let (outcome, next) = self.roster.after(self.node.raft.raft_log.last_index() + 1, command);
-        if matches!(outcome, Outcome::Stood | Outcome::Refused(_)) {
-            return Err(ProposeError::Pointless(outcome));
+        let (outcome, next) = self.roster.evaluate(self.node.raft.raft_log.last_index() + 1, command);
+        if matches!(outcome, CommandOutcome::Unchanged | CommandOutcome::Rejected(_)) {
+            return Err(ProposeError::NoEffect(outcome));
         }
         let changes = next.map_or_else(Vec::new, |next| changes(&self.roster, &next));
         let taken = if changes.is_empty() {
             self.node.propose(Vec::new(), bytes)
         } else {
-            if self.changing() {
-                return Err(ProposeError::Busy);
+            if self.has_pending_membership_change() {
+                return Err(ProposeError::MembershipChangePending);
             }
             let mut change = ConfChangeV2::default();
             change.set_changes(changes.into());
             change.set_context(bytes.into());
             self.node.propose_conf_change(Vec::new(), change)
         };
-        taken.map_err(|_| ProposeError::Full)?;
+        taken.map_err(|_| ProposeError::CapacityExceeded)?;
         self.serial = serial;
         Ok(proposal)
     }
@@ -253,41 +258,47 @@
     /// after it. Older entries go.
     pub fn compact(&mut self, others: &[u8]) -> Result<(), CompactError> {
         if self.node.has_ready() || !self.acts.is_empty() {
-            return Err(CompactError::NotNow);
+            return Err(CompactError::ActionsPending);
         }
         let memory = self.node.store();
         let term = memory.term(self.applied).unwrap_or(0);
         let made = stored::snapshot(self.applied, term, memory.conf.clone(), &self.roster, others);
-        let made = made.map_err(CompactError::Form)?;
+        let made = made.map_err(CompactError::Codec)?;
         let bytes = made
             .write_to_bytes()
-            .map_err(|e| CompactError::Form(command::FormError::Undecodable(e.to_string())))?;
-        let most = self.limits.frame.saturating_sub(HEAD + 256);
+            .map_err(|e| CompactError::Codec(command::DecodeError::Undecodable(e.to_string())))?;
+        let most = self.limits.max_frame_bytes.saturating_sub(HEAD + 256);
         if bytes.len() > most {
-            return Err(CompactError::Large { bytes: bytes.len(), most });
+            return Err(CompactError::TooLarge { bytes: bytes.len(), max_bytes: most });
         }
-        let keep = self.applied.saturating_sub(self.limits.keep);
+        let keep = self.applied.saturating_sub(self.limits.retained_entries);
         let memory = self.node.mut_store();
         memory.snapshot = made;
         memory.drop_before(keep + 1);
         // The entry before the first one stays on disk, so that its term is known after a restart.
         let first = memory.base.0;
-        let batch = Batch { hard: (&memory.hard).into(), snapshot: Some(bytes), first, ..Batch::default() };
+        let batch = WriteBatch {
+            hard_state: (&memory.hard).into(),
+            snapshot: Some(bytes),
+            first_index: first,
+            ..WriteBatch::default()
+        };
         self.wants = false;
-        self.acts.push(LogAct::Persist(batch));
+        self.acts.push(LogAction::Persist(batch));
         Ok(())
     }
 
     /// What is to be done since the last call, in order.
-    pub fn ready(&mut self) -> Vec<LogAct> {
+    pub fn ready(&mut self) -> Vec<LogAction> {
         while self.stopped.is_none() && self.node.has_ready() {
             self.step_ready();
         }
         let behind = self.applied - self.node.store().snapshot.get_metadata().index;
-        if (self.wants || behind > self.limits.keep) && self.stopped.is_none() && self.applied > 0 {
+        if (self.wants || behind > self.limits.retained_entries) && self.stopped.is_none() && self.applied > 0
+        {
             self.wants = true;
-            if !self.acts.contains(&LogAct::Compact) {
-                self.acts.push(LogAct::Compact);
+            if !self.acts.contains(&LogAction::Compact) {
+                self.acts.push(LogAction::Compact);
             }
         }
         std::mem::take(&mut self.acts)
@@ -296,7 +307,7 @@
     /// Invariant: the batch comes before every message and everything applied that rests on it.
     fn step_ready(&mut self) {
         let mut ready = self.node.ready();
-        let mut batch = Batch { first: self.node.store().base.0, ..Batch::default() };
+        let mut batch = WriteBatch { first_index: self.node.store().base.0, ..WriteBatch::default() };
         let mut write = false;
         let mut restored = None;
         if !ready.snapshot().is_empty() {
@@ -305,13 +316,14 @@
                 (Ok((roster, others)), Ok(bytes)) => {
                     let index = snapshot.get_metadata().index;
                     batch.snapshot = Some(bytes);
-                    batch.replace = Some(0);
-                    batch.first = index;
+                    batch.truncate_from = Some(0);
+                    batch.first_index = index;
                     self.node.mut_store().install(snapshot);
                     self.roster = roster.clone();
                     self.name_voters();
                     self.applied = index;
-                    restored = Some(LogAct::Restored { index, roster, others });
+                    restored =
+                        Some(LogAction::Restored { index, membership: roster, application_state: others });
                     write = true;
                 }
                 // Looked at before it was stepped: not reached.
@@ -320,7 +332,7 @@
         }
         let entries = ready.take_entries();
         if let Some(first) = entries.first() {
-            batch.replace = Some(batch.replace.unwrap_or(first.index));
+            batch.truncate_from = Some(batch.truncate_from.unwrap_or(first.index));
             for e in &entries {
                 match e.write_to_bytes() {
                     Ok(bytes) => batch.entries.push((e.index, bytes)),
@@ -337,14 +349,14 @@
             self.node.mut_store().hard = hs.clone();
         }
         if write {
-            batch.hard = (&self.node.store().hard).into();
-            self.acts.push(LogAct::Persist(batch));
+            batch.hard_state = (&self.node.store().hard).into();
+            self.acts.push(LogAction::Persist(batch));
         }
         self.acts.extend(restored);
         let leads = self.node.raft.state == StateRole::Leader;
         if leads != self.leads {
             self.leads = leads;
-            self.acts.push(LogAct::Lead(leads));
+            self.acts.push(LogAction::Lead(leads));
         }
         let mut messages = ready.take_messages();
         messages.append(&mut ready.take_persisted_messages());
@@ -370,7 +382,7 @@
             // Voters that are no more are not answered.
             let Some(to) = self.names.get(&message.to).cloned() else { continue };
             match frame::encode(self.cluster, &message) {
-                Ok(bytes) => self.acts.push(LogAct::Send { to, bytes }),
+                Ok(bytes) => self.acts.push(LogAction::Send { to, bytes }),
                 Err(_) => return self.stop("a message that can't be written"),
             }
         }
@@ -379,11 +391,11 @@
     fn stop(&mut self, why: &str) {
         self.stopped = Some(why.to_string());
         self.leads = false;
-        self.acts.push(LogAct::Stopped(why.to_string()));
+        self.acts.push(LogAction::Stopped(why.to_string()));
     }
 
     fn name_voters(&mut self) {
-        self.names = self.roster.seats().map(|s| (s.voter(), s.member.id.name.clone())).collect();
+        self.names = self.roster.seats().map(|s| (s.voter_id(), s.member.id.name.clone())).collect();
     }
 
     /// The crate draws a time-out by chance whenever term or role change, for use in later ticks: this takes its place
@@ -391,7 +403,7 @@
     fn time_out(&mut self) {
         let raft = &mut self.node.raft;
         let drawn = mix(self.seed ^ mix(raft.term << 3 | raft.state as u64));
-        let election = self.limits.election as u64;
+        let election = self.limits.election_ticks as u64;
         raft.set_randomized_election_timeout((election + drawn % election) as usize);
     }
 }
--- a/src/cluster/consensus_log/node/apply.rs
+++ b/src/cluster/consensus_log/node/apply.rs
@@ -5,10 +5,10 @@
 use raft::eraftpb::{ConfChangeSingle, ConfChangeType, ConfChangeV2, Entry, EntryType};
 
 use super::super::command;
-use super::super::membership::{Outcome, Refusal, Roster};
-use super::{Log, LogAct};
+use super::super::membership::{CommandOutcome, Membership, RejectionReason};
+use super::{ConsensusLog, LogAction};
 
-impl Log {
+impl ConsensusLog {
     pub(super) fn apply(&mut self, entries: Vec<Entry>) {
         for entry in entries {
             if self.stopped.is_some() {
@@ -39,13 +39,13 @@
         }
         // Every member reads the same bytes: what one can't read none can.
         let Ok((proposal, command)) = command::decode(data) else { return };
-        let (mut outcome, next) = self.roster.after(entry.index, &command);
+        let (mut outcome, next) = self.roster.evaluate(entry.index, &command);
         if let Some(next) = next {
             // Worked out by the leader when it proposed: another entry may have come between.
             let wanted = changes(&self.roster, &next);
             let given = change.as_ref().map_or(&[][..], |c| c.get_changes());
             if wanted != given {
-                outcome = Outcome::Refused(Refusal::Stale(entry.index));
+                outcome = CommandOutcome::Rejected(RejectionReason::StaleEpoch(entry.index));
             } else {
                 if let Some(change) = change {
                     self.change_voters(&change);
@@ -56,7 +56,7 @@
                 self.name_voters();
             }
         }
-        self.acts.push(LogAct::Applied { index: entry.index, proposal, command, outcome });
+        self.acts.push(LogAction::Applied { index: entry.index, proposal, command, outcome });
     }
 
     fn change_voters(&mut self, change: &ConfChangeV2) {
@@ -68,8 +68,8 @@
 }
 
 /// What makes the voters of one roster those of the next, in the order of their numbers.
-pub(super) fn changes(old: &Roster, new: &Roster) -> Vec<ConfChangeSingle> {
-    let roles = |roster: &Roster| -> BTreeMap<u64, ConfChangeType> {
+pub(super) fn changes(old: &Membership, new: &Membership) -> Vec<ConfChangeSingle> {
+    let roles = |roster: &Membership| -> BTreeMap<u64, ConfChangeType> {
         let (voters, learners) = roster.voters();
         let voters = voters.into_iter().map(|id| (id, ConfChangeType::AddNode));
         voters.chain(learners.into_iter().map(|id| (id, ConfChangeType::AddLearnerNode))).collect()
--- a/src/cluster/consensus_log/stored.rs
+++ b/src/cluster/consensus_log/stored.rs
@@ -1,10 +1,10 @@
 //! What a voter has on its disk, and what one step adds to it. Plain bytes: whoever keeps them needs not know the log.
 use prost::Message as _;
 use protobuf::Message as _;
-use raft::eraftpb::{ConfState, Entry, HardState, Snapshot};
+use raft::eraftpb::{ConfState, Entry, HardState as RaftHardState, Snapshot};
 
-use super::command::{FormError, Seat};
-use super::membership::{Kept, Refusal, Roster};
+use super::command::{DecodeError, Voter};
+use super::membership::{Kept, Membership, RejectionReason};
 
 /// The promises of a voter: the term it has reached, whom it voted for in it (0: nobody), and up to where it knows the
 /// log to be agreed. Of these `term` and `vote` are promises, `commit` is a help.
@@ -15,65 +15,67 @@
     pub commit: u64,
 }
 
-impl From<&HardState> for Hard {
-    fn from(hs: &HardState) -> Hard {
+impl From<&RaftHardState> for Hard {
+    fn from(hs: &RaftHardState) -> Hard {
         Hard { term: hs.term, vote: hs.vote, commit: hs.commit }
     }
 }
 
 /// What is to be made durable at once: all of it or nothing.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Batch {
-    pub hard: Hard,
+pub struct WriteBatch {
+    pub hard_state: Hard,
     /// Takes the place of the one before.
     pub snapshot: Option<Vec<u8>>,
     /// Entries from here on are replaced by `entries`.
-    pub replace: Option<u64>,
+    pub truncate_from: Option<u64>,
     pub entries: Vec<(u64, Vec<u8>)>,
     /// Entries before this one are dropped.
-    pub first: u64,
+    pub first_index: u64,
 }
 
 /// All that is durable. Empty for a member that has not been told of a cluster yet.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Stored {
+pub struct StoredLog {
     /// The number of the cluster, from its founding; 0 before it is known.
-    pub cluster: u64,
-    pub hard: Hard,
+    pub cluster_id: u64,
+    pub hard_state: Hard,
     pub snapshot: Option<Vec<u8>>,
     pub entries: Vec<(u64, Vec<u8>)>,
 }
 
-impl Stored {
+impl StoredLog {
     /// The same at every founding member: the members count in epoch 1, and the log goes on from index 1.
-    pub fn founded(cluster: u64, seats: Vec<Seat>) -> Result<Stored, Refusal> {
-        let roster = Roster::founded(1, seats)?;
+    pub fn bootstrap(cluster: u64, seats: Vec<Voter>) -> Result<StoredLog, RejectionReason> {
+        let roster = Membership::bootstrap(1, seats)?;
         let mut conf = ConfState::default();
         let (voters, learners) = roster.voters();
         conf.set_voters(voters);
         conf.set_learners(learners);
-        let snapshot = snapshot(1, 1, conf, &roster, &[]).map_err(|e| Refusal::Invalid(e.to_string()))?;
-        let bytes = snapshot.write_to_bytes().map_err(|e| Refusal::Invalid(e.to_string()))?;
+        let snapshot = snapshot(1, 1, conf, &roster, &[])
+            .map_err(|e| RejectionReason::InvalidConfiguration(e.to_string()))?;
+        let bytes =
+            snapshot.write_to_bytes().map_err(|e| RejectionReason::InvalidConfiguration(e.to_string()))?;
         let hard = Hard { term: 1, vote: 0, commit: 1 };
-        Ok(Stored { cluster, hard, snapshot: Some(bytes), entries: Vec::new() })
+        Ok(StoredLog { cluster_id: cluster, hard_state: hard, snapshot: Some(bytes), entries: Vec::new() })
     }
 
     /// A member that was told of the cluster and waits to be admitted: it has promised nothing.
-    pub fn joining(cluster: u64) -> Stored {
-        Stored { cluster, ..Stored::default() }
+    pub fn joining(cluster: u64) -> StoredLog {
+        StoredLog { cluster_id: cluster, ..StoredLog::default() }
     }
 
     /// What is durable after this batch too.
-    pub fn add(&mut self, batch: &Batch) {
-        self.hard = batch.hard;
+    pub fn apply(&mut self, batch: &WriteBatch) {
+        self.hard_state = batch.hard_state;
         if let Some(snapshot) = &batch.snapshot {
             self.snapshot = Some(snapshot.clone());
         }
-        if let Some(from) = batch.replace {
+        if let Some(from) = batch.truncate_from {
             self.entries.retain(|(index, _)| *index < from);
         }
         self.entries.extend(batch.entries.iter().cloned());
-        self.entries.retain(|(index, _)| *index >= batch.first);
+        self.entries.retain(|(index, _)| *index >= batch.first_index);
     }
 }
 
@@ -90,9 +92,9 @@
     index: u64,
     term: u64,
     conf: ConfState,
-    roster: &Roster,
+    roster: &Membership,
     others: &[u8],
-) -> Result<Snapshot, FormError> {
+) -> Result<Snapshot, DecodeError> {
     let mut snapshot = Snapshot::default();
     let data = Data { roster: Some(roster.keep()), others: others.to_vec() };
     snapshot.set_data(data.encode_to_vec().into());
@@ -102,12 +104,12 @@
     Ok(snapshot)
 }
 
-pub(super) fn contents(snapshot: &Snapshot) -> Result<(Roster, Vec<u8>), FormError> {
+pub(super) fn contents(snapshot: &Snapshot) -> Result<(Membership, Vec<u8>), DecodeError> {
     let data = Data::decode(snapshot.get_data())?;
-    let roster = Roster::kept(data.roster.ok_or(FormError::Missing("a roster"))?)?;
+    let roster = Membership::kept(data.roster.ok_or(DecodeError::MissingField("a roster"))?)?;
     Ok((roster, data.others))
 }
 
-pub(super) fn entry(bytes: &[u8]) -> Result<Entry, FormError> {
-    Entry::parse_from_bytes(bytes).map_err(|e| FormError::Undecodable(e.to_string()))
+pub(super) fn entry(bytes: &[u8]) -> Result<Entry, DecodeError> {
+    Entry::parse_from_bytes(bytes).map_err(|e| DecodeError::Undecodable(e.to_string()))
 }
--- a/src/net/cluster/store.rs
+++ b/src/net/cluster/store.rs
@@ -17,7 +17,7 @@
 
 use redb::{Database, ReadableDatabase, ReadableTable, ReadableTableMetadata, TableDefinition};
 
-use crate::cluster::consensus_log::{Batch, Hard, Stored};
+use crate::cluster::consensus_log::{Hard, StoredLog, WriteBatch};
 
 const META: TableDefinition<'_, &str, &[u8]> = TableDefinition::new("meta");
 const ENTRIES: TableDefinition<'_, u64, &[u8]> = TableDefinition::new("entries");
@@ -80,7 +80,7 @@
     pub disk: u64,
     /// How far founding is, as whoever founds wrote it; empty at first.
     pub stage: Vec<u8>,
-    pub stored: Stored,
+    pub stored: StoredLog,
 }
 
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
@@ -286,7 +286,11 @@
         }
         let Head { disk, cluster, hard, .. } = self.head;
         let stage = get("stage")?.ok_or_else(|| StoreError::Spoilt("no stage".into()))?;
-        Ok(Opened { disk, stage, stored: Stored { cluster, hard, snapshot, entries } })
+        Ok(Opened {
+            disk,
+            stage,
+            stored: StoredLog { cluster_id: cluster, hard_state: hard, snapshot, entries },
+        })
     }
 
     /// One transaction with the head, then the mark. `stage` empty: as it is.
@@ -324,10 +328,10 @@
 
     /// All of the batch is durable when this returns. After an error it may be or not, and is owed: the same batch is to
     /// be handed in again, until it is acknowledged. Written twice it is as written once.
-    pub fn persist(&mut self, batch: &Batch) -> Result<(), StoreError> {
+    pub fn persist(&mut self, batch: &WriteBatch) -> Result<(), StoreError> {
         let change = |head: &mut Head, txn: &redb::WriteTransaction| {
-            head.hard = batch.hard;
-            put(txn, batch.snapshot.as_deref(), batch.replace, &batch.entries, batch.first)
+            head.hard = batch.hard_state;
+            put(txn, batch.snapshot.as_deref(), batch.truncate_from, &batch.entries, batch.first_index)
         };
         self.write(change, &[])
     }
@@ -338,9 +342,9 @@
     }
 
     /// The log begins, in one step with the stage that says so.
-    pub fn begin(&mut self, stored: &Stored, stage: &[u8]) -> Result<(), StoreError> {
+    pub fn begin(&mut self, stored: &StoredLog, stage: &[u8]) -> Result<(), StoreError> {
         let change = |head: &mut Head, txn: &redb::WriteTransaction| {
-            (head.cluster, head.hard) = (stored.cluster, stored.hard);
+            (head.cluster, head.hard) = (stored.cluster_id, stored.hard_state);
             put(txn, stored.snapshot.as_deref(), Some(0), &stored.entries, 0)
         };
         self.write(change, stage)
--- a/tests/fleet_log/main.rs
+++ b/tests/fleet_log/main.rs
@@ -78,11 +78,11 @@
     (0..10).for_each(|_| sim.step());
     let log = sim.nodes[at].log.take().expect("a log");
     let (me, cluster) = log.identity();
-    let id = voter(&me.name, me.disk);
+    let id = voter_id(&me.name, me.disk_id);
     let other = (at + 1) % 3;
-    let (name, from) = (format!("m{other}"), sim.nodes[other].seat.voter());
+    let (name, from) = (format!("m{other}"), sim.nodes[other].seat.voter_id());
     let stored = sim.nodes[at].disk.clone();
-    let fresh = || Log::new(me.clone(), stored.clone(), Limits::default()).expect("a log");
+    let fresh = || ConsensusLog::new(me.clone(), stored.clone(), Limits::default()).expect("a log");
     let (_, last, _) = log.held();
     let wild = |sim: &mut Sim| {
         let near = [0, 1, 2, last - 1, last, last + 1, last + 9, u64::MAX][sim.pick(8)];
@@ -156,15 +156,15 @@
             let mut bytes = bytes;
             let at = sim.pick(bytes.len());
             bytes[at] ^= 1 << sim.pick(8);
-            let before = (held.term(), held.applied(), held.held());
+            let before = (held.term(), held.applied_index(), held.held());
             held.receive(&name, &bytes).expect_err("spoilt");
-            assert_eq!((held.term(), held.applied(), held.held()), before);
+            assert_eq!((held.term(), held.applied_index(), held.held()), before);
         }
     }
     println!("{taken} taken, {refused} refused");
     assert!(taken > 1000 && refused > 1000, "{taken} taken, {refused} refused");
-    let large = vec![0; Limits::default().frame + 1];
-    assert!(matches!(held.receive(&name, &large), Err(ReceiveError::Large { .. })));
+    let large = vec![0; Limits::default().max_frame_bytes + 1];
+    assert!(matches!(held.receive(&name, &large), Err(ReceiveError::TooLarge { .. })));
 }
 
 #[test]
@@ -172,59 +172,71 @@
     let (mut sim, at) = led(3, 2);
     (0..5u8).for_each(|i| drop(sim.propose(at, &Command::Plan([i].as_slice().into()))));
     (0..20).for_each(|_| sim.step());
-    let _ = sim.propose(at, &Command::Closed { ms: 1, logical: 2 });
+    let _ = sim.propose(at, &Command::ClosedTimestamp { ms: 1, logical: 2 });
     (0..20).for_each(|_| sim.step());
     let node = &sim.nodes[at];
-    let me = Identity { name: node.seat.member.id.name.clone(), disk: node.seat.disk };
-    let start = |stored: Stored| Log::new(me.clone(), stored, Limits::default()).map(|_| ());
+    let me = Identity { name: node.seat.member.id.name.clone(), disk_id: node.seat.disk_id };
+    let start = |stored: StoredLog| ConsensusLog::new(me.clone(), stored, Limits::default()).map(|_| ());
     assert_eq!(start(node.disk.clone()), Ok(()));
     let mut short = node.disk.clone();
     short.entries.truncate(2);
-    assert!(matches!(start(short), Err(StoredError::Missing(_))));
+    assert!(matches!(start(short), Err(RecoveryError::Missing(_))));
     let mut gap = node.disk.clone();
     gap.entries.remove(2);
-    assert!(matches!(start(gap), Err(StoredError::Gap(_))));
+    assert!(matches!(start(gap), Err(RecoveryError::Gap(_))));
     let mut odd = node.disk.clone();
     odd.entries[1].1 = vec![255; 9];
-    assert!(matches!(start(odd), Err(StoredError::Form(_))));
+    assert!(matches!(start(odd), Err(RecoveryError::Codec(_))));
 }
 
 #[test]
 fn one_life_of_a_name_counts_and_an_epoch_is_one_configuration() {
-    let roster = Roster::founded(1, (0..7).map(|i| seat(i, 1, i as u64)).collect()).expect("a roster");
-    assert_eq!((roster.voters().0.len(), roster.voters().1.len()), (MOST_VOTERS, 2));
-    let admit = |s: Seat, base| Command::Admit { seat: s, base };
-    assert_eq!(roster.after(9, &admit(seat(2, 1, 2), 1)).0, Outcome::Stood);
-    let (outcome, second) = roster.after(9, &admit(seat(2, 5, 2), 1));
+    let roster = Membership::bootstrap(1, (0..7).map(|i| seat(i, 1, i as u64)).collect()).expect("a roster");
+    assert_eq!((roster.voters().0.len(), roster.voters().1.len()), (MAX_VOTERS, 2));
+    let admit = |s: Voter, base| Command::Admit { voter: s, known_epoch: base };
+    assert_eq!(roster.evaluate(9, &admit(seat(2, 1, 2), 1)).0, CommandOutcome::Unchanged);
+    let (outcome, second) = roster.evaluate(9, &admit(seat(2, 5, 2), 1));
     let second = second.expect("another life");
-    assert!(matches!(outcome, Outcome::Configured(c) if c.epoch() == 9));
+    assert!(matches!(outcome, CommandOutcome::Reconfigured(c) if c.epoch() == 9));
     assert_eq!(second.voters(), roster.voters(), "the same disk is the same voter");
     // An ask that was under way meanwhile, and the life that ended.
-    assert_eq!(second.after(10, &admit(seat(2, 4, 2), 1)).0, Outcome::Refused(Refusal::Stale(9)));
-    assert_eq!(second.after(10, &admit(seat(2, 1, 2), 9)).0, Outcome::Refused(Refusal::Ended));
-    let third = second.after(11, &admit(seat(2, 6, 88), 9)).1.expect("another disk");
+    assert_eq!(
+        second.evaluate(10, &admit(seat(2, 4, 2), 1)).0,
+        CommandOutcome::Rejected(RejectionReason::StaleEpoch(9))
+    );
+    assert_eq!(
+        second.evaluate(10, &admit(seat(2, 1, 2), 9)).0,
+        CommandOutcome::Rejected(RejectionReason::IncarnationEnded)
+    );
+    let third = second.evaluate(11, &admit(seat(2, 6, 88), 9)).1.expect("another disk");
     assert_ne!(third.voters(), second.voters());
     // One who learned votes in the place of one who leaves.
-    let left = third.after(12, &Command::Leave(MemberId::new("m2", 6))).1.expect("left");
-    assert_eq!((left.voters().0.len(), left.voters().1.len()), (MOST_VOTERS, 1));
-    assert_eq!(left.after(13, &Command::Leave(MemberId::new("m2", 6))).0, Outcome::Refused(Refusal::Unknown));
+    let left = third.evaluate(12, &Command::Leave(MemberId::new("m2", 6))).1.expect("left");
+    assert_eq!((left.voters().0.len(), left.voters().1.len()), (MAX_VOTERS, 1));
+    assert_eq!(
+        left.evaluate(13, &Command::Leave(MemberId::new("m2", 6))).0,
+        CommandOutcome::Rejected(RejectionReason::NotAMember)
+    );
     // Epochs stay until they are closed, and there is a bound.
-    assert_eq!(left.epochs().map(Configuration::epoch).collect::<Vec<_>>(), [1, 9, 11, 12]);
-    assert_eq!(left.after(14, &Command::CloseEpoch(12)).0, Outcome::Refused(Refusal::Last));
-    let closed = left.after(14, &Command::CloseEpoch(9)).1.expect("closed");
-    assert_eq!(closed.epochs().map(Configuration::epoch).collect::<Vec<_>>(), [11, 12]);
+    assert_eq!(left.open_epochs().map(Configuration::epoch).collect::<Vec<_>>(), [1, 9, 11, 12]);
+    assert_eq!(
+        left.evaluate(14, &Command::CloseEpoch(12)).0,
+        CommandOutcome::Rejected(RejectionReason::LastRemaining)
+    );
+    let closed = left.evaluate(14, &Command::CloseEpoch(9)).1.expect("closed");
+    assert_eq!(closed.open_epochs().map(Configuration::epoch).collect::<Vec<_>>(), [11, 12]);
     let mut many = closed.clone();
     for life in 100.. {
-        match many.after(life, &admit(seat(3, life, 3), life)) {
+        match many.evaluate(life, &admit(seat(3, life, 3), life)) {
             (_, Some(next)) => many = next,
             (outcome, None) => {
-                assert_eq!(outcome, Outcome::Refused(Refusal::TooMany("open epochs")));
+                assert_eq!(outcome, CommandOutcome::Rejected(RejectionReason::LimitReached("open epochs")));
                 break;
             }
         }
     }
-    assert_eq!(many.epochs().count(), MOST_EPOCHS);
-    assert_eq!(Roster::decode(&many.encode()), Ok(many));
+    assert_eq!(many.open_epochs().count(), MAX_OPEN_EPOCHS);
+    assert_eq!(Membership::decode(&many.encode()), Ok(many));
 }
 
 #[test]
@@ -235,12 +247,12 @@
     let plan = |n: usize| Command::Plan(vec![0; n].into());
     let other = (at + 1) % 3;
     assert_eq!(sim.propose(other, &plan(1)), Err(ProposeError::NotLeader { leader: Some(leader) }));
-    assert!(matches!(sim.propose(at, &plan(300 << 10)), Err(ProposeError::Large { .. })));
+    assert!(matches!(sim.propose(at, &plan(300 << 10)), Err(ProposeError::TooLarge { .. })));
     let log = sim.nodes[at].log.as_mut().expect("a log");
     let refused = (0..100).find_map(|_| log.propose(&plan(200 << 10)).err());
-    assert_eq!(refused, Some(ProposeError::Full));
-    let again = Command::Admit { seat: sim.nodes[at].seat.clone(), base: 1 };
-    assert_eq!(sim.propose(at, &again), Err(ProposeError::Pointless(Outcome::Stood)));
+    assert_eq!(refused, Some(ProposeError::CapacityExceeded));
+    let again = Command::Admit { voter: sim.nodes[at].seat.clone(), known_epoch: 1 };
+    assert_eq!(sim.propose(at, &again), Err(ProposeError::NoEffect(CommandOutcome::Unchanged)));
 }
 
 #[test]
--- a/tests/fleet_log/sim.rs
+++ b/tests/fleet_log/sim.rs
@@ -34,9 +34,9 @@
 }
 
 pub struct Node {
-    pub seat: Seat,
-    pub disk: Stored,
-    pub log: Option<Log>,
+    pub seat: Voter,
+    pub disk: StoredLog,
+    pub log: Option<ConsensusLog>,
     /// What the other parts hold: the last index applied and a sum over all commands.
     state: (u64, u64),
 }
@@ -64,22 +64,22 @@
     broken: Option<String>,
 }
 
-pub fn seat(n: usize, incarnation: u64, disk: u64) -> Seat {
+pub fn seat(n: usize, incarnation: u64, disk: u64) -> Voter {
     let id = MemberId::new(&format!("m{n}"), incarnation);
     let member = Member {
         id,
         zone: format!("z{}", n % 3).as_str().into(),
         address: ([127, 0, 0, 1], n as u16 + 1).into(),
     };
-    Seat { member, disk }
+    Voter { member, disk_id: disk }
 }
 
 impl Sim {
     pub fn new(n: usize, seed: u64, limits: Limits, without: Without) -> Sim {
-        let seats: Vec<Seat> = (0..n).map(|i| seat(i, 1, mix(seed) ^ i as u64)).collect();
+        let seats: Vec<Voter> = (0..n).map(|i| seat(i, 1, mix(seed) ^ i as u64)).collect();
         let cluster = mix(seed ^ 7);
-        let stored = Stored::founded(cluster, seats.clone()).expect("a founded cluster");
-        let node = |seat: Seat| Node { seat, disk: stored.clone(), log: None, state: (0, 0) };
+        let stored = StoredLog::bootstrap(cluster, seats.clone()).expect("a founded cluster");
+        let node = |seat: Voter| Node { seat, disk: stored.clone(), log: None, state: (0, 0) };
         let mut sim = Sim {
             nodes: seats.into_iter().map(node).collect(),
             rng: Pcg64Mcg::seed_from_u64(seed),
@@ -113,9 +113,9 @@
 
     fn start(&mut self, i: usize) {
         let node = &mut self.nodes[i];
-        let me = Identity { name: node.seat.member.id.name.clone(), disk: node.seat.disk };
+        let me = Identity { name: node.seat.member.id.name.clone(), disk_id: node.seat.disk_id };
         node.state = (0, 0);
-        match Log::new(me, node.disk.clone(), self.limits.clone()) {
+        match ConsensusLog::new(me, node.disk.clone(), self.limits.clone()) {
             Ok(log) => node.log = Some(log),
             Err(e) => self.broken = Some(format!("m{i} does not start: {e}")),
         }
@@ -129,9 +129,9 @@
         let lives = self.lives;
         let node = &mut self.nodes[i];
         if !with_disk {
-            node.disk = Stored::joining(cluster);
+            node.disk = StoredLog::joining(cluster);
             if self.without != Without::NewVoter {
-                node.seat.disk = mix(lives ^ node.seat.disk);
+                node.seat.disk_id = mix(lives ^ node.seat.disk_id);
             }
         }
         node.seat.member.id.incarnation = lives;
@@ -149,7 +149,7 @@
         let Some(log) = &mut self.nodes[i].log else { return };
         let mut acts = log.ready();
         if self.without == Without::PersistFirst {
-            acts.sort_by_key(|a| !matches!(a, LogAct::Send { .. }));
+            acts.sort_by_key(|a| !matches!(a, LogAction::Send { .. }));
         }
         let upto = if crash { self.pick(acts.len() + 1) } else { acts.len() };
         for act in acts.into_iter().take(upto) {
@@ -160,9 +160,10 @@
             return;
         }
         let Some(log) = &self.nodes[i].log else { return };
-        let (roster, id) = (log.roster(), voter(&self.nodes[i].seat.member.id.name, self.nodes[i].seat.disk));
+        let (roster, id) =
+            (log.membership(), voter_id(&self.nodes[i].seat.member.id.name, self.nodes[i].seat.disk_id));
         let mut wrong = None;
-        for config in roster.epochs() {
+        for config in roster.open_epochs() {
             let known = self.epochs.entry(config.epoch()).or_insert_with(|| config.clone());
             if known != config {
                 wrong = Some(format!("two configurations of epoch {}", config.epoch()));
@@ -175,10 +176,10 @@
         self.break_if(wrong.is_some(), || wrong.unwrap_or_default());
     }
 
-    fn one(&mut self, i: usize, act: LogAct) {
+    fn one(&mut self, i: usize, act: LogAction) {
         match act {
-            LogAct::Persist(batch) => self.nodes[i].disk.add(&batch),
-            LogAct::Send { to, bytes } => {
+            LogAction::Persist(batch) => self.nodes[i].disk.apply(&batch),
+            LogAction::Send { to, bytes } => {
                 let to = self.nodes.iter().position(|n| n.seat.member.id.name == to).expect("a name");
                 let copies = if self.lossy { [1, 1, 1, 1, 2, 0][self.pick(6)] } else { 1 };
                 for _ in 0..copies {
@@ -187,13 +188,13 @@
                     self.wire.push((at, i, to, bytes.clone()));
                 }
             }
-            LogAct::Restored { index, others, .. } => {
-                let sum = others.try_into().map_or(0, u64::from_be_bytes);
+            LogAction::Restored { index, application_state, .. } => {
+                let sum = application_state.try_into().map_or(0, u64::from_be_bytes);
                 self.nodes[i].state = (index, sum);
                 let differs = self.ledger.range(..=index).next_back().is_some_and(|(_, (_, s))| *s != sum);
                 self.break_if(differs, || format!("m{i} restored another state at {index}"));
             }
-            LogAct::Applied { index, proposal, command, .. } => {
+            LogAction::Applied { index, proposal, command, .. } => {
                 let bytes = encode_command(proposal, &command);
                 let (last, sum) = self.nodes[i].state;
                 self.break_if(index <= last, || format!("m{i} applied {index} after {last}"));
@@ -203,24 +204,26 @@
                 self.break_if(known != (bytes.clone(), sum), || {
                     format!("two commands, or orders, at {index}")
                 });
-                if proposal.by == voter(&self.nodes[i].seat.member.id.name, self.nodes[i].seat.disk) {
+                if proposal.proposer
+                    == voter_id(&self.nodes[i].seat.member.id.name, self.nodes[i].seat.disk_id)
+                {
                     self.acknowledged.insert(index, bytes);
                 }
             }
-            LogAct::Compact => {
+            LogAction::Compact => {
                 let (state, log) = (self.nodes[i].state, self.nodes[i].log.as_mut());
                 if let Some(log) = log {
                     log.compact(&state.1.to_be_bytes()).expect("a snapshot");
                 }
                 self.act(i, false);
             }
-            LogAct::Lead(leads) => self.leaders += u64::from(leads),
-            LogAct::Stopped(why) => self.break_if(true, || format!("m{i} stopped: {why}")),
+            LogAction::Lead(leads) => self.leaders += u64::from(leads),
+            LogAction::Stopped(why) => self.break_if(true, || format!("m{i} stopped: {why}")),
         }
     }
 
     pub fn leader(&self) -> Option<usize> {
-        let term = |n: &Node| n.log.as_ref().filter(|l| l.leads()).map(Log::term);
+        let term = |n: &Node| n.log.as_ref().filter(|l| l.is_leader()).map(ConsensusLog::term);
         (0..self.nodes.len())
             .filter(|i| term(&self.nodes[*i]).is_some())
             .max_by_key(|i| term(&self.nodes[*i]))
@@ -266,11 +269,15 @@
         // Whoever runs and does not count asks to be admitted.
         if let Some(at) = self.leader().filter(|_| self.now.is_multiple_of(5)) {
             let log = self.nodes[at].log.as_ref().expect("a log");
-            let (base, closes) =
-                (log.roster().newest().map_or(0, Configuration::epoch), log.roster().epochs().count() > 4);
-            let missing =
-                self.nodes.iter().find(|n| n.log.is_some() && !log.roster().seats().any(|s| *s == n.seat));
-            let admit = missing.map(|n| Command::Admit { seat: n.seat.clone(), base });
+            let (base, closes) = (
+                log.membership().latest().map_or(0, Configuration::epoch),
+                log.membership().open_epochs().count() > 4,
+            );
+            let missing = self
+                .nodes
+                .iter()
+                .find(|n| n.log.is_some() && !log.membership().seats().any(|s| *s == n.seat));
+            let admit = missing.map(|n| Command::Admit { voter: n.seat.clone(), known_epoch: base });
             if let Some(admit) = admit {
                 let _ = self.propose(at, &admit);
             }
@@ -282,7 +289,7 @@
 
     /// A day of faults, then rest. What is wrong, if anything is.
     pub fn play(n: usize, seed: u64, without: Without) -> Result<Sim, String> {
-        let limits = Limits { keep: 8, ..Limits::default() };
+        let limits = Limits { retained_entries: 8, ..Limits::default() };
         let mut sim = Sim::new(n, seed, limits, without);
         sim.lossy = true;
         for round in 0..400u32 {
@@ -331,12 +338,12 @@
     /// The others run, vote, and have the newest roster.
     fn whole(&self, i: usize) -> bool {
         let Some(leader) = self.leader().and_then(|l| self.nodes[l].log.as_ref()) else { return false };
-        if leader.changing() {
+        if leader.has_pending_membership_change() {
             return false;
         }
-        let (voters, _) = leader.roster().voters();
-        let fit = |n: &Node| n.log.as_ref().is_some_and(|l| l.applied() + 2 >= leader.applied());
-        let counts = |n: &Node| voters.contains(&n.seat.voter());
+        let (voters, _) = leader.membership().voters();
+        let fit = |n: &Node| n.log.as_ref().is_some_and(|l| l.applied_index() + 2 >= leader.applied_index());
+        let counts = |n: &Node| voters.contains(&n.seat.voter_id());
         self.nodes.iter().all(counts) && self.nodes.iter().enumerate().all(|(j, n)| j == i || fit(n))
     }
 
@@ -345,11 +352,12 @@
             self.step();
             let counted = |s: &Sim, at: usize| {
                 let log = s.nodes[at].log.as_ref().expect("a log");
-                s.nodes.iter().all(|n| log.roster().seats().any(|x| *x == n.seat))
+                s.nodes.iter().all(|n| log.membership().seats().any(|x| *x == n.seat))
             };
             if let Some(at) = self.leader().filter(|at| counted(&self, *at)) {
-                let first = self.nodes[at].log.as_ref().expect("a log").applied();
-                let same = self.nodes.iter().all(|n| n.log.as_ref().is_some_and(|l| l.applied() == first));
+                let first = self.nodes[at].log.as_ref().expect("a log").applied_index();
+                let same =
+                    self.nodes.iter().all(|n| n.log.as_ref().is_some_and(|l| l.applied_index() == first));
                 if same && self.now.is_multiple_of(7) {
                     break;
                 }
@@ -363,7 +371,7 @@
             let at: Vec<_> = self
                 .nodes
                 .iter()
-                .map(|n| n.log.as_ref().map(|l| (l.applied(), l.term(), l.leads())))
+                .map(|n| n.log.as_ref().map(|l| (l.applied_index(), l.term(), l.is_leader())))
                 .collect();
             return Err(format!("seed {seed}: no rest, {states:?} {at:?} {:?}", self.refused.last()));
         }
@@ -378,5 +386,5 @@
 }
 
 fn log_leads(node: &Node) -> bool {
-    node.log.as_ref().is_some_and(Log::leads)
+    node.log.as_ref().is_some_and(ConsensusLog::is_leader)
 }
--- a/tests/fleet_parts/disk.rs
+++ b/tests/fleet_parts/disk.rs
@@ -21,7 +21,7 @@
     let (mut store, opened) = opened.expect("opened once the disk is sound");
     let written = opened.stored.entries.last().map_or(0, |(index, _)| *index);
     if written == 0 {
-        let stored = marlgap::cluster::consensus_log::Stored { cluster: 5, ..Default::default() };
+        let stored = marlgap::cluster::consensus_log::StoredLog { cluster_id: 5, ..Default::default() };
         assert!((0..TRIES).any(|_| store.begin(&stored, b"founded").is_ok()), "begun");
     }
     for n in written + 1..=BATCHES {
--- a/tests/fleet_parts/founding.rs
+++ b/tests/fleet_parts/founding.rs
@@ -2,22 +2,24 @@
 use std::collections::BTreeMap;
 use std::rc::Rc;
 
-use marlgap::cluster::bootstrap::{FoundAct, Founding, Say, Set, Stage, Stuck};
-use marlgap::cluster::consensus_log::Seat;
+use marlgap::cluster::bootstrap::{
+    Bootstrap, BootstrapError, BootstrapMessage, BootstrapState, FoundAct, InitialMembers,
+};
+use marlgap::cluster::consensus_log::Voter;
 use marlgap::cluster::{Member, MemberId};
 use rand_core::{RngCore, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 
-fn seat(n: usize, incarnation: u64, disk: u64) -> Seat {
+fn seat(n: usize, incarnation: u64, disk: u64) -> Voter {
     let id = MemberId::new(&format!("m{n}"), incarnation);
     let address = ([127, 0, 0, 1], n as u16 + 1).into();
-    Seat { member: Member { id, zone: "z".into(), address }, disk }
+    Voter { member: Member { id, zone: "z".into(), address }, disk_id: disk }
 }
 
 struct Process {
-    me: Seat,
-    founding: Founding,
-    disk: Stage,
+    me: Voter,
+    founding: Bootstrap,
+    disk: BootstrapState,
     joined: Option<u64>,
 }
 
@@ -25,21 +27,21 @@
     all: Vec<Process>,
     /// From, its life, to.
     wire: Vec<((usize, u64, usize), Vec<u8>)>,
-    stuck: Vec<Stuck>,
-    sets: BTreeMap<u64, Set>,
+    stuck: Vec<BootstrapError>,
+    sets: BTreeMap<u64, InitialMembers>,
 }
 
-fn start(of: usize, seat: Seat, disk: Stage) -> Founding {
+fn start(of: usize, seat: Voter, disk: BootstrapState) -> Bootstrap {
     let names: Vec<Rc<str>> = (0..of).map(|i| format!("m{i}").as_str().into()).collect();
-    Founding::new("accra", &names, seat, disk)
+    Bootstrap::new("accra", &names, seat, disk)
 }
 
 impl Play {
     fn new(n: usize) -> Play {
         let process = |i| {
             let me = seat(i, 1, 100 + i as u64);
-            let founding = start(n, me.clone(), Stage::Empty);
-            Process { me, founding, disk: Stage::Empty, joined: None }
+            let founding = start(n, me.clone(), BootstrapState::Empty);
+            Process { me, founding, disk: BootstrapState::Empty, joined: None }
         };
         Play {
             all: (0..n).map(process).collect(),
@@ -52,8 +54,8 @@
     fn restart(&mut self, i: usize, incarnation: u64, with_disk: bool) {
         // Its connections are gone, what it said before may still be under way.
         self.wire.retain(|m| m.0 .2 != i);
-        let old = self.all[i].me.disk;
-        let disk = if with_disk { self.all[i].disk.clone() } else { Stage::Empty };
+        let old = self.all[i].me.disk_id;
+        let disk = if with_disk { self.all[i].disk.clone() } else { BootstrapState::Empty };
         let me = seat(i, incarnation, if with_disk { old } else { 1000 * incarnation + i as u64 });
         let joined = self.all[i].joined.filter(|_| with_disk);
         let founding = start(self.all.len(), me.clone(), disk.clone());
@@ -64,18 +66,18 @@
     fn act(&mut self, i: usize, upto: usize) {
         for act in self.all[i].founding.ready().into_iter().take(upto) {
             match act {
-                FoundAct::Pin(set) => self.all[i].disk = Stage::Pinned(set),
-                FoundAct::Founded { cluster, set } => {
-                    self.sets.insert(cluster, set);
-                    self.all[i].disk = Stage::Founded(cluster);
+                FoundAct::PersistAccepted(set) => self.all[i].disk = BootstrapState::Accepted(set),
+                FoundAct::Bootstrapped { cluster_id: cluster, members } => {
+                    self.sets.insert(cluster, members);
+                    self.all[i].disk = BootstrapState::Bootstrapped(cluster);
                     self.all[i].joined = Some(cluster);
                 }
-                FoundAct::Join { cluster } => {
-                    self.all[i].disk = Stage::Founded(cluster);
-                    self.all[i].joined = Some(cluster);
+                FoundAct::Join { cluster_id } => {
+                    self.all[i].disk = BootstrapState::Bootstrapped(cluster_id);
+                    self.all[i].joined = Some(cluster_id);
                 }
                 FoundAct::Say(say) => {
-                    let (life, bytes) = (say.seat.member.id.incarnation, say.encode());
+                    let (life, bytes) = (say.voter.member.id.incarnation, say.encode());
                     let to = (0..self.all.len()).filter(|j| *j != i);
                     self.wire.extend(to.map(|j| ((i, life, j), bytes.clone())));
                 }
@@ -86,12 +88,12 @@
 
     /// Clusters in which a majority of the founders' disks takes part: these can decide.
     fn deciding(&self) -> Vec<u64> {
-        let part = |cluster: u64, set: &Set| {
-            let holds = |me: &Seat| {
-                set.seats().iter().any(|s| s.member.id.name == me.member.id.name && s.disk == me.disk)
+        let part = |cluster: u64, set: &InitialMembers| {
+            let holds = |me: &Voter| {
+                set.voters().iter().any(|s| s.member.id.name == me.member.id.name && s.disk_id == me.disk_id)
             };
             let of = |p: &&Process| p.joined == Some(cluster) && holds(&p.me);
-            2 * self.all.iter().filter(of).count() > set.seats().len()
+            2 * self.all.iter().filter(of).count() > set.voters().len()
         };
         self.sets.iter().filter(|(c, set)| part(**c, set)).map(|(c, _)| *c).collect()
     }
@@ -123,7 +125,7 @@
                 let first = play.wire.iter().position(|m| m.0 == way).expect("one");
                 let ((_, _, to), bytes) = play.wire.remove(first);
                 if calm || pick(5) > 0 {
-                    play.all[to].founding.hear(Say::decode(&bytes).expect("said"));
+                    play.all[to].founding.receive(BootstrapMessage::decode(&bytes).expect("said"));
                     let ends = !calm && pick(20) == 0;
                     play.act(to, if ends { pick(3) } else { usize::MAX });
                     if ends {
@@ -157,49 +159,54 @@
 #[test]
 fn what_can_not_be_known_is_left_to_the_operator() {
     let names: Vec<Rc<str>> = ["m0", "m1", "m2"].map(Into::into).into();
-    let set = Set::new((0..3).map(|i| seat(i, 1, i as u64)).collect());
-    let mut left = Founding::new("accra", &names, seat(0, 2, 0), Stage::Pinned(set));
+    let set = InitialMembers::new((0..3).map(|i| seat(i, 1, i as u64)).collect());
+    let mut left = Bootstrap::new("accra", &names, seat(0, 2, 0), BootstrapState::Accepted(set));
     for i in 1..3 {
-        left.hear(Say { seat: seat(i, 2, 77), stage: Stage::Empty });
+        left.receive(BootstrapMessage { voter: seat(i, 2, 77), state: BootstrapState::Empty });
     }
-    let lost = Stuck::Lost(vec!["m1".into(), "m2".into()]);
+    let lost = BootstrapError::MajorityLost(vec!["m1".into(), "m2".into()]);
     assert!(left.ready().contains(&FoundAct::Stuck(lost)), "both may have gone on without it");
 
-    let mut founded = Founding::new("accra", &names, seat(0, 2, 0), Stage::Founded(5));
-    founded.hear(Say { seat: seat(1, 1, 1), stage: Stage::Founded(6) });
-    let foreign = Stuck::Foreign { name: "m1".into(), cluster: 6 };
+    let mut founded = Bootstrap::new("accra", &names, seat(0, 2, 0), BootstrapState::Bootstrapped(5));
+    founded.receive(BootstrapMessage { voter: seat(1, 1, 1), state: BootstrapState::Bootstrapped(6) });
+    let foreign = BootstrapError::OtherCluster { name: "m1".into(), cluster_id: 6 };
     assert!(founded.ready().contains(&FoundAct::Stuck(foreign)));
-    assert_eq!(founded.stage(), &Stage::Founded(5));
+    assert_eq!(founded.state(), &BootstrapState::Bootstrapped(5));
 }
 
 #[test]
 fn a_founded_cluster_is_joined_and_one_member_founds_alone() {
     let names: Vec<Rc<str>> = ["m0", "m1"].map(Into::into).into();
-    let mut new = Founding::new("accra", &names, seat(0, 2, 9), Stage::Empty);
-    new.hear(Say { seat: seat(1, 1, 1), stage: Stage::Founded(6) });
-    assert!(new.ready().contains(&FoundAct::Join { cluster: 6 }));
-    let mut alone = Founding::new("accra", &names[..1], seat(0, 1, 9), Stage::Empty);
+    let mut new = Bootstrap::new("accra", &names, seat(0, 2, 9), BootstrapState::Empty);
+    new.receive(BootstrapMessage { voter: seat(1, 1, 1), state: BootstrapState::Bootstrapped(6) });
+    assert!(new.ready().contains(&FoundAct::Join { cluster_id: 6 }));
+    let mut alone = Bootstrap::new("accra", &names[..1], seat(0, 1, 9), BootstrapState::Empty);
     let acts = alone.ready();
-    let pin = acts.iter().position(|a| matches!(a, FoundAct::Pin(_)));
-    let founded = acts.iter().position(|a| matches!(a, FoundAct::Founded { .. }));
+    let pin = acts.iter().position(|a| matches!(a, FoundAct::PersistAccepted(_)));
+    let founded = acts.iter().position(|a| matches!(a, FoundAct::Bootstrapped { .. }));
     assert!(pin < founded && pin.is_some(), "{acts:?}");
 }
 
 #[test]
 fn what_is_said_is_durable_before() {
     let names: Vec<Rc<str>> = ["m0", "m1"].map(Into::into).into();
-    let mut member = Founding::new("accra", &names, seat(0, 1, 0), Stage::Empty);
-    let set = Set::new((0..2).map(|i| seat(i, 1, i as u64)).collect());
+    let mut member = Bootstrap::new("accra", &names, seat(0, 1, 0), BootstrapState::Empty);
+    let set = InitialMembers::new((0..2).map(|i| seat(i, 1, i as u64)).collect());
     let at = |acts: &[FoundAct], what: &FoundAct| acts.iter().position(|a| a == what).expect("an act");
-    let say = |stage| FoundAct::Say(Say { seat: seat(0, 1, 0), stage });
-    member.hear(Say { seat: seat(1, 1, 1), stage: Stage::Empty });
+    let say = |stage| FoundAct::Say(BootstrapMessage { voter: seat(0, 1, 0), state: stage });
+    member.receive(BootstrapMessage { voter: seat(1, 1, 1), state: BootstrapState::Empty });
     let acts = member.ready();
-    assert!(at(&acts, &FoundAct::Pin(set.clone())) < at(&acts, &say(Stage::Pinned(set.clone()))), "{acts:?}");
-    member.hear(Say { seat: seat(1, 1, 1), stage: Stage::Pinned(set.clone()) });
+    assert!(
+        at(&acts, &FoundAct::PersistAccepted(set.clone()))
+            < at(&acts, &say(BootstrapState::Accepted(set.clone()))),
+        "{acts:?}"
+    );
+    member.receive(BootstrapMessage { voter: seat(1, 1, 1), state: BootstrapState::Accepted(set.clone()) });
     let acts = member.ready();
-    let cluster = set.cluster("accra");
+    let cluster = set.cluster_id("accra");
     assert!(
-        at(&acts, &FoundAct::Founded { cluster, set }) < at(&acts, &say(Stage::Founded(cluster))),
+        at(&acts, &FoundAct::Bootstrapped { cluster_id: cluster, members: set })
+            < at(&acts, &say(BootstrapState::Bootstrapped(cluster))),
         "{acts:?}"
     );
 }
@@ -207,12 +214,12 @@
 #[test]
 fn only_a_disk_of_the_pinned_set_frees_its_pin() {
     let names: Vec<Rc<str>> = ["m0", "m1", "m2"].map(Into::into).into();
-    let set = Set::new((0..3).map(|i| seat(i, 1, i as u64)).collect());
-    let mut member = Founding::new("accra", &names, seat(0, 1, 0), Stage::Pinned(set.clone()));
+    let set = InitialMembers::new((0..3).map(|i| seat(i, 1, i as u64)).collect());
+    let mut member = Bootstrap::new("accra", &names, seat(0, 1, 0), BootstrapState::Accepted(set.clone()));
     // The disk that m1 had before may be the one with which the set was founded.
-    member.hear(Say { seat: seat(1, 2, 77), stage: Stage::Founded(6) });
-    assert_eq!(member.stage(), &Stage::Pinned(set));
-    member.hear(Say { seat: seat(2, 1, 2), stage: Stage::Founded(6) });
-    assert_eq!(member.stage(), &Stage::Founded(6));
-    assert!(member.ready().contains(&FoundAct::Join { cluster: 6 }));
+    member.receive(BootstrapMessage { voter: seat(1, 2, 77), state: BootstrapState::Bootstrapped(6) });
+    assert_eq!(member.state(), &BootstrapState::Accepted(set));
+    member.receive(BootstrapMessage { voter: seat(2, 1, 2), state: BootstrapState::Bootstrapped(6) });
+    assert_eq!(member.state(), &BootstrapState::Bootstrapped(6));
+    assert!(member.ready().contains(&FoundAct::Join { cluster_id: 6 }));
 }
--- a/tests/fleet_parts/store.rs
+++ b/tests/fleet_parts/store.rs
@@ -3,7 +3,7 @@
 use std::path::{Path, PathBuf};
 use std::process::{Command, Stdio};
 
-use marlgap::cluster::consensus_log::{Batch, Hard, Stored};
+use marlgap::cluster::consensus_log::{Hard, StoredLog, WriteBatch};
 use marlgap::net::cluster::store::{Opened, Store, StoreError};
 use rand_core::{RngCore, SeedableRng};
 use rand_pcg::Pcg64Mcg;
@@ -35,23 +35,29 @@
 }
 
 /// Entries come and are replaced, terms rise, snapshots let older entries go.
-pub fn batch(n: u64) -> Batch {
+pub fn batch(n: u64) -> WriteBatch {
     let entries = vec![(n, format!("entry {n} ").repeat(n as usize % 9 + 1).into_bytes())];
     let hard = Hard { term: n, vote: n * 7, commit: n.saturating_sub(2) };
     let snapshot = n.is_multiple_of(10).then(|| vec![n as u8; 300]);
-    Batch { hard, snapshot, replace: Some(n), entries, first: n.saturating_sub(30) }
+    WriteBatch {
+        hard_state: hard,
+        snapshot,
+        truncate_from: Some(n),
+        entries,
+        first_index: n.saturating_sub(30),
+    }
 }
 
-pub fn after(n: u64) -> Stored {
-    let mut stored = Stored { cluster: 5, ..Stored::default() };
-    (1..=n).for_each(|i| stored.add(&batch(i)));
+pub fn after(n: u64) -> StoredLog {
+    let mut stored = StoredLog { cluster_id: 5, ..StoredLog::default() };
+    (1..=n).for_each(|i| stored.apply(&batch(i)));
     stored
 }
 
 fn filled(path: &Path, batches: u64) -> Store {
     let (mut store, opened) = Store::open(path, 77).expect("a new store");
     assert_eq!(opened, Opened { disk: 77, ..Opened::default() });
-    store.begin(&Stored { cluster: 5, ..Stored::default() }, b"founded").expect("written");
+    store.begin(&StoredLog { cluster_id: 5, ..StoredLog::default() }, b"founded").expect("written");
     (1..=batches).for_each(|n| store.persist(&batch(n)).expect("written"));
     store
 }
@@ -140,10 +146,10 @@
 fn writes_until_it_is_killed() {
     let Ok(path) = std::env::var("MARLGAP_STORE_CHILD") else { return };
     let (mut store, opened) = Store::open(Path::new(&path), 77).expect("a store");
-    if opened.stored.cluster == 0 {
-        store.begin(&Stored { cluster: 5, ..Stored::default() }, b"founded").expect("written");
+    if opened.stored.cluster_id == 0 {
+        store.begin(&StoredLog { cluster_id: 5, ..StoredLog::default() }, b"founded").expect("written");
     }
-    for n in opened.stored.hard.term + 1.. {
+    for n in opened.stored.hard_state.term + 1.. {
         store.persist(&batch(n)).expect("written");
         println!("ACK {n}");
     }
@@ -180,7 +186,7 @@
             last = line.split_once("ACK ").and_then(|(_, n)| n.parse().ok()).unwrap_or(last);
         }
         let (store, opened) = Store::open(&path, 1).expect("opened");
-        let held = opened.stored.hard.term;
+        let held = opened.stored.hard_state.term;
         assert!((last..=last + 1).contains(&held), "round {round}: {held} is held, {last} was acknowledged");
         assert_eq!(opened.stored, after(held), "round {round}");
         drop(store);
--- a/tests/golden_store/bootstrap.rs
+++ b/tests/golden_store/bootstrap.rs
@@ -1,24 +1,24 @@
 //! Founding: what members say to each other before there is a log, and the set that they pin on their disks.
 use marlgap::cluster::bootstrap::first_configuration::{Kind, Life, Note, Round};
-use marlgap::cluster::bootstrap::{Say, Set, Stage};
+use marlgap::cluster::bootstrap::{BootstrapMessage, BootstrapState, InitialMembers};
 use marlgap::net::cluster::frames::{parse, Frame, Hello, VERSION};
 use prost::Message as _;
 
 use crate::fixture::{names, record, records, Records};
 use crate::sample::{next_life, seat, seats, CLUSTER};
 
-fn says() -> Vec<(&'static str, Say)> {
-    let say = |number, stage| Say { seat: seat(number), stage };
+fn says() -> Vec<(&'static str, BootstrapMessage)> {
+    let say = |number, stage| BootstrapMessage { voter: seat(number), state: stage };
     vec![
-        ("say-empty", say(0, Stage::Empty)),
-        ("say-pinned", say(1, Stage::Pinned(Set::new(seats(3))))),
-        ("say-founded", say(2, Stage::Founded(CLUSTER))),
+        ("say-empty", say(0, BootstrapState::Empty)),
+        ("say-pinned", say(1, BootstrapState::Accepted(InitialMembers::new(seats(3))))),
+        ("say-founded", say(2, BootstrapState::Bootstrapped(CLUSTER))),
     ]
 }
 
 fn found_records() -> Records {
     let says = says().into_iter().map(|(name, say)| (name.to_string(), say.encode()));
-    let set = ("set".to_string(), Set::new(seats(3)).encode());
+    let set = ("set".to_string(), InitialMembers::new(seats(3)).encode());
     says.chain([set]).collect()
 }
 
@@ -27,13 +27,13 @@
     let golden = records("found.hex", found_records);
     assert_eq!(names(&golden), ["say-empty", "say-pinned", "say-founded", "set"]);
     for (name, say) in says() {
-        let read = Say::decode(record(&golden, name)).expect(name);
-        assert_eq!(read.seat.member.id.name, say.seat.member.id.name, "{name}");
-        assert_eq!(read.seat.member.id.incarnation, say.seat.member.id.incarnation, "{name}");
-        assert_eq!(read.seat.member.zone, say.seat.member.zone, "{name}");
-        assert_eq!(read.seat.member.address, say.seat.member.address, "{name}");
-        assert_eq!(read.seat.disk, say.seat.disk, "{name}");
-        assert_eq!(read.stage, say.stage, "{name}");
+        let read = BootstrapMessage::decode(record(&golden, name)).expect(name);
+        assert_eq!(read.voter.member.id.name, say.voter.member.id.name, "{name}");
+        assert_eq!(read.voter.member.id.incarnation, say.voter.member.id.incarnation, "{name}");
+        assert_eq!(read.voter.member.zone, say.voter.member.zone, "{name}");
+        assert_eq!(read.voter.member.address, say.voter.member.address, "{name}");
+        assert_eq!(read.voter.disk_id, say.voter.disk_id, "{name}");
+        assert_eq!(read.state, say.state, "{name}");
         assert_eq!(read.encode(), record(&golden, name), "{name}");
     }
 }
@@ -41,11 +41,11 @@
 #[test]
 fn a_pinned_set_is_read_and_gives_the_same_cluster() {
     let golden = records("found.hex", found_records);
-    let set = Set::decode(record(&golden, "set")).expect("a set");
-    assert_eq!(set.seats(), seats(3));
+    let set = InitialMembers::decode(record(&golden, "set")).expect("a set");
+    assert_eq!(set.voters(), seats(3));
     assert_eq!(set.encode(), record(&golden, "set"));
     // The number of a cluster is kept on every disk of it: another build has to work out the same.
-    assert_eq!(set.cluster("accra"), SET_CLUSTER);
+    assert_eq!(set.cluster_id("accra"), SET_CLUSTER);
 }
 
 const SET_CLUSTER: u64 = 9_022_134_833_960_559_442;
--- a/tests/golden_store/frames.rs
+++ b/tests/golden_store/frames.rs
@@ -3,7 +3,9 @@
 use std::hash::Hasher;
 use std::rc::Rc;
 
-use marlgap::cluster::consensus_log::{voter, Command, Identity, Limits, Log, LogAct, Stored};
+use marlgap::cluster::consensus_log::{
+    voter_id, Command, ConsensusLog, Identity, Limits, LogAction, StoredLog,
+};
 use protobuf::Message as _;
 use raft::eraftpb::{Message, MessageType};
 
@@ -14,7 +16,7 @@
 const HEAD: usize = 1 + 8 + 8;
 
 struct Trio {
-    logs: Vec<Log>,
+    logs: Vec<ConsensusLog>,
     /// Cut from the others.
     apart: Option<usize>,
     sent: Records,
@@ -25,13 +27,13 @@
 }
 
 fn number(id: u64) -> usize {
-    (0..3).find(|n| voter(&name(*n), seat(*n).disk) == id).expect("a voter")
+    (0..3).find(|n| voter_id(&name(*n), seat(*n).disk_id) == id).expect("a voter")
 }
 
-fn start(number: usize) -> Log {
-    let stored = Stored::founded(CLUSTER, seats(3)).expect("a founded cluster");
-    let me = Identity { name: name(number), disk: seat(number).disk };
-    Log::new(me, stored, Limits { keep: 2, ..Limits::default() }).expect("a log")
+fn start(number: usize) -> ConsensusLog {
+    let stored = StoredLog::bootstrap(CLUSTER, seats(3)).expect("a founded cluster");
+    let me = Identity { name: name(number), disk_id: seat(number).disk_id };
+    ConsensusLog::new(me, stored, Limits { retained_entries: 2, ..Limits::default() }).expect("a log")
 }
 
 fn message(frame: &[u8]) -> Message {
@@ -46,8 +48,10 @@
             for (from, log) in self.logs.iter_mut().enumerate() {
                 for act in log.ready() {
                     match act {
-                        LogAct::Send { to, bytes } => wire.push_back((from, to, bytes)),
-                        LogAct::Compact => wire.extend(compact(log).into_iter().map(|(to, b)| (from, to, b))),
+                        LogAction::Send { to, bytes } => wire.push_back((from, to, bytes)),
+                        LogAction::Compact => {
+                            wire.extend(compact(log).into_iter().map(|(to, b)| (from, to, b)))
+                        }
                         _ => {}
                     }
                 }
@@ -65,15 +69,15 @@
     }
 
     fn tick(&mut self) {
-        self.logs.iter_mut().for_each(Log::tick);
+        self.logs.iter_mut().for_each(ConsensusLog::tick);
         self.settle();
     }
 }
 
-fn compact(log: &mut Log) -> Vec<(Rc<str>, Vec<u8>)> {
+fn compact(log: &mut ConsensusLog) -> Vec<(Rc<str>, Vec<u8>)> {
     log.compact(b"other parts").expect("a snapshot");
     let sends = |act| match act {
-        LogAct::Send { to, bytes } => Some((to, bytes)),
+        LogAction::Send { to, bytes } => Some((to, bytes)),
         _ => None,
     };
     log.ready().into_iter().filter_map(sends).collect()
@@ -82,11 +86,11 @@
 /// An election, entries, and a voter that was cut off so long that it needs a snapshot.
 fn first_of_each_kind() -> Records {
     let mut trio = Trio { logs: (0..3).map(start).collect(), apart: None, sent: Vec::new() };
-    while !trio.logs.iter().any(Log::leads) {
+    while !trio.logs.iter().any(ConsensusLog::is_leader) {
         trio.tick();
     }
     (0..4).for_each(|_| trio.tick());
-    let leader = trio.logs.iter().position(Log::leads).expect("a leader");
+    let leader = trio.logs.iter().position(ConsensusLog::is_leader).expect("a leader");
     trio.apart = Some((leader + 1) % 3);
     for step in 0..8u8 {
         trio.logs[leader].propose(&Command::Plan([b'p', step].as_slice().into())).expect("taken");
@@ -137,14 +141,14 @@
         let mut log = start(number(sent.to));
         log.receive(&name(number(sent.from)), frame).expect(kind);
         let acts = log.ready();
-        let answered = acts.iter().any(|act| matches!(act, LogAct::Send { .. }));
+        let answered = acts.iter().any(|act| matches!(act, LogAction::Send { .. }));
         assert!(answered, "{kind}: {acts:?}");
         if sent.get_msg_type() == MessageType::MsgSnapshot {
-            let restored = |act: &LogAct| match act {
-                LogAct::Restored { index, roster, others } => {
+            let restored = |act: &LogAction| match act {
+                LogAction::Restored { index, membership, application_state } => {
                     *index == sent.get_snapshot().get_metadata().index
-                        && roster.seats().cloned().collect::<Vec<_>>() == seats(3)
-                        && others == b"other parts"
+                        && membership.seats().cloned().collect::<Vec<_>>() == seats(3)
+                        && application_state == b"other parts"
                 }
                 _ => false,
             };
--- a/tests/golden_store/log.rs
+++ b/tests/golden_store/log.rs
@@ -1,7 +1,7 @@
 //! The replicated log: a command of each kind, the roster, and the snapshot that a voter keeps and sends.
 use marlgap::cluster::consensus_log::{
-    decode_command, encode_command, voter, Batch, Command, Hard, Identity, Limits, Log, LogAct, Outcome,
-    Roster, Stored,
+    decode_command, encode_command, voter_id, Command, CommandOutcome, ConsensusLog, Hard, Identity, Limits,
+    LogAction, Membership, StoredLog, WriteBatch,
 };
 
 use crate::fixture::{names, record, records, Records};
@@ -18,8 +18,8 @@
     assert_eq!(names(&golden), ["admit", "leave", "close-epoch", "layout", "plan", "closed"]);
     for (name, command) in commands() {
         let (proposal, read) = decode_command(record(&golden, name)).expect(name);
-        assert_eq!(proposal.by, PROPOSAL.by, "{name}");
-        assert_eq!(proposal.serial, PROPOSAL.serial, "{name}");
+        assert_eq!(proposal.proposer, PROPOSAL.proposer, "{name}");
+        assert_eq!(proposal.sequence, PROPOSAL.sequence, "{name}");
         assert_eq!(read, command, "{name}");
         assert_eq!(encode_command(proposal, &read), record(&golden, name), "{name}");
     }
@@ -27,23 +27,23 @@
 
 #[test]
 fn the_number_of_a_voter_stays() {
-    assert_eq!(voter("oslo", seat(2).disk), OSLO);
+    assert_eq!(voter_id("oslo", seat(2).disk_id), OSLO);
 }
 
 const OSLO: u64 = 4_685_882_829_923_860_291;
 
 /// Six members in epoch 1, of whom one learns only; one in its second life; one that left and came back; an epoch that
 /// is closed.
-fn roster() -> Roster {
+fn roster() -> Membership {
     let steps = [
-        (401, Command::Admit { seat: next_life(seat(1)), base: 1 }),
+        (401, Command::Admit { voter: next_life(seat(1)), known_epoch: 1 }),
         (402, Command::Leave(seat(3).member.id)),
         (403, Command::CloseEpoch(1)),
     ];
-    let mut roster = Roster::founded(1, seats(6)).expect("a roster");
+    let mut roster = Membership::bootstrap(1, seats(6)).expect("a roster");
     for (index, command) in steps {
-        let (outcome, next) = roster.after(index, &command);
-        assert!(matches!(outcome, Outcome::Configured(_) | Outcome::Taken), "{outcome:?}");
+        let (outcome, next) = roster.evaluate(index, &command);
+        assert!(matches!(outcome, CommandOutcome::Reconfigured(_) | CommandOutcome::Accepted), "{outcome:?}");
         roster = next.expect("a change");
     }
     roster
@@ -53,36 +53,36 @@
 fn a_roster_is_read() {
     let golden = records("roster.hex", || vec![("roster".into(), roster().encode())]);
     assert_eq!(names(&golden), ["roster"]);
-    let read = Roster::decode(record(&golden, "roster")).expect("a roster");
+    let read = Membership::decode(record(&golden, "roster")).expect("a roster");
     // Its histories have no accessor: they are compared as a whole, and by what they refuse.
     assert_eq!(read, roster());
-    let again = Command::Admit { seat: seat(1), base: 500 };
-    assert!(matches!(read.after(500, &again).0, Outcome::Refused(_)), "its first life has ended");
+    let again = Command::Admit { voter: seat(1), known_epoch: 500 };
+    assert!(matches!(read.evaluate(500, &again).0, CommandOutcome::Rejected(_)), "its first life has ended");
     let members = [seat(0), next_life(seat(1)), seat(2), seat(4), seat(5)];
     assert_eq!(read.seats().cloned().collect::<Vec<_>>(), members);
-    assert_eq!(read.closed(), 1);
-    assert_eq!(read.epochs().map(|config| config.epoch()).collect::<Vec<_>>(), [401, 402]);
+    assert_eq!(read.closed_epoch(), 1);
+    assert_eq!(read.open_epochs().map(|config| config.epoch()).collect::<Vec<_>>(), [401, 402]);
     let listed: Vec<_> = members.iter().map(|seat| seat.member.clone()).collect();
-    assert_eq!(read.newest().map(|config| config.members().to_vec()), Some(listed));
+    assert_eq!(read.latest().map(|config| config.members().to_vec()), Some(listed));
     assert_eq!(read.voters(), roster().voters());
     assert_eq!(read.encode(), record(&golden, "roster"));
 }
 
 /// A voter alone, whose log holds a command of each kind, and a snapshot of the state after some of them.
-pub fn lone_voter() -> Stored {
-    let mut stored = Stored::founded(CLUSTER, seats(1)).expect("a founded cluster");
-    let limits = Limits { keep: 100, ..Limits::default() };
-    let mut log = Log::new(lone_identity(), stored.clone(), limits).expect("a log");
-    while !log.leads() {
+pub fn lone_voter() -> StoredLog {
+    let mut stored = StoredLog::bootstrap(CLUSTER, seats(1)).expect("a founded cluster");
+    let limits = Limits { retained_entries: 100, ..Limits::default() };
+    let mut log = ConsensusLog::new(lone_identity(), stored.clone(), limits).expect("a log");
+    while !log.is_leader() {
         log.tick();
         keep(&mut log, &mut stored);
     }
     let steps = [
-        Command::Admit { seat: next_life(seat(0)), base: 1 },
+        Command::Admit { voter: next_life(seat(0)), known_epoch: 1 },
         Command::CloseEpoch(1),
         Command::Layout(b"a layout".as_slice().into()),
         Command::Plan(b"a plan".as_slice().into()),
-        Command::Closed { ms: 1_700_000_000_123, logical: 45 },
+        Command::ClosedTimestamp { ms: 1_700_000_000_123, logical: 45 },
     ];
     for command in &steps {
         log.propose(command).expect("taken");
@@ -91,19 +91,19 @@
     log.compact(b"other parts").expect("a snapshot");
     keep(&mut log, &mut stored);
     // A new voter as the last one: the entry is a change of voters, and is not agreed on while it does not answer.
-    log.propose(&Command::Admit { seat: seat(2), base: 3 }).expect("taken");
+    log.propose(&Command::Admit { voter: seat(2), known_epoch: 3 }).expect("taken");
     keep(&mut log, &mut stored);
     stored
 }
 
 fn lone_identity() -> Identity {
-    Identity { name: seat(0).member.id.name, disk: seat(0).disk }
+    Identity { name: seat(0).member.id.name, disk_id: seat(0).disk_id }
 }
 
-fn keep(log: &mut Log, stored: &mut Stored) {
+fn keep(log: &mut ConsensusLog, stored: &mut StoredLog) {
     for act in log.ready() {
-        if let LogAct::Persist(batch) = act {
-            stored.add(&batch);
+        if let LogAction::Persist(batch) = act {
+            stored.apply(&batch);
         }
     }
 }
@@ -124,21 +124,26 @@
         entries.push((index, bytes.clone()));
     }
     let snapshot = record(&golden, "snapshot").to_vec();
-    let hard = Hard { term: 2, vote: voter("bonn", seat(0).disk), commit: 7 };
-    let stored = Stored { cluster: CLUSTER, hard, snapshot: Some(snapshot.clone()), entries };
+    let hard = Hard { term: 2, vote: voter_id("bonn", seat(0).disk_id), commit: 7 };
+    let stored =
+        StoredLog { cluster_id: CLUSTER, hard_state: hard, snapshot: Some(snapshot.clone()), entries };
     assert_eq!(stored, lone_voter(), "this build writes the same snapshot and entries");
 
     // Without the entries: the snapshot alone, which is made again at the same place.
-    let alone = Stored { entries: Vec::new(), ..stored.clone() };
-    let mut log = Log::new(lone_identity(), alone, Limits::default()).expect("a log");
+    let alone = StoredLog { entries: Vec::new(), ..stored.clone() };
+    let mut log = ConsensusLog::new(lone_identity(), alone, Limits::default()).expect("a log");
     let acts = log.ready();
-    let [LogAct::Restored { index: 7, roster, others }] = &acts[..] else { panic!("{acts:?}") };
-    assert_eq!(others, b"other parts");
-    assert_eq!(roster.seats().cloned().collect::<Vec<_>>(), [next_life(seat(0))]);
-    assert_eq!(roster.closed(), 1);
-    assert_eq!(roster.epochs().map(|config| config.epoch()).collect::<Vec<_>>(), [3]);
+    let [LogAction::Restored { index: 7, membership, application_state }] = &acts[..] else {
+        panic!("{acts:?}")
+    };
+    assert_eq!(application_state, b"other parts");
+    assert_eq!(membership.voters().cloned().collect::<Vec<_>>(), [next_life(seat(0))]);
+    assert_eq!(membership.closed_epoch(), 1);
+    assert_eq!(membership.open_epochs().map(|config| config.epoch()).collect::<Vec<_>>(), [3]);
     log.compact(b"other parts").expect("a snapshot");
     let acts = log.ready();
-    let [LogAct::Persist(Batch { snapshot: Some(again), .. })] = &acts[..] else { panic!("{acts:?}") };
+    let [LogAction::Persist(WriteBatch { snapshot: Some(again), .. })] = &acts[..] else {
+        panic!("{acts:?}")
+    };
     assert_eq!(*again, snapshot);
 }
--- a/tests/golden_store/sample.rs
+++ b/tests/golden_store/sample.rs
@@ -1,12 +1,12 @@
 //! Values that all fixtures are made of: each field another one than its default and than its neighbours.
-use marlgap::cluster::consensus_log::{Command, ProposalId, Seat};
+use marlgap::cluster::consensus_log::{Command, ProposalId, Voter};
 use marlgap::cluster::{Member, MemberId};
 
 pub const CLUSTER: u64 = 0xc1c2_c3c4_c5c6_c7c8;
 pub const DISK: u64 = 0xd1d2_d3d4_d5d6_d7d8;
 
 /// Members by number: names, zones and addresses of their own.
-pub fn seat(number: usize) -> Seat {
+pub fn seat(number: usize) -> Voter {
     let (name, zone, address) = [
         ("bonn", "north", "10.1.2.3:4011"),
         ("lima", "south", "10.1.2.4:4012"),
@@ -17,29 +17,29 @@
     ][number];
     let id = MemberId::new(name, 0x1a2b_3c4d_5e6f_7000 + number as u64);
     let member = Member { id, zone: zone.into(), address: address.parse().expect("an address") };
-    Seat { member, disk: DISK + 0x100 * number as u64 }
+    Voter { member, disk_id: DISK + 0x100 * number as u64 }
 }
 
-pub fn seats(count: usize) -> Vec<Seat> {
+pub fn seats(count: usize) -> Vec<Voter> {
     (0..count).map(seat).collect()
 }
 
 /// The same name on the same disk, in its next life.
-pub fn next_life(mut seat: Seat) -> Seat {
+pub fn next_life(mut seat: Voter) -> Voter {
     seat.member.id.incarnation += 0x1000;
     seat
 }
 
-pub const PROPOSAL: ProposalId = ProposalId { by: 0xb1b2_b3b4_b5b6_b7b8, serial: 0x0005_0000_0007 };
+pub const PROPOSAL: ProposalId = ProposalId { proposer: 0xb1b2_b3b4_b5b6_b7b8, sequence: 0x0005_0000_0007 };
 
 /// One command of each kind.
 pub fn commands() -> Vec<(&'static str, Command)> {
     vec![
-        ("admit", Command::Admit { seat: seat(2), base: 301 }),
+        ("admit", Command::Admit { voter: seat(2), known_epoch: 301 }),
         ("leave", Command::Leave(seat(1).member.id)),
         ("close-epoch", Command::CloseEpoch(302)),
         ("layout", Command::Layout(b"a layout".as_slice().into())),
         ("plan", Command::Plan(b"a plan".as_slice().into())),
-        ("closed", Command::Closed { ms: 1_700_000_000_123, logical: 45 }),
+        ("closed", Command::ClosedTimestamp { ms: 1_700_000_000_123, logical: 45 }),
     ]
 }
--- a/tests/golden_store/store.rs
+++ b/tests/golden_store/store.rs
@@ -3,8 +3,8 @@
 use std::hash::Hasher;
 use std::path::{Path, PathBuf};
 
-use marlgap::cluster::bootstrap::Set;
-use marlgap::cluster::consensus_log::{Batch, Hard, Stored};
+use marlgap::cluster::bootstrap::InitialMembers;
+use marlgap::cluster::consensus_log::{Hard, StoredLog, WriteBatch};
 use marlgap::net::cluster::store::{Opened, Store};
 use redb::{Database, ReadableDatabase, ReadableTable, TableDefinition, TableHandle};
 
@@ -44,11 +44,16 @@
 }
 
 fn stage() -> Vec<u8> {
-    Set::new(seats(3)).encode()
+    InitialMembers::new(seats(3)).encode()
 }
 
 fn expected() -> Opened {
-    let stored = Stored { cluster: CLUSTER, hard: HARD, snapshot: Some(SNAPSHOT.into()), entries: entries() };
+    let stored = StoredLog {
+        cluster_id: CLUSTER,
+        hard_state: HARD,
+        snapshot: Some(SNAPSHOT.into()),
+        entries: entries(),
+    };
     Opened { disk: DISK, stage: stage(), stored }
 }
 
@@ -57,14 +62,22 @@
     let (mut store, _) = Store::open(path, DISK).expect("a new store");
     store.stage(b"an earlier stage").expect("written");
     let first = Hard { term: 1, vote: 2, commit: 3 };
-    let begun =
-        Stored { cluster: CLUSTER, hard: first, snapshot: Some(b"first".into()), entries: Vec::new() };
+    let begun = StoredLog {
+        cluster_id: CLUSTER,
+        hard_state: first,
+        snapshot: Some(b"first".into()),
+        entries: Vec::new(),
+    };
     store.begin(&begun, &stage()).expect("written");
     let all = entries();
-    let batch = Batch { hard: first, entries: all[..2].to_vec(), ..Batch::default() };
+    let batch = WriteBatch { hard_state: first, entries: all[..2].to_vec(), ..WriteBatch::default() };
     store.persist(&batch).expect("written");
-    let batch =
-        Batch { hard: HARD, snapshot: Some(SNAPSHOT.into()), entries: all[2..].to_vec(), ..Batch::default() };
+    let batch = WriteBatch {
+        hard_state: HARD,
+        snapshot: Some(SNAPSHOT.into()),
+        entries: all[2..].to_vec(),
+        ..WriteBatch::default()
+    };
     store.persist(&batch).expect("written");
 }
 
@@ -89,11 +102,11 @@
     let (store, opened) = Store::open(&folder.store(), 1).expect("opened");
     assert_eq!(opened.disk, DISK);
     assert_eq!(opened.stage, stage());
-    assert_eq!(Set::decode(&opened.stage).expect("a set").seats(), seats(3));
-    assert_eq!(opened.stored.cluster, CLUSTER);
-    assert_eq!(opened.stored.hard.term, HARD.term);
-    assert_eq!(opened.stored.hard.vote, HARD.vote);
-    assert_eq!(opened.stored.hard.commit, HARD.commit);
+    assert_eq!(InitialMembers::decode(&opened.stage).expect("a set").voters(), seats(3));
+    assert_eq!(opened.stored.cluster_id, CLUSTER);
+    assert_eq!(opened.stored.hard_state.term, HARD.term);
+    assert_eq!(opened.stored.hard_state.vote, HARD.vote);
+    assert_eq!(opened.stored.hard_state.commit, HARD.commit);
     assert_eq!(opened.stored.snapshot.as_deref(), Some(SNAPSHOT));
     assert_eq!(opened.stored.entries, entries());
     assert_eq!(opened, expected());
