--- a/benches/layout.rs
+++ b/benches/layout.rs
@@ -156,7 +156,7 @@
                 ground.step();
             }
             let layouts = &ground.layouts;
-            let now = layouts.newest().valid.plus_ms(1);
+            let now = layouts.newest().valid.saturating_add_ms(1);
             // Times all over the history.
             let at = |n: usize| At::Past(HybridTimestamp::from_ms(STEP + n as u64 * 7919 % (now.ms - STEP)));
             let rounds = if tiles > 10_000 { 21 } else { 201 };
--- a/benches/scale/control/plane/founding.rs
+++ b/benches/scale/control/plane/founding.rs
@@ -3,7 +3,7 @@
 use std::rc::Rc;
 use std::time::Instant;
 
-use marlgap::cluster::bootstrap::first_configuration::{Act, Founding};
+use marlgap::cluster::bootstrap::first_configuration::{Action, LoglessBootstrap};
 use marlgap::cluster::{Member, MemberId};
 use marlgap::net::cluster::frames::{self, Frame, Hello, VERSION};
 
@@ -22,7 +22,7 @@
 struct Fleet {
     members: Rc<[Member]>,
     ids: Vec<MemberId>,
-    machines: Vec<Founding>,
+    machines: Vec<LoglessBootstrap>,
     traffic: Vec<Traffic>,
     formed: Vec<bool>,
     links: Links,
@@ -90,7 +90,7 @@
     fn new(count: usize, seed: u64) -> Fleet {
         let members: Rc<[Member]> = (0..count).map(|i| seat(i).member).collect();
         let ids: Vec<MemberId> = members.iter().map(|m| m.id.clone()).collect();
-        let machines = ids.iter().map(|id| Founding::new(0, id.clone(), members.clone())).collect();
+        let machines = ids.iter().map(|id| LoglessBootstrap::new(0, id.clone(), members.clone())).collect();
         let mut fleet = Fleet {
             members,
             ids,
@@ -117,12 +117,12 @@
         let i = match event {
             Event::Reached(from, to) => {
                 let zone = self.members[to].zone.clone();
-                self.machines[from].heard(&self.ids[to], &zone);
+                self.machines[from].peer_seen(&self.ids[to], &zone);
                 from
             }
             Event::Tick(i) => {
                 self.machines[i].tick(self.queue.now);
-                if let Some(due) = self.machines[i].due() {
+                if let Some(due) = self.machines[i].next_tick_at() {
                     self.queue.later(due.saturating_sub(self.queue.now), Event::Tick(i));
                 }
                 i
@@ -144,18 +144,18 @@
         self.traffic[i].took(begun.elapsed());
         for act in acts {
             match act {
-                Act::Send { to, note } => {
+                Action::Send { to, message } => {
                     let Ok(at) = self.ids.binary_search_by(|id| id.name.cmp(&to.name)) else { continue };
                     let begun = Instant::now();
-                    let bytes = Frame::Founding(note).bytes();
+                    let bytes = Frame::Founding(message).bytes();
                     self.traffic[i].took(begun.elapsed());
                     self.traffic[i].sent.add(bytes.len());
                     if let Some(delay) = self.links.carry(Place::of(i), Place::of(at)) {
                         self.queue.later(delay, Event::Deliver(i, at, bytes));
                     }
                 }
-                Act::Formed(_) => self.formed[i] = true,
-                Act::Differs(id) => self.broken = Some(format!("{id} differs")),
+                Action::Decided(_) => self.formed[i] = true,
+                Action::ConfigurationMismatch(id) => self.broken = Some(format!("{id} differs")),
             }
         }
     }
@@ -167,11 +167,11 @@
         let zone = self.members[i].zone.clone();
         let (mut messages, mut bytes) = (0, 0);
         for (_, machine) in self.machines.iter_mut().enumerate().filter(|(at, _)| *at != i) {
-            machine.heard(&id, &zone);
+            machine.peer_seen(&id, &zone);
             for act in machine.ready() {
-                if let Act::Send { note, .. } = act {
+                if let Action::Send { message, .. } = act {
                     messages += 1;
-                    bytes += Frame::Founding(note).bytes().len() as u64;
+                    bytes += Frame::Founding(message).bytes().len() as u64;
                 }
             }
         }
--- a/benches/scale/control/plane/members/asks.rs
+++ b/benches/scale/control/plane/members/asks.rs
@@ -63,7 +63,7 @@
     fn admit(&mut self) {
         let Some(at) = self.leader() else { return };
         let Some(log) = &self.nodes[at].log else { return };
-        let counting: HashSet<MemberId> = log.membership().seats().map(|s| s.member.id.clone()).collect();
+        let counting: HashSet<MemberId> = log.membership().members().map(|s| s.member.id.clone()).collect();
         let base = log.membership().latest().map_or(0, Configuration::epoch);
         let nodes = &self.nodes;
         self.waiting.retain(|i| !counting.contains(&nodes[*i].seat.member.id));
--- a/src/cluster/bootstrap/mod.rs
+++ b/src/cluster/bootstrap/mod.rs
@@ -116,18 +116,18 @@
 
 /// To be done in this order.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum FoundAct {
+pub enum BootstrapAction {
     /// Durable before anything is said.
     PersistAccepted(InitialMembers),
     /// To every member of the file, and again at each tick.
-    Say(BootstrapMessage),
+    Broadcast(BootstrapMessage),
     /// All have pinned it: the log starts with [`super::log::Stored::founded`], durable first.
     Bootstrapped { cluster_id: u64, members: InitialMembers },
     /// A cluster stands without this life: the log starts with [`super::log::Stored::joining`], durable first, and this
     /// member asks to be admitted.
     Join { cluster_id: u64 },
     /// Nothing more is done here before the operator looks; said once.
-    Stuck(BootstrapError),
+    Failed(BootstrapError),
 }
 
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -160,7 +160,7 @@
     /// What each of them said last.
     said: BTreeMap<Rc<str>, BootstrapMessage>,
     stuck: Option<BootstrapError>,
-    acts: Vec<FoundAct>,
+    acts: Vec<BootstrapAction>,
 }
 
 impl Bootstrap {
@@ -208,12 +208,15 @@
         }
     }
 
-    pub fn ready(&mut self) -> Vec<FoundAct> {
+    pub fn ready(&mut self) -> Vec<BootstrapAction> {
         std::mem::take(&mut self.acts)
     }
 
     fn say(&mut self) {
-        let say = FoundAct::Say(BootstrapMessage { voter: self.me.clone(), state: self.stage.clone() });
+        let say = BootstrapAction::Broadcast(BootstrapMessage {
+            voter: self.me.clone(),
+            state: self.stage.clone(),
+        });
         if !self.acts.contains(&say) {
             self.acts.push(say);
         }
@@ -236,20 +239,20 @@
 
     fn join(&mut self, cluster: u64) {
         self.stage = BootstrapState::Bootstrapped(cluster);
-        self.acts.push(FoundAct::Join { cluster_id: cluster });
+        self.acts.push(BootstrapAction::Join { cluster_id: cluster });
         self.say();
     }
 
     fn found(&mut self, set: InitialMembers) {
         let cluster = set.cluster_id(&self.name);
         self.stage = BootstrapState::Bootstrapped(cluster);
-        self.acts.push(FoundAct::Bootstrapped { cluster_id: cluster, members: set });
+        self.acts.push(BootstrapAction::Bootstrapped { cluster_id: cluster, members: set });
         self.say();
     }
 
     fn stick(&mut self, stuck: BootstrapError) {
         if self.stuck.as_ref() != Some(&stuck) {
-            self.acts.push(FoundAct::Stuck(stuck.clone()));
+            self.acts.push(BootstrapAction::Failed(stuck.clone()));
             self.stuck = Some(stuck);
         }
     }
@@ -287,7 +290,7 @@
                 }
             }
             self.stage = BootstrapState::Accepted(seen.clone());
-            self.acts.push(FoundAct::PersistAccepted(seen.clone()));
+            self.acts.push(BootstrapAction::PersistAccepted(seen.clone()));
             self.say();
         }
         let all = others
--- a/src/cluster/consensus_log/membership.rs
+++ b/src/cluster/consensus_log/membership.rs
@@ -119,12 +119,12 @@
         self.closed
     }
 
-    pub fn seats(&self) -> impl Iterator<Item = &Voter> {
+    pub fn members(&self) -> impl Iterator<Item = &Voter> {
         self.places.values().map(|p| &p.seat)
     }
 
     /// The numbers of the voters and of those who only learn, in order.
-    pub fn voters(&self) -> (Vec<u64>, Vec<u64>) {
+    pub fn raft_ids(&self) -> (Vec<u64>, Vec<u64>) {
         let part = |votes| {
             let mut ids: Vec<u64> =
                 self.places.values().filter(|p| p.votes == votes).map(|p| p.seat.voter_id()).collect();
@@ -226,7 +226,7 @@
         if self.epochs.len() >= MAX_OPEN_EPOCHS {
             return Err(RejectionReason::LimitReached("open epochs"));
         }
-        let members = self.seats().map(|s| s.member.clone()).collect();
+        let members = self.members().map(|s| s.member.clone()).collect();
         let config = Configuration::new(index, members)
             .map_err(|e| RejectionReason::InvalidConfiguration(e.to_string()))?;
         self.epochs.push_back(config.clone());
--- a/src/cluster/consensus_log/mod.rs
+++ b/src/cluster/consensus_log/mod.rs
@@ -28,7 +28,7 @@
 pub use frame::ReceiveError;
 pub use membership::{CommandOutcome, Membership, RejectionReason, MAX_MEMBERS, MAX_OPEN_EPOCHS, MAX_VOTERS};
 pub use node::ConsensusLog;
-pub use stored::{Hard, StoredLog, WriteBatch};
+pub use stored::{HardState, StoredLog, WriteBatch};
 
 /// A name on a disk: who this voter is.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -144,7 +144,7 @@
     /// Entries with a gap, or out of order.
     Gap(u64),
     /// Agreed on up to here, and the entries end before.
-    Missing(u64),
+    MissingEntries(u64),
     InvalidVoters,
     InvalidLimits(String),
 }
@@ -154,7 +154,7 @@
         match self {
             RecoveryError::Codec(e) => write!(f, "the stored log: {e}"),
             RecoveryError::Gap(index) => write!(f, "the stored log has a gap at {index}"),
-            RecoveryError::Missing(index) => {
+            RecoveryError::MissingEntries(index) => {
                 write!(f, "the stored log ends before {index}, which was agreed on")
             }
             RecoveryError::InvalidVoters => f.write_str("the stored log has impossible voters"),
--- a/src/cluster/consensus_log/node.rs
+++ b/src/cluster/consensus_log/node.rs
@@ -13,7 +13,7 @@
 use super::frame::{self, Held, ReceiveError, HEAD};
 use super::membership::{CommandOutcome, Membership, MAX_MEMBERS};
 use super::memory::Memory;
-use super::stored::{self, Hard, StoredLog, WriteBatch};
+use super::stored::{self, HardState, StoredLog, WriteBatch};
 use super::{voter_id, CompactError, Identity, Limits, LogAction, ProposeError, RecoveryError};
 
 pub struct ConsensusLog {
@@ -75,9 +75,9 @@
             memory.base = (first.index, first.term);
         }
         memory.append(&entries);
-        let Hard { term, vote, commit } = stored.hard_state;
+        let HardState { term, vote, commit } = stored.hard_state;
         if commit > memory.last() || commit < from {
-            return Err(RecoveryError::Missing(commit.max(from)));
+            return Err(RecoveryError::MissingEntries(commit.max(from)));
         }
         memory.hard = RaftHardState { term, vote, commit, ..RaftHardState::default() };
         let config = Config {
@@ -158,7 +158,7 @@
     }
 
     /// First and last index of the entries held, and their bytes.
-    pub fn held(&self) -> (u64, u64, usize) {
+    pub fn retained_log(&self) -> (u64, u64, usize) {
         let memory = self.node.store();
         (memory.first(), memory.last(), memory.bytes)
     }
@@ -395,7 +395,7 @@
     }
 
     fn name_voters(&mut self) {
-        self.names = self.roster.seats().map(|s| (s.voter_id(), s.member.id.name.clone())).collect();
+        self.names = self.roster.members().map(|s| (s.voter_id(), s.member.id.name.clone())).collect();
     }
 
     /// The crate draws a time-out by chance whenever term or role change, for use in later ticks: this takes its place
--- a/src/cluster/consensus_log/node/apply.rs
+++ b/src/cluster/consensus_log/node/apply.rs
@@ -70,7 +70,7 @@
 /// What makes the voters of one roster those of the next, in the order of their numbers.
 pub(super) fn changes(old: &Membership, new: &Membership) -> Vec<ConfChangeSingle> {
     let roles = |roster: &Membership| -> BTreeMap<u64, ConfChangeType> {
-        let (voters, learners) = roster.voters();
+        let (voters, learners) = roster.raft_ids();
         let voters = voters.into_iter().map(|id| (id, ConfChangeType::AddNode));
         voters.chain(learners.into_iter().map(|id| (id, ConfChangeType::AddLearnerNode))).collect()
     };
--- a/src/cluster/consensus_log/stored.rs
+++ b/src/cluster/consensus_log/stored.rs
@@ -9,22 +9,22 @@
 /// The promises of a voter: the term it has reached, whom it voted for in it (0: nobody), and up to where it knows the
 /// log to be agreed. Of these `term` and `vote` are promises, `commit` is a help.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Hard {
+pub struct HardState {
     pub term: u64,
     pub vote: u64,
     pub commit: u64,
 }
 
-impl From<&RaftHardState> for Hard {
-    fn from(hs: &RaftHardState) -> Hard {
-        Hard { term: hs.term, vote: hs.vote, commit: hs.commit }
+impl From<&RaftHardState> for HardState {
+    fn from(hs: &RaftHardState) -> HardState {
+        HardState { term: hs.term, vote: hs.vote, commit: hs.commit }
     }
 }
 
 /// What is to be made durable at once: all of it or nothing.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct WriteBatch {
-    pub hard_state: Hard,
+    pub hard_state: HardState,
     /// Takes the place of the one before.
     pub snapshot: Option<Vec<u8>>,
     /// Entries from here on are replaced by `entries`.
@@ -39,7 +39,7 @@
 pub struct StoredLog {
     /// The number of the cluster, from its founding; 0 before it is known.
     pub cluster_id: u64,
-    pub hard_state: Hard,
+    pub hard_state: HardState,
     pub snapshot: Option<Vec<u8>>,
     pub entries: Vec<(u64, Vec<u8>)>,
 }
@@ -49,14 +49,14 @@
     pub fn bootstrap(cluster: u64, seats: Vec<Voter>) -> Result<StoredLog, RejectionReason> {
         let roster = Membership::bootstrap(1, seats)?;
         let mut conf = ConfState::default();
-        let (voters, learners) = roster.voters();
+        let (voters, learners) = roster.raft_ids();
         conf.set_voters(voters);
         conf.set_learners(learners);
         let snapshot = snapshot(1, 1, conf, &roster, &[])
             .map_err(|e| RejectionReason::InvalidConfiguration(e.to_string()))?;
         let bytes =
             snapshot.write_to_bytes().map_err(|e| RejectionReason::InvalidConfiguration(e.to_string()))?;
-        let hard = Hard { term: 1, vote: 0, commit: 1 };
+        let hard = HardState { term: 1, vote: 0, commit: 1 };
         Ok(StoredLog { cluster_id: cluster, hard_state: hard, snapshot: Some(bytes), entries: Vec::new() })
     }
 
--- a/src/cluster/hybrid_clock.rs
+++ b/src/cluster/hybrid_clock.rs
@@ -14,7 +14,7 @@
 
 /// How far two members' clocks may be apart, in ms, unless the settings say otherwise. NTP within one site keeps
 /// clocks within some ms; a quarter of a second is far outside that and small against a layout's life.
-pub const BOUND_MS: u64 = 250;
+pub const DEFAULT_MAX_OFFSET_MS: u64 = 250;
 
 /// Members whose clocks are remembered at most; the largest fleet that is planned for has a thousand.
 const MOST_MEMBERS: usize = 4096;
@@ -58,12 +58,12 @@
     }
 
     /// So many ms earlier, at the first point of that millisecond.
-    pub fn less_ms(self, ms: u64) -> HybridTimestamp {
+    pub fn saturating_sub_ms(self, ms: u64) -> HybridTimestamp {
         HybridTimestamp::from_ms(self.ms.saturating_sub(ms))
     }
 
     /// So many ms later.
-    pub fn plus_ms(self, ms: u64) -> HybridTimestamp {
+    pub fn saturating_add_ms(self, ms: u64) -> HybridTimestamp {
         HybridTimestamp { ms: self.ms.saturating_add(ms), logical: self.logical }
     }
 }
@@ -76,18 +76,18 @@
 
 /// A stamp that runs ahead of this member's wall clock by more than the bound; it was not taken over.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Beyond {
+pub struct ClockSkewExceeded {
     pub ahead_ms: u64,
     pub bound_ms: u64,
 }
 
-impl fmt::Display for Beyond {
+impl fmt::Display for ClockSkewExceeded {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(f, "time is {} ms ahead of ours, more than the bound of {} ms", self.ahead_ms, self.bound_ms)
     }
 }
 
-impl std::error::Error for Beyond {}
+impl std::error::Error for ClockSkewExceeded {}
 
 /// A member's hybrid logical clock. Wall time comes in with each call and may step either way.
 #[derive(Clone, Debug)]
@@ -113,10 +113,14 @@
     }
 
     /// A stamp came in. One beyond the bound is refused, and its message with it.
-    pub fn observe(&mut self, unix_ms: u64, theirs: HybridTimestamp) -> Result<HybridTimestamp, Beyond> {
+    pub fn observe(
+        &mut self,
+        unix_ms: u64,
+        theirs: HybridTimestamp,
+    ) -> Result<HybridTimestamp, ClockSkewExceeded> {
         let ahead_ms = theirs.ms.saturating_sub(unix_ms);
         if ahead_ms > self.bound_ms {
-            return Err(Beyond { ahead_ms, bound_ms: self.bound_ms });
+            return Err(ClockSkewExceeded { ahead_ms, bound_ms: self.bound_ms });
         }
         self.last = self.last.max(theirs);
         Ok(self.now(unix_ms))
@@ -125,11 +129,11 @@
 
 /// What a member knows of its own clock's offset.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Standing {
+pub enum OffsetState {
     /// No majority of the others was measured yet.
     Unknown,
     /// No majority of the others is certainly beyond the bound.
-    Within,
+    WithinBound,
     /// A majority of the others is: this member withdraws from reads in the past, and says so. How far the middle
     /// one of them is ahead of us, in ms.
     Beyond { ahead_ms: i64 },
@@ -148,21 +152,21 @@
 /// Samples are kept against our monotonic clock, so that a step of our own wall clock shows at once, also while we
 /// are cut off; with age they widen by the drift of both. What is not certainly beyond counts as within.
 #[derive(Clone, Debug)]
-pub struct Offsets {
+pub struct ClockOffsets {
     bound_ms: u64,
     drift: f64,
     samples: BTreeMap<MemberId, Sample>,
 }
 
-impl Offsets {
+impl ClockOffsets {
     /// `drift` is that of one clock, as a share of the time that passes.
-    pub fn new(bound_ms: u64, drift: f64) -> Offsets {
-        Offsets { bound_ms, drift: drift.clamp(0.0, 1.0), samples: BTreeMap::new() }
+    pub fn new(bound_ms: u64, drift: f64) -> ClockOffsets {
+        ClockOffsets { bound_ms, drift: drift.clamp(0.0, 1.0), samples: BTreeMap::new() }
     }
 
     /// `member` said `theirs_ms` in answer to what we sent at `sent`; the answer came at `got`. An answer from before
     /// its question is none.
-    pub fn measured(&mut self, member: &MemberId, sent: Micros, got: Micros, theirs_ms: u64) {
+    pub fn record(&mut self, member: &MemberId, sent: Micros, got: Micros, theirs_ms: u64) {
         let full = self.samples.len() >= MOST_MEMBERS && !self.samples.contains_key(member);
         if got < sent || full {
             return;
@@ -175,14 +179,14 @@
     }
 
     /// Forget the members that no longer count.
-    pub fn keep(&mut self, counts: impl Fn(&MemberId) -> bool) {
+    pub fn retain(&mut self, counts: impl Fn(&MemberId) -> bool) {
         self.samples.retain(|member, _| counts(member));
     }
 
     /// Our standing against `others` further members that count.
-    pub fn standing(&self, now: Micros, unix_ms: u64, others: usize) -> Standing {
+    pub fn state(&self, now: Micros, unix_ms: u64, others: usize) -> OffsetState {
         if self.samples.len() * 2 <= others {
-            return Standing::Unknown;
+            return OffsetState::Unknown;
         }
         let bound = i128::from(self.bound_ms) * 1000;
         let ours = i128::from(unix_ms) * 1000 - i128::from(now);
@@ -197,8 +201,10 @@
         }
         beyond.sort();
         match beyond.get(beyond.len() / 2).filter(|_| beyond.len() * 2 > others) {
-            Some(middle) => Standing::Beyond { ahead_ms: i64::try_from(middle / 1000).unwrap_or(i64::MAX) },
-            None => Standing::Within,
+            Some(middle) => {
+                OffsetState::Beyond { ahead_ms: i64::try_from(middle / 1000).unwrap_or(i64::MAX) }
+            }
+            None => OffsetState::WithinBound,
         }
     }
 }
--- a/src/net/cluster/clock.rs
+++ b/src/net/cluster/clock.rs
@@ -4,16 +4,19 @@
 use crate::cluster::Micros;
 
 /// Reads the machine's clocks; the started_unix_us clock only once, at the start.
-pub struct Clock {
+pub struct MachineClock {
     started: Instant,
     /// Unix microseconds at the start.
     pub started_unix_us: u64,
 }
 
-impl Clock {
-    pub fn start() -> Clock {
+impl MachineClock {
+    pub fn start() -> MachineClock {
         let unix_us = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_micros();
-        Clock { started: Instant::now(), started_unix_us: u64::try_from(unix_us).unwrap_or(u64::MAX).max(1) }
+        MachineClock {
+            started: Instant::now(),
+            started_unix_us: u64::try_from(unix_us).unwrap_or(u64::MAX).max(1),
+        }
     }
 
     pub fn now(&self) -> Micros {
@@ -24,7 +27,7 @@
         self.started_unix_us.saturating_add(self.now()) / 1000
     }
 
-    pub fn at(&self, due: Micros) -> Instant {
+    pub fn instant_at(&self, due: Micros) -> Instant {
         self.started + Duration::from_micros(due)
     }
 }
--- a/src/net/cluster/driver.rs
+++ b/src/net/cluster/driver.rs
@@ -13,11 +13,11 @@
 use futures_lite::FutureExt;
 use slog::{debug, info, warn, Logger};
 
-use super::clock::Clock;
+use super::clock::MachineClock;
 use super::execution::{Execute, Hold, Machine, Run};
 use super::frames::{Frame, FrameError, Hello, VERSION};
 use super::outbox::Outbox;
-use crate::cluster::bootstrap::first_configuration::{self, Founding};
+use crate::cluster::bootstrap::first_configuration::{self, LoglessBootstrap};
 use crate::cluster::takeover::{Act, Ask, Counts, Key, May, Reply, Token, Works};
 use crate::cluster::{Configuration, Member, MemberId, Micros};
 use crate::config::operator::ClusterConfig;
@@ -33,9 +33,9 @@
     zone: Rc<str>,
     members: Rc<[Member]>,
     most_frame: usize,
-    clock: Clock,
+    clock: MachineClock,
     works: RefCell<Works>,
-    founding: RefCell<Founding>,
+    founding: RefCell<LoglessBootstrap>,
     config: RefCell<Option<Configuration>>,
     /// The latest life of each name that was seen.
     latest_lives: RefCell<BTreeMap<Rc<str>, u64>>,
@@ -59,10 +59,10 @@
 
 impl Driver {
     pub fn new(setup: &ClusterConfig, log: Logger) -> Rc<Driver> {
-        let clock = Clock::start();
+        let clock = MachineClock::start();
         let me = MemberId::new(&setup.name, clock.started_unix_us);
         let works = Works::new(me.clone(), setup.rules.clone(), setup.limits.clone());
-        let founding = Founding::new(clock.now(), me.clone(), setup.members.clone());
+        let founding = LoglessBootstrap::new(clock.now(), me.clone(), setup.members.clone());
         let others = setup.members.iter().filter(|m| m.id.name != me.name);
         let outbox = |m: &Member| (m.id.name.clone(), Rc::new(Outbox::new(setup.queue, setup.frame)));
         Rc::new(Driver {
@@ -210,7 +210,7 @@
         if self.alive.borrow_mut().insert(id.name.clone(), true) != Some(true) {
             info!(self.log, "fleet member reached"; "member" => %id);
         }
-        self.founding.borrow_mut().heard(id, zone);
+        self.founding.borrow_mut().peer_seen(id, zone);
         self.work(|works, now| works.rumour(now, id, true));
     }
 
@@ -251,13 +251,13 @@
         self.carry_out();
         loop {
             let changed = self.timer_changed.listen();
-            let (works, founding) = (self.works.borrow().due(), self.founding.borrow().due());
+            let (works, founding) = (self.works.borrow().due(), self.founding.borrow().next_tick_at());
             let due = works.into_iter().chain(founding).min();
             self.timer_due.set(due);
             if due.is_none_or(|due| due > self.clock.now()) {
                 let elapsed = async {
                     match due {
-                        Some(due) => drop(Timer::at(self.clock.at(due)).await),
+                        Some(due) => drop(Timer::at(self.clock.instant_at(due)).await),
                         None => std::future::pending().await,
                     }
                 };
@@ -330,10 +330,10 @@
         self.runs.borrow().get(&key).and_then(Weak::upgrade)
     }
 
-    fn act_on_founding(&self, act: first_configuration::Act) {
+    fn act_on_founding(&self, act: first_configuration::Action) {
         match act {
-            first_configuration::Act::Send { to, note } => self.send(&to, &Frame::Founding(note)),
-            first_configuration::Act::Formed(config) => {
+            first_configuration::Action::Send { to, message } => self.send(&to, &Frame::Founding(message)),
+            first_configuration::Action::Decided(config) => {
                 let (epoch, members) = (config.epoch(), config.members().len());
                 if !config.counts(&self.me) {
                     warn!(self.log, "this member started too late to count"; "epoch" => epoch);
@@ -342,7 +342,7 @@
                 self.works.borrow_mut().configure(self.clock.now(), config);
                 info!(self.log, "fleet configuration"; "members" => members, "epoch" => epoch);
             }
-            first_configuration::Act::Differs(id) => {
+            first_configuration::Action::ConfigurationMismatch(id) => {
                 self.warn("founding members differ", &id, &"its file names others, or other zones")
             }
         }
--- a/src/net/cluster/frames.rs
+++ b/src/net/cluster/frames.rs
@@ -3,7 +3,7 @@
 
 use prost::Message as _;
 
-use crate::cluster::bootstrap::first_configuration::Note;
+use crate::cluster::bootstrap::first_configuration::ConfigurationMessage;
 use crate::cluster::configuration::ConfigError;
 use crate::cluster::takeover::{Message, MessageError};
 use crate::cluster::{Configuration, Member, MemberId};
@@ -33,7 +33,7 @@
 pub enum Frame {
     Hello(Hello),
     Work(Message),
-    Founding(Note),
+    Founding(ConfigurationMessage),
 }
 
 const HELLO: u8 = 0;
@@ -95,7 +95,7 @@
     let frame = match *kind {
         HELLO => Frame::Hello(Hello::decode(rest).map_err(FrameError::Spoilt)?),
         WORK => Frame::Work(Message::from_bytes(rest).map_err(FrameError::Message)?),
-        _ => Frame::Founding(Note::decode(rest).map_err(FrameError::Spoilt)?),
+        _ => Frame::Founding(ConfigurationMessage::decode(rest).map_err(FrameError::Spoilt)?),
     };
     Ok(Some((frame, 4 + length)))
 }
--- a/src/net/cluster/store.rs
+++ b/src/net/cluster/store.rs
@@ -17,7 +17,7 @@
 
 use redb::{Database, ReadableDatabase, ReadableTable, ReadableTableMetadata, TableDefinition};
 
-use crate::cluster::consensus_log::{Hard, StoredLog, WriteBatch};
+use crate::cluster::consensus_log::{HardState, StoredLog, WriteBatch};
 
 const META: TableDefinition<'_, &str, &[u8]> = TableDefinition::new("meta");
 const ENTRIES: TableDefinition<'_, u64, &[u8]> = TableDefinition::new("entries");
@@ -32,9 +32,9 @@
 pub enum StoreError {
     Io(io::Error),
     /// The file can't be read as it was written.
-    Spoilt(String),
+    Corrupt(String),
     /// The file is older than what was acknowledged.
-    WentBack {
+    RolledBack {
         file: u64,
         mark: u64,
     },
@@ -48,8 +48,8 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             StoreError::Io(e) => write!(f, "{e}"),
-            StoreError::Spoilt(why) => write!(f, "spoilt: {why}"),
-            StoreError::WentBack { file, mark } => {
+            StoreError::Corrupt(why) => write!(f, "spoilt: {why}"),
+            StoreError::RolledBack { file, mark } => {
                 write!(f, "batch {file} is the file's last, and batch {mark} was acknowledged")
             }
             StoreError::Missing(path) => {
@@ -70,16 +70,16 @@
 
 /// Errors of `redb`, of many types: a full disk and a spoilt page alike end the use of the file.
 fn spoilt(e: impl fmt::Display) -> StoreError {
-    StoreError::Spoilt(e.to_string())
+    StoreError::Corrupt(e.to_string())
 }
 
 /// What the file held.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Opened {
+pub struct StoreContents {
     /// Drawn when the file was made: another file is another voter.
-    pub disk: u64,
+    pub disk_id: u64,
     /// How far founding is, as whoever founds wrote it; empty at first.
-    pub stage: Vec<u8>,
+    pub bootstrap_state: Vec<u8>,
     pub stored: StoredLog,
 }
 
@@ -88,7 +88,7 @@
     serial: u64,
     disk: u64,
     cluster: u64,
-    hard: Hard,
+    hard: HardState,
     /// How many entries there are, and the last one's index.
     entries: u64,
     last: u64,
@@ -119,10 +119,10 @@
 
 fn unseal(key: &[u8], sealed: &[u8]) -> Result<Vec<u8>, StoreError> {
     let Some((bytes, sum)) = sealed.split_last_chunk::<8>() else {
-        return Err(StoreError::Spoilt("a record too short".into()));
+        return Err(StoreError::Corrupt("a record too short".into()));
     };
     if check(key, bytes) != *sum {
-        return Err(StoreError::Spoilt(format!("record {}", key.escape_ascii())));
+        return Err(StoreError::Corrupt(format!("record {}", key.escape_ascii())));
     }
     Ok(bytes.to_vec())
 }
@@ -140,13 +140,13 @@
         let numbers: Vec<u64> = numbers.iter().map(|n| u64::from_be_bytes(*n)).collect();
         let ([serial, disk, cluster, term, vote, commit, entries, last, snapshot], []) = (&numbers[..], rest)
         else {
-            return Err(StoreError::Spoilt("the head's length".into()));
+            return Err(StoreError::Corrupt("the head's length".into()));
         };
         Ok(Head {
             serial: *serial,
             disk: *disk,
             cluster: *cluster,
-            hard: Hard { term: *term, vote: *vote, commit: *commit },
+            hard: HardState { term: *term, vote: *vote, commit: *commit },
             entries: *entries,
             last: *last,
             snapshot: *snapshot != 0,
@@ -188,7 +188,7 @@
 
 impl Store {
     /// Opens the file, or makes it with `disk` as its number where there is none.
-    pub fn open(path: &Path, disk: u64) -> Result<(Store, Opened), StoreError> {
+    pub fn open(path: &Path, disk: u64) -> Result<(Store, StoreContents), StoreError> {
         let aside = mark_path(path);
         let there = (path.exists(), aside.exists());
         if there == (true, false) {
@@ -197,7 +197,7 @@
         let mark = OpenOptions::new().read(true).write(true).create(true).truncate(false).open(&aside)?;
         let acknowledged = match read_mark(&mark)? {
             Some(serial) => serial,
-            None if there.0 => return Err(StoreError::Spoilt(format!("{}", aside.display()))),
+            None if there.0 => return Err(StoreError::Corrupt(format!("{}", aside.display()))),
             None => {
                 write_mark(&mark, 0)?;
                 0
@@ -218,12 +218,12 @@
             }
             store.head.disk = disk;
             store.write(|_, _| Ok(()), &[])?;
-            return Ok((store, Opened { disk, ..Opened::default() }));
+            return Ok((store, StoreContents { disk_id: disk, ..StoreContents::default() }));
         }
         let opened = store.load()?;
         let file = store.head.serial;
         if file < acknowledged || file > acknowledged + 1 {
-            return Err(StoreError::WentBack { file, mark: acknowledged });
+            return Err(StoreError::RolledBack { file, mark: acknowledged });
         }
         if file > acknowledged {
             // It ended between the two writes: what was not acknowledged may be kept or not.
@@ -251,7 +251,7 @@
         let (file, mark) = (self.head.serial, acknowledged.serial);
         let sound = loaded.and_then(|()| match file == mark || file == mark + 1 {
             true => write_mark(&self.mark, file),
-            false => Err(StoreError::WentBack { file, mark }),
+            false => Err(StoreError::RolledBack { file, mark }),
         });
         if sound.is_err() {
             (self.db, self.head) = (None, acknowledged);
@@ -259,14 +259,14 @@
         sound
     }
 
-    fn load(&mut self) -> Result<Opened, StoreError> {
+    fn load(&mut self) -> Result<StoreContents, StoreError> {
         let read = self.db.as_ref().ok_or(StoreError::Closed)?.begin_read().map_err(spoilt)?;
         let meta = read.open_table(META).map_err(spoilt)?;
         let get = |key: &str| -> Result<Option<Vec<u8>>, StoreError> {
             let sealed = meta.get(key).map_err(spoilt)?;
             sealed.map(|s| unseal(key.as_bytes(), s.value())).transpose()
         };
-        let head = get("head")?.ok_or_else(|| StoreError::Spoilt("no head".into()))?;
+        let head = get("head")?.ok_or_else(|| StoreError::Corrupt("no head".into()))?;
         self.head = Head::decode(&head)?;
         let snapshot = get("snapshot")?;
         let table = read.open_table(ENTRIES).map_err(spoilt)?;
@@ -275,20 +275,20 @@
             let (index, sealed) = record.map_err(spoilt)?;
             let index = index.value();
             if entries.last().is_some_and(|(last, _)| last + 1 != index) {
-                return Err(StoreError::Spoilt(format!("a gap before entry {index}")));
+                return Err(StoreError::Corrupt(format!("a gap before entry {index}")));
             }
             entries.push((index, unseal(&index.to_be_bytes(), sealed.value())?));
         }
         let last = entries.last().map_or(0, |(index, _)| *index);
         let count = (entries.len() as u64, last, snapshot.is_some());
         if count != (self.head.entries, self.head.last, self.head.snapshot) {
-            return Err(StoreError::Spoilt("records are missing".into()));
+            return Err(StoreError::Corrupt("records are missing".into()));
         }
         let Head { disk, cluster, hard, .. } = self.head;
-        let stage = get("stage")?.ok_or_else(|| StoreError::Spoilt("no stage".into()))?;
-        Ok(Opened {
-            disk,
-            stage,
+        let stage = get("stage")?.ok_or_else(|| StoreError::Corrupt("no stage".into()))?;
+        Ok(StoreContents {
+            disk_id: disk,
+            bootstrap_state: stage,
             stored: StoredLog { cluster_id: cluster, hard_state: hard, snapshot, entries },
         })
     }
@@ -337,12 +337,12 @@
     }
 
     /// How far founding is.
-    pub fn stage(&mut self, stage: &[u8]) -> Result<(), StoreError> {
+    pub fn write_bootstrap_state(&mut self, stage: &[u8]) -> Result<(), StoreError> {
         self.write(|_, _| Ok(()), stage)
     }
 
     /// The log begins, in one step with the stage that says so.
-    pub fn begin(&mut self, stored: &StoredLog, stage: &[u8]) -> Result<(), StoreError> {
+    pub fn initialize_log(&mut self, stored: &StoredLog, stage: &[u8]) -> Result<(), StoreError> {
         let change = |head: &mut Head, txn: &redb::WriteTransaction| {
             (head.cluster, head.hard) = (stored.cluster_id, stored.hard_state);
             put(txn, stored.snapshot.as_deref(), Some(0), &stored.entries, 0)
--- a/src/shard_layout/closed_timestamp.rs
+++ b/src/shard_layout/closed_timestamp.rs
@@ -84,7 +84,7 @@
             return None;
         }
         let lease = layouts.lease();
-        if self.pending.keys().next().is_some_and(|first| first.plus_ms(self.span_ms) < now) {
+        if self.pending.keys().next().is_some_and(|first| first.saturating_add_ms(self.span_ms) < now) {
             return Some(self.take(layouts, now));
         }
         let due = now.ms >= lease.until.ms.saturating_sub(self.span_ms / 3);
@@ -92,7 +92,12 @@
     }
 
     fn entry(&self, number: u64, now: HybridTimestamp) -> Entry {
-        Entry::Lease { number, life: self.life, until: now.plus_ms(self.span_ms), closed: self.promised }
+        Entry::Lease {
+            number,
+            life: self.life,
+            until: now.saturating_add_ms(self.span_ms),
+            closed: self.promised,
+        }
     }
 
     /// Let a change through, to be proposed at once. `base` is the version that it was planned on. An error is what
@@ -154,7 +159,7 @@
         }
         let lease = layouts.lease();
         self.turn(lease.number);
-        let mut closed = now.less_ms(self.lag_ms);
+        let mut closed = now.saturating_sub_ms(self.lag_ms);
         if self.keeps(Guard::Until) {
             closed = closed.min(lease.until);
         }
--- a/src/shard_layout/state.rs
+++ b/src/shard_layout/state.rs
@@ -175,7 +175,7 @@
         if change.valid < last.valid {
             return Err(Refused::Order { last: last.valid });
         }
-        let most = self.closed.max(self.lease.until).plus_ms(AHEAD_MS);
+        let most = self.closed.max(self.lease.until).saturating_add_ms(AHEAD_MS);
         if change.valid > most && last.number > 0 {
             return Err(Refused::Far { most });
         }
--- a/tests/fleet_links.rs
+++ b/tests/fleet_links.rs
@@ -8,7 +8,7 @@
 
 use async_executor::LocalExecutor;
 use async_io::Async;
-use marlgap::cluster::bootstrap::first_configuration::{Kind, Note, Round};
+use marlgap::cluster::bootstrap::first_configuration::{Ballot, ConfigurationMessage, MessageKind};
 use marlgap::cluster::takeover::{Ask, Key, Record, Reply};
 use marlgap::cluster::Configuration;
 use marlgap::config::operator::OperatorConfig;
@@ -295,9 +295,13 @@
                 break;
             }
             let Frame::Founding(note) = next(&mut stream, &mut read) else { continue };
-            if note.kind() == Kind::Propose {
-                let took =
-                    Note { kind: Kind::Took.into(), over: Round::default(), lives: Vec::new(), ..note };
+            if note.kind() == MessageKind::Propose {
+                let took = ConfigurationMessage {
+                    kind: MessageKind::Accepted.into(),
+                    superseded: Ballot::default(),
+                    members: Vec::new(),
+                    ..note
+                };
                 (&dialled[0]).write_all(&Frame::Founding(took).bytes()).expect("sent");
                 break;
             }
--- a/tests/fleet_log/main.rs
+++ b/tests/fleet_log/main.rs
@@ -83,7 +83,7 @@
     let (name, from) = (format!("m{other}"), sim.nodes[other].seat.voter_id());
     let stored = sim.nodes[at].disk.clone();
     let fresh = || ConsensusLog::new(me.clone(), stored.clone(), Limits::default()).expect("a log");
-    let (_, last, _) = log.held();
+    let (_, last, _) = log.retained_log();
     let wild = |sim: &mut Sim| {
         let near = [0, 1, 2, last - 1, last, last + 1, last + 9, u64::MAX][sim.pick(8)];
         if sim.chance(50) {
@@ -156,9 +156,9 @@
             let mut bytes = bytes;
             let at = sim.pick(bytes.len());
             bytes[at] ^= 1 << sim.pick(8);
-            let before = (held.term(), held.applied_index(), held.held());
+            let before = (held.term(), held.applied_index(), held.retained_log());
             held.receive(&name, &bytes).expect_err("spoilt");
-            assert_eq!((held.term(), held.applied_index(), held.held()), before);
+            assert_eq!((held.term(), held.applied_index(), held.retained_log()), before);
         }
     }
     println!("{taken} taken, {refused} refused");
@@ -180,7 +180,7 @@
     assert_eq!(start(node.disk.clone()), Ok(()));
     let mut short = node.disk.clone();
     short.entries.truncate(2);
-    assert!(matches!(start(short), Err(RecoveryError::Missing(_))));
+    assert!(matches!(start(short), Err(RecoveryError::MissingEntries(_))));
     let mut gap = node.disk.clone();
     gap.entries.remove(2);
     assert!(matches!(start(gap), Err(RecoveryError::Gap(_))));
@@ -192,13 +192,13 @@
 #[test]
 fn one_life_of_a_name_counts_and_an_epoch_is_one_configuration() {
     let roster = Membership::bootstrap(1, (0..7).map(|i| seat(i, 1, i as u64)).collect()).expect("a roster");
-    assert_eq!((roster.voters().0.len(), roster.voters().1.len()), (MAX_VOTERS, 2));
+    assert_eq!((roster.raft_ids().0.len(), roster.raft_ids().1.len()), (MAX_VOTERS, 2));
     let admit = |s: Voter, base| Command::Admit { voter: s, known_epoch: base };
     assert_eq!(roster.evaluate(9, &admit(seat(2, 1, 2), 1)).0, CommandOutcome::Unchanged);
     let (outcome, second) = roster.evaluate(9, &admit(seat(2, 5, 2), 1));
     let second = second.expect("another life");
     assert!(matches!(outcome, CommandOutcome::Reconfigured(c) if c.epoch() == 9));
-    assert_eq!(second.voters(), roster.voters(), "the same disk is the same voter");
+    assert_eq!(second.raft_ids(), roster.raft_ids(), "the same disk is the same voter");
     // An ask that was under way meanwhile, and the life that ended.
     assert_eq!(
         second.evaluate(10, &admit(seat(2, 4, 2), 1)).0,
@@ -209,10 +209,10 @@
         CommandOutcome::Rejected(RejectionReason::IncarnationEnded)
     );
     let third = second.evaluate(11, &admit(seat(2, 6, 88), 9)).1.expect("another disk");
-    assert_ne!(third.voters(), second.voters());
+    assert_ne!(third.raft_ids(), second.raft_ids());
     // One who learned votes in the place of one who leaves.
     let left = third.evaluate(12, &Command::Leave(MemberId::new("m2", 6))).1.expect("left");
-    assert_eq!((left.voters().0.len(), left.voters().1.len()), (MAX_VOTERS, 1));
+    assert_eq!((left.raft_ids().0.len(), left.raft_ids().1.len()), (MAX_VOTERS, 1));
     assert_eq!(
         left.evaluate(13, &Command::Leave(MemberId::new("m2", 6))).0,
         CommandOutcome::Rejected(RejectionReason::NotAMember)
--- a/tests/fleet_log/sim.rs
+++ b/tests/fleet_log/sim.rs
@@ -169,7 +169,7 @@
                 wrong = Some(format!("two configurations of epoch {}", config.epoch()));
             }
         }
-        let listed = roster.voters().0.contains(&id);
+        let listed = roster.raft_ids().0.contains(&id);
         self.break_if(log_leads(&self.nodes[i]) && !listed && self.without == Without::Nothing, || {
             "led by no voter".into()
         });
@@ -276,7 +276,7 @@
             let missing = self
                 .nodes
                 .iter()
-                .find(|n| n.log.is_some() && !log.membership().seats().any(|s| *s == n.seat));
+                .find(|n| n.log.is_some() && !log.membership().members().any(|s| *s == n.seat));
             let admit = missing.map(|n| Command::Admit { voter: n.seat.clone(), known_epoch: base });
             if let Some(admit) = admit {
                 let _ = self.propose(at, &admit);
@@ -341,7 +341,7 @@
         if leader.has_pending_membership_change() {
             return false;
         }
-        let (voters, _) = leader.membership().voters();
+        let (voters, _) = leader.membership().raft_ids();
         let fit = |n: &Node| n.log.as_ref().is_some_and(|l| l.applied_index() + 2 >= leader.applied_index());
         let counts = |n: &Node| voters.contains(&n.seat.voter_id());
         self.nodes.iter().all(counts) && self.nodes.iter().enumerate().all(|(j, n)| j == i || fit(n))
@@ -352,7 +352,7 @@
             self.step();
             let counted = |s: &Sim, at: usize| {
                 let log = s.nodes[at].log.as_ref().expect("a log");
-                s.nodes.iter().all(|n| log.membership().seats().any(|x| *x == n.seat))
+                s.nodes.iter().all(|n| log.membership().members().any(|x| *x == n.seat))
             };
             if let Some(at) = self.leader().filter(|at| counted(&self, *at)) {
                 let first = self.nodes[at].log.as_ref().expect("a log").applied_index();
--- a/tests/fleet_parts/disk.rs
+++ b/tests/fleet_parts/disk.rs
@@ -22,7 +22,7 @@
     let written = opened.stored.entries.last().map_or(0, |(index, _)| *index);
     if written == 0 {
         let stored = marlgap::cluster::consensus_log::StoredLog { cluster_id: 5, ..Default::default() };
-        assert!((0..TRIES).any(|_| store.begin(&stored, b"founded").is_ok()), "begun");
+        assert!((0..TRIES).any(|_| store.initialize_log(&stored, b"founded").is_ok()), "begun");
     }
     for n in written + 1..=BATCHES {
         assert!((0..TRIES).any(|_| store.persist(&batch(n)).is_ok()), "batch {n} is owed");
--- a/tests/fleet_parts/founding.rs
+++ b/tests/fleet_parts/founding.rs
@@ -3,7 +3,7 @@
 use std::rc::Rc;
 
 use marlgap::cluster::bootstrap::{
-    Bootstrap, BootstrapError, BootstrapMessage, BootstrapState, FoundAct, InitialMembers,
+    Bootstrap, BootstrapAction, BootstrapError, BootstrapMessage, BootstrapState, InitialMembers,
 };
 use marlgap::cluster::consensus_log::Voter;
 use marlgap::cluster::{Member, MemberId};
@@ -66,22 +66,22 @@
     fn act(&mut self, i: usize, upto: usize) {
         for act in self.all[i].founding.ready().into_iter().take(upto) {
             match act {
-                FoundAct::PersistAccepted(set) => self.all[i].disk = BootstrapState::Accepted(set),
-                FoundAct::Bootstrapped { cluster_id: cluster, members } => {
+                BootstrapAction::PersistAccepted(set) => self.all[i].disk = BootstrapState::Accepted(set),
+                BootstrapAction::Bootstrapped { cluster_id: cluster, members } => {
                     self.sets.insert(cluster, members);
                     self.all[i].disk = BootstrapState::Bootstrapped(cluster);
                     self.all[i].joined = Some(cluster);
                 }
-                FoundAct::Join { cluster_id } => {
+                BootstrapAction::Join { cluster_id } => {
                     self.all[i].disk = BootstrapState::Bootstrapped(cluster_id);
                     self.all[i].joined = Some(cluster_id);
                 }
-                FoundAct::Say(say) => {
+                BootstrapAction::Broadcast(say) => {
                     let (life, bytes) = (say.voter.member.id.incarnation, say.encode());
                     let to = (0..self.all.len()).filter(|j| *j != i);
                     self.wire.extend(to.map(|j| ((i, life, j), bytes.clone())));
                 }
-                FoundAct::Stuck(stuck) => self.stuck.push(stuck),
+                BootstrapAction::Failed(stuck) => self.stuck.push(stuck),
             }
         }
     }
@@ -165,12 +165,12 @@
         left.receive(BootstrapMessage { voter: seat(i, 2, 77), state: BootstrapState::Empty });
     }
     let lost = BootstrapError::MajorityLost(vec!["m1".into(), "m2".into()]);
-    assert!(left.ready().contains(&FoundAct::Stuck(lost)), "both may have gone on without it");
+    assert!(left.ready().contains(&BootstrapAction::Failed(lost)), "both may have gone on without it");
 
     let mut founded = Bootstrap::new("accra", &names, seat(0, 2, 0), BootstrapState::Bootstrapped(5));
     founded.receive(BootstrapMessage { voter: seat(1, 1, 1), state: BootstrapState::Bootstrapped(6) });
     let foreign = BootstrapError::OtherCluster { name: "m1".into(), cluster_id: 6 };
-    assert!(founded.ready().contains(&FoundAct::Stuck(foreign)));
+    assert!(founded.ready().contains(&BootstrapAction::Failed(foreign)));
     assert_eq!(founded.state(), &BootstrapState::Bootstrapped(5));
 }
 
@@ -179,11 +179,11 @@
     let names: Vec<Rc<str>> = ["m0", "m1"].map(Into::into).into();
     let mut new = Bootstrap::new("accra", &names, seat(0, 2, 9), BootstrapState::Empty);
     new.receive(BootstrapMessage { voter: seat(1, 1, 1), state: BootstrapState::Bootstrapped(6) });
-    assert!(new.ready().contains(&FoundAct::Join { cluster_id: 6 }));
+    assert!(new.ready().contains(&BootstrapAction::Join { cluster_id: 6 }));
     let mut alone = Bootstrap::new("accra", &names[..1], seat(0, 1, 9), BootstrapState::Empty);
     let acts = alone.ready();
-    let pin = acts.iter().position(|a| matches!(a, FoundAct::PersistAccepted(_)));
-    let founded = acts.iter().position(|a| matches!(a, FoundAct::Bootstrapped { .. }));
+    let pin = acts.iter().position(|a| matches!(a, BootstrapAction::PersistAccepted(_)));
+    let founded = acts.iter().position(|a| matches!(a, BootstrapAction::Bootstrapped { .. }));
     assert!(pin < founded && pin.is_some(), "{acts:?}");
 }
 
@@ -192,12 +192,14 @@
     let names: Vec<Rc<str>> = ["m0", "m1"].map(Into::into).into();
     let mut member = Bootstrap::new("accra", &names, seat(0, 1, 0), BootstrapState::Empty);
     let set = InitialMembers::new((0..2).map(|i| seat(i, 1, i as u64)).collect());
-    let at = |acts: &[FoundAct], what: &FoundAct| acts.iter().position(|a| a == what).expect("an act");
-    let say = |stage| FoundAct::Say(BootstrapMessage { voter: seat(0, 1, 0), state: stage });
+    let at = |acts: &[BootstrapAction], what: &BootstrapAction| {
+        acts.iter().position(|a| a == what).expect("an act")
+    };
+    let say = |stage| BootstrapAction::Broadcast(BootstrapMessage { voter: seat(0, 1, 0), state: stage });
     member.receive(BootstrapMessage { voter: seat(1, 1, 1), state: BootstrapState::Empty });
     let acts = member.ready();
     assert!(
-        at(&acts, &FoundAct::PersistAccepted(set.clone()))
+        at(&acts, &BootstrapAction::PersistAccepted(set.clone()))
             < at(&acts, &say(BootstrapState::Accepted(set.clone()))),
         "{acts:?}"
     );
@@ -205,7 +207,7 @@
     let acts = member.ready();
     let cluster = set.cluster_id("accra");
     assert!(
-        at(&acts, &FoundAct::Bootstrapped { cluster_id: cluster, members: set })
+        at(&acts, &BootstrapAction::Bootstrapped { cluster_id: cluster, members: set })
             < at(&acts, &say(BootstrapState::Bootstrapped(cluster))),
         "{acts:?}"
     );
@@ -221,5 +223,5 @@
     assert_eq!(member.state(), &BootstrapState::Accepted(set));
     member.receive(BootstrapMessage { voter: seat(2, 1, 2), state: BootstrapState::Bootstrapped(6) });
     assert_eq!(member.state(), &BootstrapState::Bootstrapped(6));
-    assert!(member.ready().contains(&FoundAct::Join { cluster_id: 6 }));
+    assert!(member.ready().contains(&BootstrapAction::Join { cluster_id: 6 }));
 }
--- a/tests/fleet_parts/founding_first.rs
+++ b/tests/fleet_parts/founding_first.rs
@@ -1,7 +1,9 @@
 //! Founding members of a fleet without a log: one list is formed.
 use std::rc::Rc;
 
-use marlgap::cluster::bootstrap::first_configuration::{Act, Founding, Kind, Note, Round};
+use marlgap::cluster::bootstrap::first_configuration::{
+    Action, Ballot, ConfigurationMessage, LoglessBootstrap, MessageKind,
+};
 use marlgap::cluster::{Configuration, Member, MemberId};
 use rand_core::{RngCore, SeedableRng};
 
@@ -21,26 +23,28 @@
 fn play(seed: u64) -> (Vec<Configuration>, bool) {
     let mut chance = rand_pcg::Pcg32::seed_from_u64(seed);
     let mut ids: Vec<MemberId> = NAMES.iter().map(|n| MemberId::new(n, 1)).collect();
-    let mut all: Vec<Founding> = ids.iter().map(|id| Founding::new(0, id.clone(), file())).collect();
-    let (mut formed, mut wire, mut restarts) = (Vec::new(), Vec::<(MemberId, MemberId, Note)>::new(), 0);
+    let mut all: Vec<LoglessBootstrap> =
+        ids.iter().map(|id| LoglessBootstrap::new(0, id.clone(), file())).collect();
+    let (mut formed, mut wire, mut restarts) =
+        (Vec::new(), Vec::<(MemberId, MemberId, ConfigurationMessage)>::new(), 0);
     for now in (0..).step_by(10_000).take(400) {
         if now < 2_000_000 && chance.next_u32() % 30 == 0 {
             restarts += 1;
             let n = (chance.next_u32() % 2) as usize;
             ids[n] = MemberId::new(NAMES[n], 1 + restarts);
-            all[n] = Founding::new(now, ids[n].clone(), file());
+            all[n] = LoglessBootstrap::new(now, ids[n].clone(), file());
         }
         for (n, founding) in all.iter_mut().enumerate() {
             if chance.next_u32() % 8 == 0 {
-                founding.heard(&ids[(n + 1) % 3], "z");
-                founding.heard(&ids[(n + 2) % 3], "z");
+                founding.peer_seen(&ids[(n + 1) % 3], "z");
+                founding.peer_seen(&ids[(n + 2) % 3], "z");
             }
             founding.tick(now);
             for act in founding.ready() {
                 match act {
-                    Act::Send { to, note } => wire.push((ids[n].clone(), to, note)),
-                    Act::Formed(config) => formed.push(config),
-                    Act::Differs(id) => panic!("{id} differs"),
+                    Action::Send { to, message } => wire.push((ids[n].clone(), to, message)),
+                    Action::Decided(config) => formed.push(config),
+                    Action::ConfigurationMismatch(id) => panic!("{id} differs"),
                 }
             }
         }
@@ -58,7 +62,7 @@
         }
     }
     // Who knows of epoch 1 repeats nothing any more.
-    let whole = all.iter().all(|f| f.due().is_none());
+    let whole = all.iter().all(|f| f.next_tick_at().is_none());
     (formed, whole)
 }
 
@@ -76,12 +80,17 @@
 
 #[test]
 fn a_member_whose_file_differs_is_told_of_and_founds_nothing() {
-    let mut a = Founding::new(0, MemberId::new("a", 1), file());
-    a.heard(&MemberId::new("b", 1), "z");
-    a.heard(&MemberId::new("c", 1), "elsewhere");
-    assert_eq!(a.ready(), [Act::Differs(MemberId::new("c", 1))]);
-    let (round, over) = (Round::default(), Round::default());
-    let note = Note { kind: Kind::Formed.into(), round, over, lives: Vec::new() };
+    let mut a = LoglessBootstrap::new(0, MemberId::new("a", 1), file());
+    a.peer_seen(&MemberId::new("b", 1), "z");
+    a.peer_seen(&MemberId::new("c", 1), "elsewhere");
+    assert_eq!(a.ready(), [Action::ConfigurationMismatch(MemberId::new("c", 1))]);
+    let (round, over) = (Ballot::default(), Ballot::default());
+    let note = ConfigurationMessage {
+        kind: MessageKind::Decided.into(),
+        ballot: round,
+        superseded: over,
+        members: Vec::new(),
+    };
     a.receive(&MemberId::new("b", 1), note);
-    assert_eq!(a.ready(), [Act::Differs(MemberId::new("b", 1))]);
+    assert_eq!(a.ready(), [Action::ConfigurationMismatch(MemberId::new("b", 1))]);
 }
--- a/tests/fleet_parts/store.rs
+++ b/tests/fleet_parts/store.rs
@@ -3,8 +3,8 @@
 use std::path::{Path, PathBuf};
 use std::process::{Command, Stdio};
 
-use marlgap::cluster::consensus_log::{Hard, StoredLog, WriteBatch};
-use marlgap::net::cluster::store::{Opened, Store, StoreError};
+use marlgap::cluster::consensus_log::{HardState, StoredLog, WriteBatch};
+use marlgap::net::cluster::store::{Store, StoreContents, StoreError};
 use rand_core::{RngCore, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 
@@ -37,7 +37,7 @@
 /// Entries come and are replaced, terms rise, snapshots let older entries go.
 pub fn batch(n: u64) -> WriteBatch {
     let entries = vec![(n, format!("entry {n} ").repeat(n as usize % 9 + 1).into_bytes())];
-    let hard = Hard { term: n, vote: n * 7, commit: n.saturating_sub(2) };
+    let hard = HardState { term: n, vote: n * 7, commit: n.saturating_sub(2) };
     let snapshot = n.is_multiple_of(10).then(|| vec![n as u8; 300]);
     WriteBatch {
         hard_state: hard,
@@ -56,8 +56,8 @@
 
 fn filled(path: &Path, batches: u64) -> Store {
     let (mut store, opened) = Store::open(path, 77).expect("a new store");
-    assert_eq!(opened, Opened { disk: 77, ..Opened::default() });
-    store.begin(&StoredLog { cluster_id: 5, ..StoredLog::default() }, b"founded").expect("written");
+    assert_eq!(opened, StoreContents { disk_id: 77, ..StoreContents::default() });
+    store.initialize_log(&StoredLog { cluster_id: 5, ..StoredLog::default() }, b"founded").expect("written");
     (1..=batches).for_each(|n| store.persist(&batch(n)).expect("written"));
     store
 }
@@ -68,7 +68,10 @@
     let path = dir.file("a.redb");
     drop(filled(&path, 50));
     let (store, opened) = Store::open(&path, 1).expect("opened");
-    assert_eq!(opened, Opened { disk: 77, stage: b"founded".to_vec(), stored: after(50) });
+    assert_eq!(
+        opened,
+        StoreContents { disk_id: 77, bootstrap_state: b"founded".to_vec(), stored: after(50) }
+    );
     assert!(Store::open(&path, 1).is_err(), "one process at a time");
     drop(store);
     // An older copy of the file, and each file alone.
@@ -77,7 +80,7 @@
     store.persist(&batch(51)).expect("written");
     drop(store);
     std::fs::write(&path, &copy).expect("put back");
-    assert!(matches!(Store::open(&path, 1), Err(StoreError::WentBack { .. })));
+    assert!(matches!(Store::open(&path, 1), Err(StoreError::RolledBack { .. })));
     std::fs::remove_file(&path).expect("removed");
     assert!(matches!(Store::open(&path, 1), Err(StoreError::Missing(_))));
     std::fs::write(&path, &copy).expect("put back");
@@ -121,10 +124,14 @@
                 let opened = std::panic::catch_unwind(|| Store::open(&path, 1).map(|(_, opened)| opened));
                 match opened.map_err(|_| format!("round {round}")).expect("no panic") {
                     Ok(opened) => {
-                        assert_eq!((opened.disk, &opened.stored), (77, whole), "core {core}, round {round}");
+                        assert_eq!(
+                            (opened.disk_id, &opened.stored),
+                            (77, whole),
+                            "core {core}, round {round}"
+                        );
                         kept += 1;
                     }
-                    Err(StoreError::WentBack { .. }) => back += 1,
+                    Err(StoreError::RolledBack { .. }) => back += 1,
                     Err(_) => refused += 1,
                 }
             }
@@ -147,7 +154,9 @@
     let Ok(path) = std::env::var("MARLGAP_STORE_CHILD") else { return };
     let (mut store, opened) = Store::open(Path::new(&path), 77).expect("a store");
     if opened.stored.cluster_id == 0 {
-        store.begin(&StoredLog { cluster_id: 5, ..StoredLog::default() }, b"founded").expect("written");
+        store
+            .initialize_log(&StoredLog { cluster_id: 5, ..StoredLog::default() }, b"founded")
+            .expect("written");
     }
     for n in opened.stored.hard_state.term + 1.. {
         store.persist(&batch(n)).expect("written");
--- a/tests/fleet_parts/time.rs
+++ b/tests/fleet_parts/time.rs
@@ -1,10 +1,12 @@
 //! The fleet's time: stamps, and the bound on the clocks' offsets.
-use marlgap::cluster::hybrid_clock::{Beyond, HybridClock, HybridTimestamp, Offsets, Standing, BOUND_MS};
+use marlgap::cluster::hybrid_clock::{
+    ClockOffsets, ClockSkewExceeded, HybridClock, HybridTimestamp, OffsetState, DEFAULT_MAX_OFFSET_MS,
+};
 use marlgap::cluster::MemberId;
 
 #[test]
 fn stamps_rise_while_the_wall_clock_steps_back_and_the_counter_runs_over() {
-    let mut clock = HybridClock::new(BOUND_MS);
+    let mut clock = HybridClock::new(DEFAULT_MAX_OFFSET_MS);
     let first = clock.now(1000);
     assert!(clock.now(400) > first);
     let before = clock.observe(1000, HybridTimestamp::new(1000, u32::MAX - 1)).expect("within the bound");
@@ -23,30 +25,30 @@
     let near = HybridTimestamp::new(1250, 7);
     assert!(clock.observe(1000, near).expect("within the bound") > near);
     let far = clock.observe(1000, HybridTimestamp::from_ms(1251));
-    assert_eq!(far, Err(Beyond { ahead_ms: 251, bound_ms: 250 }));
+    assert_eq!(far, Err(ClockSkewExceeded { ahead_ms: 251, bound_ms: 250 }));
     assert_eq!(clock.now(1000).ms, 1250);
 }
 
 #[test]
 fn a_member_beyond_the_bound_of_a_majority_finds_out_and_comes_back() {
-    let mut offsets = Offsets::new(250, 0.0001);
+    let mut offsets = ClockOffsets::new(250, 0.0001);
     let member = |n: u64| MemberId::new("m", n);
-    assert_eq!(offsets.standing(0, 10_000, 4), Standing::Unknown);
+    assert_eq!(offsets.state(0, 10_000, 4), OffsetState::Unknown);
     for n in 0..4 {
         // Two of four others run 300 ms ahead: no majority.
         let theirs = if n < 2 { 10_310 } else { 10_010 };
-        offsets.measured(&member(n), 0, 20_000, theirs);
+        offsets.record(&member(n), 0, 20_000, theirs);
     }
-    assert_eq!(offsets.standing(20_000, 10_020, 4), Standing::Within);
+    assert_eq!(offsets.state(20_000, 10_020, 4), OffsetState::WithinBound);
     // Our own wall clock steps back, while nobody can be asked.
-    let Standing::Beyond { ahead_ms } = offsets.standing(30_000, 9_030, 4) else { panic!("a step unseen") };
+    let OffsetState::Beyond { ahead_ms } = offsets.state(30_000, 9_030, 4) else { panic!("a step unseen") };
     assert!((980..1320).contains(&ahead_ms), "{ahead_ms}");
-    assert_eq!(offsets.standing(40_000, 10_040, 4), Standing::Within);
+    assert_eq!(offsets.state(40_000, 10_040, 4), OffsetState::WithinBound);
     // An old sample says less: 300 ms are not certain after 1,000 s at this drift, and an answer that took long
     // never was.
-    offsets.measured(&member(2), 0, 20_000, 10_310);
-    assert!(matches!(offsets.standing(20_000, 10_020, 4), Standing::Beyond { .. }));
-    assert_eq!(offsets.standing(1_000_020_000, 1_010_020, 4), Standing::Within);
-    offsets.measured(&member(2), 0, 900_000, 10_310);
-    assert_eq!(offsets.standing(900_000, 10_900, 4), Standing::Within);
+    offsets.record(&member(2), 0, 20_000, 10_310);
+    assert!(matches!(offsets.state(20_000, 10_020, 4), OffsetState::Beyond { .. }));
+    assert_eq!(offsets.state(1_000_020_000, 1_010_020, 4), OffsetState::WithinBound);
+    offsets.record(&member(2), 0, 900_000, 10_310);
+    assert_eq!(offsets.state(900_000, 10_900, 4), OffsetState::WithinBound);
 }
--- a/tests/golden_store/bootstrap.rs
+++ b/tests/golden_store/bootstrap.rs
@@ -1,5 +1,7 @@
 //! Founding: what members say to each other before there is a log, and the set that they pin on their disks.
-use marlgap::cluster::bootstrap::first_configuration::{Kind, Life, Note, Round};
+use marlgap::cluster::bootstrap::first_configuration::{
+    Ballot, ConfigurationMessage, InitialMember, MessageKind,
+};
 use marlgap::cluster::bootstrap::{BootstrapMessage, BootstrapState, InitialMembers};
 use marlgap::net::cluster::frames::{parse, Frame, Hello, VERSION};
 use prost::Message as _;
@@ -50,25 +52,34 @@
 
 const SET_CLUSTER: u64 = 9_022_134_833_960_559_442;
 
-fn life(number: usize) -> Life {
+fn life(number: usize) -> InitialMember {
     let member = next_life(seat(number)).member;
     let (name, incarnation) = (member.id.name.to_string(), member.id.incarnation);
-    Life { name, incarnation, zone: member.zone.to_string() }
+    InitialMember { name, incarnation, zone: member.zone.to_string() }
 }
 
-fn notes() -> Vec<(&'static str, Kind, Note)> {
+fn notes() -> Vec<(&'static str, MessageKind, ConfigurationMessage)> {
     let kinds = [
-        ("note-asked", Kind::Asked),
-        ("note-propose", Kind::Propose),
-        ("note-took", Kind::Took),
-        ("note-holds", Kind::Holds),
-        ("note-formed", Kind::Formed),
+        ("note-asked", MessageKind::Query),
+        ("note-propose", MessageKind::Propose),
+        ("note-took", MessageKind::Accepted),
+        ("note-holds", MessageKind::Rejected),
+        ("note-formed", MessageKind::Decided),
     ];
-    let note = |(n, (name, kind)): (usize, (&'static str, Kind))| {
+    let note = |(n, (name, kind)): (usize, (&'static str, MessageKind))| {
         let n = n as u64;
-        let round = Round { leader: 501 + n, number: 601 + n };
-        let over = Round { leader: 701 + n, number: 801 + n };
-        (name, kind, Note { kind: kind.into(), round, over, lives: vec![life(0), life(1)] })
+        let round = Ballot { leader: 501 + n, number: 601 + n };
+        let over = Ballot { leader: 701 + n, number: 801 + n };
+        (
+            name,
+            kind,
+            ConfigurationMessage {
+                kind: kind.into(),
+                ballot: round,
+                superseded: over,
+                members: vec![life(0), life(1)],
+            },
+        )
     };
     kinds.into_iter().enumerate().map(note).collect()
 }
@@ -82,12 +93,12 @@
     let golden = records("notes.hex", note_records);
     assert_eq!(names(&golden), ["note-asked", "note-propose", "note-took", "note-holds", "note-formed"]);
     for (number, (name, kind, note)) in notes().into_iter().enumerate() {
-        let read = Note::decode(record(&golden, name)).expect(name);
+        let read = ConfigurationMessage::decode(record(&golden, name)).expect(name);
         assert_eq!(read.kind, number as i32, "{name}");
-        assert_eq!(Kind::try_from(read.kind), Ok(kind), "{name}");
-        assert_eq!(read.round, note.round, "{name}");
-        assert_eq!(read.over, note.over, "{name}");
-        assert_eq!(read.lives, note.lives, "{name}");
+        assert_eq!(MessageKind::try_from(read.kind), Ok(kind), "{name}");
+        assert_eq!(read.ballot, note.ballot, "{name}");
+        assert_eq!(read.superseded, note.superseded, "{name}");
+        assert_eq!(read.members, note.members, "{name}");
         assert_eq!(read.encode_to_vec(), record(&golden, name), "{name}");
     }
 }
--- a/tests/golden_store/frames.rs
+++ b/tests/golden_store/frames.rs
@@ -147,7 +147,7 @@
             let restored = |act: &LogAction| match act {
                 LogAction::Restored { index, membership, application_state } => {
                     *index == sent.get_snapshot().get_metadata().index
-                        && membership.seats().cloned().collect::<Vec<_>>() == seats(3)
+                        && membership.members().cloned().collect::<Vec<_>>() == seats(3)
                         && application_state == b"other parts"
                 }
                 _ => false,
--- a/tests/golden_store/log.rs
+++ b/tests/golden_store/log.rs
@@ -1,7 +1,7 @@
 //! The replicated log: a command of each kind, the roster, and the snapshot that a voter keeps and sends.
 use marlgap::cluster::consensus_log::{
-    decode_command, encode_command, voter_id, Command, CommandOutcome, ConsensusLog, Hard, Identity, Limits,
-    LogAction, Membership, StoredLog, WriteBatch,
+    decode_command, encode_command, voter_id, Command, CommandOutcome, ConsensusLog, HardState, Identity,
+    Limits, LogAction, Membership, StoredLog, WriteBatch,
 };
 
 use crate::fixture::{names, record, records, Records};
@@ -59,12 +59,12 @@
     let again = Command::Admit { voter: seat(1), known_epoch: 500 };
     assert!(matches!(read.evaluate(500, &again).0, CommandOutcome::Rejected(_)), "its first life has ended");
     let members = [seat(0), next_life(seat(1)), seat(2), seat(4), seat(5)];
-    assert_eq!(read.seats().cloned().collect::<Vec<_>>(), members);
+    assert_eq!(read.members().cloned().collect::<Vec<_>>(), members);
     assert_eq!(read.closed_epoch(), 1);
     assert_eq!(read.open_epochs().map(|config| config.epoch()).collect::<Vec<_>>(), [401, 402]);
     let listed: Vec<_> = members.iter().map(|seat| seat.member.clone()).collect();
     assert_eq!(read.latest().map(|config| config.members().to_vec()), Some(listed));
-    assert_eq!(read.voters(), roster().voters());
+    assert_eq!(read.raft_ids(), roster().raft_ids());
     assert_eq!(read.encode(), record(&golden, "roster"));
 }
 
@@ -124,7 +124,7 @@
         entries.push((index, bytes.clone()));
     }
     let snapshot = record(&golden, "snapshot").to_vec();
-    let hard = Hard { term: 2, vote: voter_id("bonn", seat(0).disk_id), commit: 7 };
+    let hard = HardState { term: 2, vote: voter_id("bonn", seat(0).disk_id), commit: 7 };
     let stored =
         StoredLog { cluster_id: CLUSTER, hard_state: hard, snapshot: Some(snapshot.clone()), entries };
     assert_eq!(stored, lone_voter(), "this build writes the same snapshot and entries");
@@ -137,7 +137,7 @@
         panic!("{acts:?}")
     };
     assert_eq!(application_state, b"other parts");
-    assert_eq!(membership.voters().cloned().collect::<Vec<_>>(), [next_life(seat(0))]);
+    assert_eq!(membership.members().cloned().collect::<Vec<_>>(), [next_life(seat(0))]);
     assert_eq!(membership.closed_epoch(), 1);
     assert_eq!(membership.open_epochs().map(|config| config.epoch()).collect::<Vec<_>>(), [3]);
     log.compact(b"other parts").expect("a snapshot");
--- a/tests/golden_store/store.rs
+++ b/tests/golden_store/store.rs
@@ -4,8 +4,8 @@
 use std::path::{Path, PathBuf};
 
 use marlgap::cluster::bootstrap::InitialMembers;
-use marlgap::cluster::consensus_log::{Hard, StoredLog, WriteBatch};
-use marlgap::net::cluster::store::{Opened, Store};
+use marlgap::cluster::consensus_log::{HardState, StoredLog, WriteBatch};
+use marlgap::net::cluster::store::{Store, StoreContents};
 use redb::{Database, ReadableDatabase, ReadableTable, TableDefinition, TableHandle};
 
 use crate::fixture::compressed;
@@ -37,7 +37,7 @@
 }
 
 const SNAPSHOT: &[u8] = b"a later snapshot of the state";
-const HARD: Hard = Hard { term: 0x0a01, vote: 0x0b02_0304_0506_0708, commit: 0x0c03 };
+const HARD: HardState = HardState { term: 0x0a01, vote: 0x0b02_0304_0506_0708, commit: 0x0c03 };
 
 fn entries() -> Vec<(u64, Vec<u8>)> {
     (0x0c02..0x0c06).map(|index| (index, format!("entry {index:x}").into_bytes())).collect()
@@ -47,28 +47,28 @@
     InitialMembers::new(seats(3)).encode()
 }
 
-fn expected() -> Opened {
+fn expected() -> StoreContents {
     let stored = StoredLog {
         cluster_id: CLUSTER,
         hard_state: HARD,
         snapshot: Some(SNAPSHOT.into()),
         entries: entries(),
     };
-    Opened { disk: DISK, stage: stage(), stored }
+    StoreContents { disk_id: DISK, bootstrap_state: stage(), stored }
 }
 
 /// The generator: four batches, so that the last is the store's fifth transaction, counted from its making.
 fn write(path: &Path) {
     let (mut store, _) = Store::open(path, DISK).expect("a new store");
-    store.stage(b"an earlier stage").expect("written");
-    let first = Hard { term: 1, vote: 2, commit: 3 };
+    store.write_bootstrap_state(b"an earlier stage").expect("written");
+    let first = HardState { term: 1, vote: 2, commit: 3 };
     let begun = StoredLog {
         cluster_id: CLUSTER,
         hard_state: first,
         snapshot: Some(b"first".into()),
         entries: Vec::new(),
     };
-    store.begin(&begun, &stage()).expect("written");
+    store.initialize_log(&begun, &stage()).expect("written");
     let all = entries();
     let batch = WriteBatch { hard_state: first, entries: all[..2].to_vec(), ..WriteBatch::default() };
     store.persist(&batch).expect("written");
@@ -100,9 +100,9 @@
 fn a_store_of_an_earlier_build_is_read() {
     let folder = inflate("read");
     let (store, opened) = Store::open(&folder.store(), 1).expect("opened");
-    assert_eq!(opened.disk, DISK);
-    assert_eq!(opened.stage, stage());
-    assert_eq!(InitialMembers::decode(&opened.stage).expect("a set").voters(), seats(3));
+    assert_eq!(opened.disk_id, DISK);
+    assert_eq!(opened.bootstrap_state, stage());
+    assert_eq!(InitialMembers::decode(&opened.bootstrap_state).expect("a set").voters(), seats(3));
     assert_eq!(opened.stored.cluster_id, CLUSTER);
     assert_eq!(opened.stored.hard_state.term, HARD.term);
     assert_eq!(opened.stored.hard_state.vote, HARD.vote);
@@ -114,10 +114,10 @@
 
     // It goes on from there, and is read again.
     let (mut store, _) = Store::open(&folder.store(), 1).expect("opened again");
-    store.stage(b"a later stage").expect("written");
+    store.write_bootstrap_state(b"a later stage").expect("written");
     drop(store);
     let (_, opened) = Store::open(&folder.store(), 1).expect("opened a third time");
-    assert_eq!(opened, Opened { stage: b"a later stage".to_vec(), ..expected() });
+    assert_eq!(opened, StoreContents { bootstrap_state: b"a later stage".to_vec(), ..expected() });
 }
 
 const META: TableDefinition<'_, &str, &[u8]> = TableDefinition::new("meta");
--- a/tests/golden_wire/links.rs
+++ b/tests/golden_wire/links.rs
@@ -1,5 +1,7 @@
 //! The frames on a connection between two members: hello, work and founding.
-use marlgap::cluster::bootstrap::first_configuration::{Kind, Life, Note, Round};
+use marlgap::cluster::bootstrap::first_configuration::{
+    Ballot, ConfigurationMessage, InitialMember, MessageKind,
+};
 use marlgap::cluster::takeover::message::{Body, Renew};
 use marlgap::cluster::takeover::Message;
 use marlgap::net::cluster::frames::{parse, Frame, Hello, VERSION};
@@ -10,14 +12,16 @@
 const MOST: usize = 4096;
 
 /// What founding members tell each other, with two lives.
-fn note(kind: Kind) -> Frame {
-    let first = Life { name: "alpha".to_owned(), incarnation: 1_700_000_001, zone: "room-a".to_owned() };
-    let second = Life { name: "beta".to_owned(), incarnation: 1_700_000_002, zone: "room-b".to_owned() };
-    Frame::Founding(Note {
+fn note(kind: MessageKind) -> Frame {
+    let first =
+        InitialMember { name: "alpha".to_owned(), incarnation: 1_700_000_001, zone: "room-a".to_owned() };
+    let second =
+        InitialMember { name: "beta".to_owned(), incarnation: 1_700_000_002, zone: "room-b".to_owned() };
+    Frame::Founding(ConfigurationMessage {
         kind: kind.into(),
-        round: Round { leader: 1_700_000_003, number: 17 },
-        over: Round { leader: 1_700_000_004, number: 16 },
-        lives: vec![first, second],
+        ballot: Ballot { leader: 1_700_000_003, number: 17 },
+        superseded: Ballot { leader: 1_700_000_004, number: 16 },
+        members: vec![first, second],
     })
 }
 
@@ -34,11 +38,11 @@
     vec![
         ("hello", Frame::Hello(hello)),
         ("work", Frame::Work(work)),
-        ("founding_asked", note(Kind::Asked)),
-        ("founding_propose", note(Kind::Propose)),
-        ("founding_took", note(Kind::Took)),
-        ("founding_holds", note(Kind::Holds)),
-        ("founding_formed", note(Kind::Formed)),
+        ("founding_asked", note(MessageKind::Query)),
+        ("founding_propose", note(MessageKind::Propose)),
+        ("founding_took", note(MessageKind::Accepted)),
+        ("founding_holds", note(MessageKind::Rejected)),
+        ("founding_formed", note(MessageKind::Decided)),
     ]
 }
 
--- a/tests/layout/histories.rs
+++ b/tests/layout/histories.rs
@@ -165,7 +165,7 @@
             let closed = world.copies[world.copies.len() - 1].valid.prev();
             let number = world.layouts.lease().number + 1;
             world.append(Entry::Lease { number, life: round, until: closed, closed }).expect("a lease");
-            world.append(Entry::Horizon { at: closed.less_ms(6 - round) }).expect("a horizon");
+            world.append(Entry::Horizon { at: closed.saturating_sub_ms(6 - round) }).expect("a horizon");
             for _ in 0..3 {
                 world.step();
             }
@@ -207,10 +207,10 @@
 fn reads_that_have_no_answer_say_why() {
     let world = world(2, 12);
     let now = world.copies[world.copies.len() - 1].valid;
-    let read = |which, at| world.layouts.route(which, At::Past(at), now, now.less_ms(5));
+    let read = |which, at| world.layouts.route(which, At::Past(at), now, now.saturating_sub_ms(5));
     assert_eq!(read(Which::All, now.next()), Err(ReadError::Future { now }));
-    let not_yet = ReadError::NotYet { closed: now.less_ms(5), behind_ms: 3 };
-    assert_eq!(read(Which::All, now.less_ms(2)), Err(not_yet));
+    let not_yet = ReadError::NotYet { closed: now.saturating_sub_ms(5), behind_ms: 3 };
+    assert_eq!(read(Which::All, now.saturating_sub_ms(2)), Err(not_yet));
     assert_eq!(read(Which::Tiles(&[999]), ms(11)), Err(ReadError::NoTile { tile: 999 }));
     assert_eq!(read(Which::Named("x"), ms(11)), Err(ReadError::NoDistrict { name: "x".into() }));
     assert_eq!(read(Which::District(District(9)), ms(11)), Err(ReadError::NoDistrict { name: "9".into() }));
