--- a/benches/scale/control/plane/members/acts.rs
+++ b/benches/scale/control/plane/members/acts.rs
@@ -49,7 +49,7 @@
                 self.in_force(i, index - 1, index);
             }
             LogAction::Compact => self.compact(i),
-            LogAction::Lead(leads) => self.leaders += u64::from(leads),
+            LogAction::LeadershipChanged { is_leader } => self.leaders += u64::from(is_leader),
             LogAction::Stopped(why) => self.break_if(true, || format!("member {i} stopped: {why}")),
         }
     }
--- a/benches/scale/control/plane/sweeps/log.rs
+++ b/benches/scale/control/plane/sweeps/log.rs
@@ -94,7 +94,7 @@
 /// The leader, another voter and a learner; the same one each time.
 pub fn roles(members: &Members) -> Option<(usize, Option<usize>, Option<usize>)> {
     let leader = members.leader()?;
-    let (voters, _) = members.nodes[leader].log.as_ref()?.membership().raft_ids();
+    let voters = members.nodes[leader].log.as_ref()?.membership().raft_ids().voters;
     let votes = |i: &usize| voters.contains(&members.nodes[*i].seat.voter_id());
     let voter = (0..members.nodes.len()).find(|i| votes(i) && *i != leader);
     let learner = (0..members.nodes.len()).rev().find(|i| !votes(i));
@@ -222,7 +222,7 @@
     for size in sizes.iter().copied() {
         let mut members = Members::led(size, SEED, 0);
         let Some((leader, ..)) = roles(&members) else { continue };
-        let votes = members.nodes[leader].log.as_ref().map_or(0, |l| l.membership().raft_ids().0.len());
+        let votes = members.nodes[leader].log.as_ref().map_or(0, |l| l.membership().raft_ids().voters.len());
         sweeps.point(&VOTERS, size as f64, votes as f64);
         let window = Window::open(&mut members);
         members.run(10 * SECOND);
--- a/src/cluster/bootstrap/mod.rs
+++ b/src/cluster/bootstrap/mod.rs
@@ -19,7 +19,7 @@
 
 use prost::Message as _;
 
-use super::consensus_log::{fnv, form, mix, seat_in, seat_out, DecodeError, Voter, MAX_MEMBERS};
+use super::consensus_log::{decode_voter, encode_voter, fnv, mix, wire, DecodeError, Voter, MAX_MEMBERS};
 
 /// How far a member is.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -55,7 +55,7 @@
 
     /// For the disk.
     pub fn encode(&self) -> Vec<u8> {
-        Seats { seats: self.0.iter().map(seat_out).collect() }.encode_to_vec()
+        Seats { seats: self.0.iter().map(encode_voter).collect() }.encode_to_vec()
     }
 
     pub fn decode(bytes: &[u8]) -> Result<InitialMembers, DecodeError> {
@@ -63,14 +63,14 @@
         if seats.len() > MAX_MEMBERS {
             return Err(DecodeError::Undecodable(format!("{} members, {MAX_MEMBERS} at most", seats.len())));
         }
-        Ok(InitialMembers::new(seats.into_iter().map(seat_in).collect::<Result<_, _>>()?))
+        Ok(InitialMembers::new(seats.into_iter().map(decode_voter).collect::<Result<_, _>>()?))
     }
 }
 
 #[derive(Clone, PartialEq, prost::Message)]
 struct Seats {
     #[prost(message, repeated, tag = "1")]
-    seats: Vec<form::Voter>,
+    seats: Vec<wire::Voter>,
 }
 
 /// What a member says of itself, on each connection and at each tick while it founds.
@@ -83,7 +83,7 @@
 #[derive(Clone, PartialEq, prost::Message)]
 struct SayForm {
     #[prost(message, optional, tag = "1")]
-    seat: Option<form::Voter>,
+    seat: Option<wire::Voter>,
     #[prost(bytes = "vec", optional, tag = "2")]
     pinned: Option<Vec<u8>>,
     #[prost(fixed64, tag = "3")]
@@ -97,13 +97,13 @@
             BootstrapState::Accepted(set) => (Some(set.encode()), 0),
             BootstrapState::Bootstrapped(cluster) => (None, *cluster),
         };
-        SayForm { seat: Some(seat_out(&self.voter)), pinned, founded }.encode_to_vec()
+        SayForm { seat: Some(encode_voter(&self.voter)), pinned, founded }.encode_to_vec()
     }
 
     /// The caller has bounded the bytes.
     pub fn decode(bytes: &[u8]) -> Result<BootstrapMessage, DecodeError> {
         let said = SayForm::decode(bytes)?;
-        let seat = seat_in(said.seat.ok_or(DecodeError::MissingField("a member"))?)?;
+        let seat = decode_voter(said.seat.ok_or(DecodeError::MissingField("a member"))?)?;
         let stage = match (said.pinned, said.founded) {
             (None, 0) => BootstrapState::Empty,
             (Some(set), 0) => BootstrapState::Accepted(InitialMembers::decode(&set)?),
--- a/src/cluster/consensus_log/mod.rs
+++ b/src/cluster/consensus_log/mod.rs
@@ -1,58 +1,74 @@
-//! Who counts is agreed: one replicated log of fleet configurations, layouts and plans. A pure machine round the crate
-//! `raft`: ticks, messages and proposals come in; what is to be kept, sent and acted on goes out, in the order in which
-//! it has to be done.
+//! The replicated log of the cluster's configurations, shard layouts and plans: a state machine without I/O, clock or
+//! randomness around the crate `raft` ([Raft](https://raft.github.io/raft.pdf), with pre-vote, check of the quorum and
+//! joint changes of voters). Ticks, messages and proposals come in, [`LogAction`]s go out.
 //!
-//! Invariants, each with the place that keeps it:
-//! - a vote, a term and an entry are durable before a message that rests on them goes out: [`Log::ready`] gives
-//!   [`LogAct::Persist`] first, and whoever acts on the list keeps its order and stops for good where one fails;
-//! - a voter is one name on one disk ([`voter`]): who comes back without its disk is another voter, and the replicated
-//!   roster takes it in by a change of voters before it has a vote;
-//! - one configuration an epoch: an epoch is the index of its entry ([`Roster`]);
-//! - what peers send is bounded before it is decoded and held against what is here before it is stepped (`frame`).
+//! It owns the order of the commands, the membership that they define, and what a voter may promise. It never writes a
+//! file, opens a connection or interprets a layout or plan. `docs/design-log.md` gives the argument.
 //!
-//! The crate draws its election time-outs by chance of its own. They are replaced after each step by a number that the
-//! seed, the term and the role give, so that the same events have the same effect.
+//! Invariants, each with the place that keeps it:
+//! - a vote, a term and an entry are durable before a message that depends on them is sent: [`ConsensusLog::ready`]
+//!   gives [`LogAction::Persist`] first, and the caller keeps its order and stops for good where one fails;
+//! - a voter is one name on one disk ([`voter_id`]): a process that comes back without its disk is another voter, which
+//!   a joint change takes in before it has a vote;
+//! - one configuration per epoch, and an epoch is the index of its entry ([`Membership`]);
+//! - a peer's message is bounded before it is decoded (`frame`) and checked against the local log before it is stepped
+//!   (`message_check`);
+//! - the same events have the same effect: the crate's random election timeouts are replaced after each step by numbers
+//!   that voter, term and role give.
+#![warn(missing_docs)]
+
+mod action;
+mod codec;
 mod command;
+mod error;
 mod frame;
+mod hash;
 mod membership;
-mod memory;
+mod message_check;
 mod node;
+mod storage;
 mod stored;
 
-use std::fmt;
 use std::rc::Rc;
 
-pub use command::{decode as decode_command, encode as encode_command};
-pub(super) use command::{fnv, form, mix, seat_in, seat_out};
-pub use command::{voter_id, Command, DecodeError, ProposalId, Voter};
-pub use frame::ReceiveError;
-pub use membership::{CommandOutcome, Membership, RejectionReason, MAX_MEMBERS, MAX_OPEN_EPOCHS, MAX_VOTERS};
-pub use node::ConsensusLog;
+pub use action::LogAction;
+pub use codec::{decode_command, encode_command, DecodeError};
+pub(super) use codec::{decode_voter, encode_voter, wire};
+pub use command::{voter_id, Command, ProposalId, Voter};
+pub use error::{CompactError, ProposeError, ReceiveError, RecoveryError};
+pub(super) use hash::{fnv, mix};
+pub use membership::{
+    CommandOutcome, Membership, RaftIds, RejectionReason, MAX_MEMBERS, MAX_OPEN_EPOCHS, MAX_VOTERS,
+};
+pub use node::{ConsensusLog, RetainedLog};
 pub use stored::{HardState, StoredLog, WriteBatch};
 
-/// A name on a disk: who this voter is.
+/// The name and disk of the local voter.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Identity {
+    /// The member's name.
     pub name: Rc<str>,
+    /// Drawn when its store's file was created.
     pub disk_id: u64,
 }
 
-/// Bounds. Sizes are bytes.
+/// The bounds of a log.
 #[derive(Clone, Debug)]
 pub struct Limits {
-    /// One message. A snapshot is one message: its state has to fit.
+    /// Size of one message. A snapshot is one message: its state has to fit.
     pub max_frame_bytes: usize,
-    /// One command, encoded.
+    /// Size of one encoded command.
     pub max_command_bytes: usize,
-    /// Commands proposed here and not agreed on yet.
+    /// Size of all commands that were proposed here and are not committed.
     pub max_uncommitted_bytes: usize,
-    /// All entries that are held. Proposals are refused beyond it until a snapshot lets older ones go.
+    /// Memory of all retained entries. Proposals beyond it are rejected until a snapshot lets older ones go.
     pub max_log_bytes: usize,
-    /// Entries that stay behind a snapshot, for members that are a little behind. A snapshot is asked for after as many
-    /// further ones.
+    /// Entries that stay behind a snapshot, for members that are a little behind. After as many further entries the
+    /// next snapshot is asked for.
     pub retained_entries: u64,
-    /// Ticks without a leader until an election, at least; twice as many at most.
+    /// Ticks without a leader before an election, at least; fewer than twice as many at most.
     pub election_ticks: usize,
+    /// Ticks between a leader's heartbeats.
     pub heartbeat_ticks: usize,
 }
 
@@ -69,130 +85,3 @@
         }
     }
 }
-
-/// What is to be done, in this order.
-#[derive(Debug, PartialEq)]
-pub enum LogAction {
-    /// Durable before the next act is begun. Where it fails, nothing that follows may be done, and the log is let go:
-    /// it has already gone on in memory.
-    Persist(WriteBatch),
-    Send {
-        to: Rc<str>,
-        bytes: Vec<u8>,
-    },
-    /// The state at this index takes the place of whatever was applied: after a start, or for a member that was behind.
-    /// `others` is what [`Log::compact`] was given.
-    Restored {
-        index: u64,
-        membership: Membership,
-        application_state: Vec<u8>,
-    },
-    /// Agreed on. Each member applies the same in the same order; after a restart those since the snapshot come again.
-    Applied {
-        index: u64,
-        proposal: ProposalId,
-        command: Command,
-        outcome: CommandOutcome,
-    },
-    /// [`Log::compact`] is wanted, with the state of the other parts as of all that was applied.
-    Compact,
-    Lead(bool),
-    /// This voter can't go on.
-    Stopped(String),
-}
-
-/// A proposal that was not taken.
-#[derive(Clone, Debug, PartialEq, Eq)]
-pub enum ProposeError {
-    NotLeader {
-        leader: Option<Rc<str>>,
-    },
-    /// Another change of voters is under way.
-    MembershipChangePending,
-    /// Too much is under way, or held.
-    CapacityExceeded,
-    TooLarge {
-        bytes: usize,
-        max_bytes: usize,
-    },
-    /// It would change nothing, and why.
-    NoEffect(CommandOutcome),
-    Stopped(String),
-}
-
-impl fmt::Display for ProposeError {
-    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        match self {
-            ProposeError::NotLeader { leader: Some(name) } => write!(f, "{name} leads"),
-            ProposeError::NotLeader { leader: None } => f.write_str("no leader is known"),
-            ProposeError::MembershipChangePending => f.write_str("a change of voters is under way"),
-            ProposeError::CapacityExceeded => f.write_str("too many proposals are under way or held"),
-            ProposeError::TooLarge { bytes, max_bytes } => write!(f, "{bytes} bytes, {max_bytes} at most"),
-            ProposeError::NoEffect(CommandOutcome::Rejected(why)) => write!(f, "{why}"),
-            ProposeError::NoEffect(_) => f.write_str("it stands already"),
-            ProposeError::Stopped(why) => write!(f, "stopped: {why}"),
-        }
-    }
-}
-
-impl std::error::Error for ProposeError {}
-
-/// What was stored is no log of this voter.
-#[derive(Clone, Debug, PartialEq, Eq)]
-pub enum RecoveryError {
-    Codec(DecodeError),
-    /// Entries with a gap, or out of order.
-    Gap(u64),
-    /// Agreed on up to here, and the entries end before.
-    MissingEntries(u64),
-    InvalidVoters,
-    InvalidLimits(String),
-}
-
-impl fmt::Display for RecoveryError {
-    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        match self {
-            RecoveryError::Codec(e) => write!(f, "the stored log: {e}"),
-            RecoveryError::Gap(index) => write!(f, "the stored log has a gap at {index}"),
-            RecoveryError::MissingEntries(index) => {
-                write!(f, "the stored log ends before {index}, which was agreed on")
-            }
-            RecoveryError::InvalidVoters => f.write_str("the stored log has impossible voters"),
-            RecoveryError::InvalidLimits(why) => write!(f, "limits of the log: {why}"),
-        }
-    }
-}
-
-impl std::error::Error for RecoveryError {}
-
-impl From<DecodeError> for RecoveryError {
-    fn from(e: DecodeError) -> RecoveryError {
-        RecoveryError::Codec(e)
-    }
-}
-
-/// A state that is not kept.
-#[derive(Clone, Debug, PartialEq, Eq)]
-pub enum CompactError {
-    TooLarge {
-        bytes: usize,
-        max_bytes: usize,
-    },
-    /// Acts are waiting: the state given can't be that after all of them.
-    ActionsPending,
-    Codec(DecodeError),
-}
-
-impl fmt::Display for CompactError {
-    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        match self {
-            CompactError::TooLarge { bytes, max_bytes } => {
-                write!(f, "a state of {bytes} bytes, {max_bytes} at most")
-            }
-            CompactError::ActionsPending => f.write_str("acts of the log are waiting"),
-            CompactError::Codec(e) => write!(f, "{e}"),
-        }
-    }
-}
-
-impl std::error::Error for CompactError {}
--- a/src/cluster/consensus_log/stored.rs
+++ b/src/cluster/consensus_log/stored.rs
@@ -1,71 +1,83 @@
-//! What a voter has on its disk, and what one step adds to it. Plain bytes: whoever keeps them needs not know the log.
+//! What a voter has on its disk, and what one step adds to it. Plain bytes: a store needs not know the log.
 use prost::Message as _;
 use protobuf::Message as _;
 use raft::eraftpb::{ConfState, Entry, HardState as RaftHardState, Snapshot};
 
-use super::command::{DecodeError, Voter};
-use super::membership::{Kept, Membership, RejectionReason};
+use super::codec::DecodeError;
+use super::command::Voter;
+use super::membership::{Membership, MembershipSnapshot, RejectionReason};
+use super::storage::EntryId;
 
-/// The promises of a voter: the term it has reached, whom it voted for in it (0: nobody), and up to where it knows the
-/// log to be agreed. Of these `term` and `vote` are promises, `commit` is a help.
+/// Raft's hard state. `term` and `vote` are promises and have to be durable before they are sent; `commit` is a hint.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct HardState {
+    /// The newest term that this voter knows.
     pub term: u64,
+    /// The voter id that it voted for in `term`; 0 for nobody.
     pub vote: u64,
+    /// Entries up to this index are committed, as far as it knows.
     pub commit: u64,
 }
 
 impl From<&RaftHardState> for HardState {
-    fn from(hs: &RaftHardState) -> HardState {
-        HardState { term: hs.term, vote: hs.vote, commit: hs.commit }
+    fn from(state: &RaftHardState) -> HardState {
+        HardState { term: state.term, vote: state.vote, commit: state.commit }
     }
 }
 
 /// What is to be made durable at once: all of it or nothing.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct WriteBatch {
+    /// Replaces the earlier hard state.
     pub hard_state: HardState,
-    /// Takes the place of the one before.
+    /// Replaces the earlier snapshot, where there is one here.
     pub snapshot: Option<Vec<u8>>,
-    /// Entries from here on are replaced by `entries`.
+    /// Stored entries at this index and beyond are dropped before `entries` are added.
     pub truncate_from: Option<u64>,
+    /// Encoded entries with their indexes, ascending.
     pub entries: Vec<(u64, Vec<u8>)>,
-    /// Entries before this one are dropped.
+    /// Entries before this index are dropped.
     pub first_index: u64,
 }
 
-/// All that is durable. Empty for a member that has not been told of a cluster yet.
+/// All that is durable. Empty for a member that does not know its cluster yet.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct StoredLog {
-    /// The number of the cluster, from its founding; 0 before it is known.
+    /// From bootstrap; 0 before it is known.
     pub cluster_id: u64,
+    /// The last one written.
     pub hard_state: HardState,
+    /// The last one written; none for a member that joins and has received none.
     pub snapshot: Option<Vec<u8>>,
+    /// Encoded entries with their indexes, ascending and without gaps.
     pub entries: Vec<(u64, Vec<u8>)>,
 }
 
 impl StoredLog {
-    /// The same at every founding member: the members count in epoch 1, and the log goes on from index 1.
-    pub fn bootstrap(cluster: u64, seats: Vec<Voter>) -> Result<StoredLog, RejectionReason> {
-        let roster = Membership::bootstrap(1, seats)?;
-        let mut conf = ConfState::default();
-        let (voters, learners) = roster.raft_ids();
-        conf.set_voters(voters);
-        conf.set_learners(learners);
-        let snapshot = snapshot(1, 1, conf, &roster, &[])
-            .map_err(|e| RejectionReason::InvalidConfiguration(e.to_string()))?;
-        let bytes =
-            snapshot.write_to_bytes().map_err(|e| RejectionReason::InvalidConfiguration(e.to_string()))?;
-        let hard = HardState { term: 1, vote: 0, commit: 1 };
-        Ok(StoredLog { cluster_id: cluster, hard_state: hard, snapshot: Some(bytes), entries: Vec::new() })
+    /// The start of a new cluster, the same at each of its initial members: they are the configuration of epoch 1, and
+    /// the log goes on from index 1.
+    ///
+    /// # Errors
+    /// [`RejectionReason::InvalidConfiguration`] where the members are no configuration.
+    pub fn bootstrap(cluster_id: u64, members: Vec<Voter>) -> Result<StoredLog, RejectionReason> {
+        let membership = Membership::bootstrap(1, members)?;
+        let raft_ids = membership.raft_ids();
+        let mut conf_state = ConfState::default();
+        conf_state.set_voters(raft_ids.voters);
+        conf_state.set_learners(raft_ids.learners);
+        let invalid = |reason: String| RejectionReason::InvalidConfiguration(reason);
+        let snapshot = encode_snapshot(EntryId { index: 1, term: 1 }, conf_state, &membership, &[]);
+        let bytes = snapshot.write_to_bytes().map_err(|e| invalid(e.to_string()))?;
+        let hard_state = HardState { term: 1, vote: 0, commit: 1 };
+        Ok(StoredLog { cluster_id, hard_state, snapshot: Some(bytes), entries: Vec::new() })
     }
 
-    /// A member that was told of the cluster and waits to be admitted: it has promised nothing.
-    pub fn joining(cluster: u64) -> StoredLog {
-        StoredLog { cluster_id: cluster, ..StoredLog::default() }
+    /// The start of a member that knows the cluster and waits to be admitted: it has promised nothing.
+    pub fn joining(cluster_id: u64) -> StoredLog {
+        StoredLog { cluster_id, ..StoredLog::default() }
     }
 
-    /// What is durable after this batch too.
+    /// Changes this to what is durable once `batch` is.
     pub fn apply(&mut self, batch: &WriteBatch) {
         self.hard_state = batch.hard_state;
         if let Some(snapshot) = &batch.snapshot {
@@ -79,37 +91,41 @@
     }
 }
 
-/// The data of a snapshot: the roster, and the state of the other parts of the fleet.
+/// The data of a snapshot. Tags are fixed.
 #[derive(Clone, PartialEq, prost::Message)]
-struct Data {
+struct SnapshotData {
     #[prost(message, optional, tag = "1")]
-    roster: Option<Kept>,
+    membership: Option<MembershipSnapshot>,
+    /// The state of the other parts of the cluster; opaque here.
     #[prost(bytes = "vec", tag = "2")]
-    others: Vec<u8>,
+    application_state: Vec<u8>,
 }
 
-pub(super) fn snapshot(
-    index: u64,
-    term: u64,
-    conf: ConfState,
-    roster: &Membership,
-    others: &[u8],
-) -> Result<Snapshot, DecodeError> {
+pub(super) fn encode_snapshot(
+    last_included: EntryId,
+    conf_state: ConfState,
+    membership: &Membership,
+    application_state: &[u8],
+) -> Snapshot {
+    let data = SnapshotData {
+        membership: Some(membership.snapshot()),
+        application_state: application_state.to_vec(),
+    };
     let mut snapshot = Snapshot::default();
-    let data = Data { roster: Some(roster.keep()), others: others.to_vec() };
     snapshot.set_data(data.encode_to_vec().into());
-    snapshot.mut_metadata().index = index;
-    snapshot.mut_metadata().term = term;
-    snapshot.mut_metadata().set_conf_state(conf);
-    Ok(snapshot)
+    snapshot.mut_metadata().index = last_included.index;
+    snapshot.mut_metadata().term = last_included.term;
+    snapshot.mut_metadata().set_conf_state(conf_state);
+    snapshot
 }
 
-pub(super) fn contents(snapshot: &Snapshot) -> Result<(Membership, Vec<u8>), DecodeError> {
-    let data = Data::decode(snapshot.get_data())?;
-    let roster = Membership::kept(data.roster.ok_or(DecodeError::MissingField("a roster"))?)?;
-    Ok((roster, data.others))
+/// The membership and the application state in a snapshot.
+pub(super) fn decode_snapshot(snapshot: &Snapshot) -> Result<(Membership, Vec<u8>), DecodeError> {
+    let data = SnapshotData::decode(snapshot.get_data())?;
+    let membership = data.membership.ok_or(DecodeError::MissingField("a membership"))?;
+    Ok((Membership::restore(membership)?, data.application_state))
 }
 
-pub(super) fn entry(bytes: &[u8]) -> Result<Entry, DecodeError> {
+pub(super) fn decode_entry(bytes: &[u8]) -> Result<Entry, DecodeError> {
     Entry::parse_from_bytes(bytes).map_err(|e| DecodeError::Undecodable(e.to_string()))
 }
--- a/tests/fleet_log/main.rs
+++ b/tests/fleet_log/main.rs
@@ -83,7 +83,7 @@
     let (name, from) = (format!("m{other}"), sim.nodes[other].seat.voter_id());
     let stored = sim.nodes[at].disk.clone();
     let fresh = || ConsensusLog::new(me.clone(), stored.clone(), Limits::default()).expect("a log");
-    let (_, last, _) = log.retained_log();
+    let last = log.retained_log().last_index;
     let wild = |sim: &mut Sim| {
         let near = [0, 1, 2, last - 1, last, last + 1, last + 9, u64::MAX][sim.pick(8)];
         if sim.chance(50) {
@@ -192,7 +192,7 @@
 #[test]
 fn one_life_of_a_name_counts_and_an_epoch_is_one_configuration() {
     let roster = Membership::bootstrap(1, (0..7).map(|i| seat(i, 1, i as u64)).collect()).expect("a roster");
-    assert_eq!((roster.raft_ids().0.len(), roster.raft_ids().1.len()), (MAX_VOTERS, 2));
+    assert_eq!((roster.raft_ids().voters.len(), roster.raft_ids().learners.len()), (MAX_VOTERS, 2));
     let admit = |s: Voter, base| Command::Admit { voter: s, known_epoch: base };
     assert_eq!(roster.evaluate(9, &admit(seat(2, 1, 2), 1)).0, CommandOutcome::Unchanged);
     let (outcome, second) = roster.evaluate(9, &admit(seat(2, 5, 2), 1));
@@ -212,7 +212,7 @@
     assert_ne!(third.raft_ids(), second.raft_ids());
     // One who learned votes in the place of one who leaves.
     let left = third.evaluate(12, &Command::Leave(MemberId::new("m2", 6))).1.expect("left");
-    assert_eq!((left.raft_ids().0.len(), left.raft_ids().1.len()), (MAX_VOTERS, 1));
+    assert_eq!((left.raft_ids().voters.len(), left.raft_ids().learners.len()), (MAX_VOTERS, 1));
     assert_eq!(
         left.evaluate(13, &Command::Leave(MemberId::new("m2", 6))).0,
         CommandOutcome::Rejected(RejectionReason::NotAMember)
--- a/tests/fleet_log/sim.rs
+++ b/tests/fleet_log/sim.rs
@@ -169,7 +169,7 @@
                 wrong = Some(format!("two configurations of epoch {}", config.epoch()));
             }
         }
-        let listed = roster.raft_ids().0.contains(&id);
+        let listed = roster.raft_ids().voters.contains(&id);
         self.break_if(log_leads(&self.nodes[i]) && !listed && self.without == Without::Nothing, || {
             "led by no voter".into()
         });
@@ -217,7 +217,7 @@
                 }
                 self.act(i, false);
             }
-            LogAction::Lead(leads) => self.leaders += u64::from(leads),
+            LogAction::LeadershipChanged { is_leader } => self.leaders += u64::from(is_leader),
             LogAction::Stopped(why) => self.break_if(true, || format!("m{i} stopped: {why}")),
         }
     }
@@ -341,7 +341,7 @@
         if leader.has_pending_membership_change() {
             return false;
         }
-        let (voters, _) = leader.membership().raft_ids();
+        let voters = leader.membership().raft_ids().voters;
         let fit = |n: &Node| n.log.as_ref().is_some_and(|l| l.applied_index() + 2 >= leader.applied_index());
         let counts = |n: &Node| voters.contains(&n.seat.voter_id());
         self.nodes.iter().all(counts) && self.nodes.iter().enumerate().all(|(j, n)| j == i || fit(n))
