--- a/src/cluster/bootstrap/first_configuration.rs
+++ b/src/cluster/bootstrap/first_configuration.rs
@@ -1,301 +1,331 @@
-//! The first configuration of a fleet that keeps no log: agreed once by the founding members of the operator's file.
+//! The first configuration of a cluster without a log: agreed on once by the initial members of the operator's file.
 //!
-//! The first by name leads. Once it has heard all founding members it proposes their lives (names with incarnations);
-//! when all have taken the proposal, epoch 1 is formed. Who starts later is told of it and counts for nothing in it.
+//! [`LoglessBootstrap`] owns a member's part in that agreement. It is a state machine without I/O, clock or randomness,
+//! and holds everything in memory: it does not outlast a loss of all members at once, which takes the log.
 //!
-//! Invariant: while one of its lives goes on, no list but one is formed. A list is formed only when each of its lives
-//! holds it, a life holds one list at a time, and it lets that go only where the list can not have been formed: the life
-//! that proposed it says so by proposing anew (it proposes only until one is formed), or a later leader found a life of
-//! the list that never held it. It does not outlast a loss of all members at once: that takes the log.
+//! The first member by name leads. Once it has heard all initial members it proposes their incarnations; when all have
+//! accepted the proposal it is decided as epoch 1. A process that starts later is told of it and is no member of it.
+//!
+//! Invariant: while one of its incarnations runs, no other configuration is decided. A proposal is decided only when
+//! each of its incarnations has accepted it; an incarnation has accepted one proposal at a time, and gives it up only
+//! where it can't have been decided: the incarnation that proposed it says so by proposing again (it proposes only until
+//! one is decided), or a later leader found a member of the proposal that never accepted it.
+mod message;
+
 use std::collections::BTreeMap;
 use std::rc::Rc;
 
+use self::message::AcceptedProposal;
+pub use self::message::{Ballot, ConfigurationMessage, InitialMember, MessageKind};
 use crate::cluster::{Configuration, Member, MemberId, Micros};
 
-/// Time between repeats, in microseconds: a founding waits for the slowest start anyhow.
-const REPEAT: Micros = 100_000;
-
-/// A founding member's life, as proposed.
-#[derive(Clone, PartialEq, Eq, prost::Message)]
-pub struct InitialMember {
-    #[prost(string, tag = "1")]
-    pub name: String,
-    #[prost(uint64, tag = "2")]
-    pub incarnation: u64,
-    #[prost(string, tag = "3")]
-    pub zone: String,
-}
-
-/// The leader's incarnation and the number of its proposal.
-#[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, prost::Message)]
-pub struct Ballot {
-    #[prost(uint64, tag = "1")]
-    pub leader: u64,
-    #[prost(uint64, tag = "2")]
-    pub number: u64,
-}
-
-#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, prost::Enumeration)]
-#[repr(i32)]
-pub enum MessageKind {
-    /// Asks whether epoch 1 is formed.
-    Query = 0,
-    /// Take `lives` in `round`; whatever was proposed up to `over` was not formed.
-    Propose = 1,
-    /// The proposal of `round` is held.
-    Accepted = 2,
-    /// It is not: `lives` of the round `over` are held.
-    Rejected = 3,
-    /// Epoch 1 consists of `lives`.
-    Decided = 4,
-}
-
-/// What founding members tell each other.
-#[derive(Clone, PartialEq, Eq, prost::Message)]
-pub struct ConfigurationMessage {
-    #[prost(enumeration = "MessageKind", tag = "1")]
-    pub kind: i32,
-    #[prost(message, required, tag = "2")]
-    pub ballot: Ballot,
-    #[prost(message, required, tag = "3")]
-    pub superseded: Ballot,
-    #[prost(message, repeated, tag = "4")]
-    pub members: Vec<InitialMember>,
-}
+/// Time between repeats of a message. Bootstrap waits for the slowest member to start in any case.
+const REPEAT_INTERVAL: Micros = 100_000;
 
-impl ConfigurationMessage {
-    fn new(kind: MessageKind, round: Ballot, over: Ballot, lives: &[InitialMember]) -> ConfigurationMessage {
-        ConfigurationMessage { kind: kind.into(), ballot: round, superseded: over, members: lives.to_vec() }
-    }
-}
-
-/// What is to be done.
+/// One action of [`LoglessBootstrap::ready`].
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
+    /// Send a message to one incarnation of a member. It may be lost, repeated or reordered.
     Send {
+        /// The receiver.
         to: MemberId,
+        /// What to send.
         message: ConfigurationMessage,
     },
-    /// Epoch 1.
+    /// The configuration of epoch 1. Comes once.
     Decided(Configuration),
-    /// Another member's file names other founding members or zones: nothing was taken over.
+    /// This member's file names other initial members or zones than ours: nothing was taken over from it.
     ConfigurationMismatch(MemberId),
 }
 
-/// A proposal under way at its leader.
+/// The leader's proposal that is not decided yet.
 struct Proposal {
-    round: Ballot,
-    over: Ballot,
-    lives: Vec<InitialMember>,
-    /// By name: `None` took it, others hold an earlier one.
-    answers: BTreeMap<Rc<str>, Option<(Ballot, Vec<InitialMember>)>>,
+    ballot: Ballot,
+    superseded: Ballot,
+    members: Vec<InitialMember>,
+    answers: BTreeMap<Rc<str>, Answer>,
+}
+
+/// A member's answer to a proposal.
+enum Answer {
+    Accepted,
+    /// The member has accepted this one before and keeps it.
+    Rejected(AcceptedProposal),
 }
 
+/// One initial member, or a member that starts later.
 pub struct LoglessBootstrap {
-    me: MemberId,
-    /// By name, as this member's file has them.
+    local: MemberId,
+    /// By name, as the local file has them.
     members: Rc<[Member]>,
-    heard: BTreeMap<Rc<str>, InitialMember>,
-    held: Option<(Ballot, Vec<InitialMember>)>,
-    formed: Option<Vec<InitialMember>>,
+    /// The newest incarnation of each initial member that was heard of.
+    seen: BTreeMap<Rc<str>, InitialMember>,
+    accepted: Option<AcceptedProposal>,
+    decided: Option<Vec<InitialMember>>,
     proposal: Option<Proposal>,
-    due: Option<Micros>,
-    /// Whom to ask beside the leader.
-    turn: usize,
-    acts: Vec<Action>,
+    next_tick_at: Option<Micros>,
+    /// Counts the queries, so that they go to one peer after the other.
+    query_count: usize,
+    actions: Vec<Action>,
 }
 
 impl LoglessBootstrap {
-    /// `members` by name, with this one among them.
-    pub fn new(now: Micros, me: MemberId, members: Rc<[Member]>) -> LoglessBootstrap {
-        let (heard, acts) = Default::default();
-        let (held, formed, proposal, due) = (None, None, None, Some(now + REPEAT));
-        let zone = members.iter().find(|m| m.id.name == me.name).map(|m| m.zone.clone());
-        let mut founding =
-            LoglessBootstrap { me: me.clone(), members, heard, held, formed, proposal, due, turn: 0, acts };
-        founding.peer_seen(&me, &zone.unwrap_or_else(|| "".into()));
-        founding
+    /// `members` are those of the operator's file by name, with `local` among them; `now` is on the local monotonic
+    /// clock.
+    pub fn new(now: Micros, local: MemberId, members: Rc<[Member]>) -> LoglessBootstrap {
+        let own_entry = members.iter().find(|member| member.id.name == local.name);
+        let zone = own_entry.map_or_else(|| "".into(), |member| member.zone.clone());
+        let mut bootstrap = LoglessBootstrap {
+            local: local.clone(),
+            members,
+            seen: BTreeMap::new(),
+            accepted: None,
+            decided: None,
+            proposal: None,
+            next_tick_at: Some(now + REPEAT_INTERVAL),
+            query_count: 0,
+            actions: Vec::new(),
+        };
+        bootstrap.peer_seen(&local, &zone);
+        bootstrap
     }
 
-    /// A member said hello; a later life takes the place of an earlier one.
+    /// A member has connected. A later incarnation replaces an earlier one of its name.
     pub fn peer_seen(&mut self, id: &MemberId, zone: &str) {
-        if let Some(lives) = &self.formed {
-            let note =
-                ConfigurationMessage::new(MessageKind::Decided, Ballot::default(), Ballot::default(), lives);
-            self.acts.push(Action::Send { to: id.clone(), message: note });
+        if let Some(members) = &self.decided {
+            let message = ConfigurationMessage::decided(members);
+            self.actions.push(Action::Send { to: id.clone(), message });
             return;
         }
-        let later = |l: &InitialMember| l.incarnation < id.incarnation;
-        if self.members.iter().any(|m| m.id.name == id.name) && self.heard.get(&id.name).is_none_or(later) {
-            let life = InitialMember {
+        let is_initial = self.members.iter().any(|member| member.id.name == id.name);
+        let is_newer = self.seen.get(&id.name).is_none_or(|known| known.incarnation < id.incarnation);
+        if is_initial && is_newer {
+            let member = InitialMember {
                 name: id.name.to_string(),
                 incarnation: id.incarnation,
                 zone: zone.to_string(),
             };
-            self.heard.insert(id.name.clone(), life);
+            self.seen.insert(id.name.clone(), member);
             self.propose(Ballot::default());
         }
     }
 
-    pub fn receive(&mut self, from: &MemberId, note: ConfigurationMessage) {
-        let Ok(kind) = MessageKind::try_from(note.kind) else { return };
-        if let (Some(lives), true) = (&self.formed, matches!(kind, MessageKind::Query | MessageKind::Propose))
-        {
-            let note = ConfigurationMessage::new(MessageKind::Decided, note.ballot, note.superseded, lives);
-            self.acts.push(Action::Send { to: from.clone(), message: note });
-            return;
+    /// Handles a message of another member. One that is of no known kind, or about an earlier proposal, is ignored.
+    pub fn receive(&mut self, from: &MemberId, message: ConfigurationMessage) {
+        let Ok(kind) = MessageKind::try_from(message.kind) else { return };
+        if let Some(members) = &self.decided {
+            if matches!(kind, MessageKind::Query | MessageKind::Propose) {
+                let ConfigurationMessage { ballot, superseded, .. } = message;
+                let decided = ConfigurationMessage::decided(members);
+                let message = ConfigurationMessage { ballot, superseded, ..decided };
+                self.actions.push(Action::Send { to: from.clone(), message });
+                return;
+            }
         }
         match kind {
             MessageKind::Query => {}
-            MessageKind::Propose => self.take(from, note),
-            MessageKind::Accepted => self.answered(from, note.ballot, None),
-            MessageKind::Rejected => self.answered(from, note.ballot, Some((note.superseded, note.members))),
-            MessageKind::Decided if self.formed.is_none() => match self.like_ours(&note.members) {
-                true => self.form(note.members),
-                false => self.acts.push(Action::ConfigurationMismatch(from.clone())),
-            },
-            MessageKind::Decided => {}
+            MessageKind::Propose => self.receive_proposal(from, message),
+            MessageKind::Accepted => self.receive_answer(from, message.ballot, Answer::Accepted),
+            MessageKind::Rejected => {
+                let accepted = AcceptedProposal { ballot: message.superseded, members: message.members };
+                self.receive_answer(from, message.ballot, Answer::Rejected(accepted));
+            }
+            MessageKind::Decided if self.decided.is_some() => {}
+            MessageKind::Decided => self.decide_if_ours(from, message.members),
         }
     }
 
-    /// When [`Founding::tick`] wants to be called.
+    /// When [`LoglessBootstrap::tick`] is to be called next, on the local monotonic clock; none once epoch 1 is known.
     pub fn next_tick_at(&self) -> Option<Micros> {
-        self.due
+        self.next_tick_at
     }
 
-    /// Repeat what may have been lost.
+    /// Repeats what may have been lost. Does nothing before [`LoglessBootstrap::next_tick_at`].
     pub fn tick(&mut self, now: Micros) {
-        if self.formed.is_some() || self.due.is_none_or(|due| due > now) {
+        if self.decided.is_some() || self.next_tick_at.is_none_or(|at| at > now) {
             return;
         }
-        self.due = Some(now + REPEAT);
+        self.next_tick_at = Some(now + REPEAT_INTERVAL);
         let peers: Vec<MemberId> = self.peers().collect();
-        if let Some(p) = &self.proposal {
-            let open = peers.into_iter().filter(|id| !p.answers.contains_key(&id.name));
-            let note = ConfigurationMessage::new(MessageKind::Propose, p.round, p.over, &p.lives);
-            self.acts.extend(open.map(|to| Action::Send { to, message: note.clone() }));
-            return;
+        match &self.proposal {
+            Some(proposal) => {
+                let unanswered = peers.into_iter().filter(|id| !proposal.answers.contains_key(&id.name));
+                let message =
+                    ConfigurationMessage::propose(proposal.ballot, proposal.superseded, &proposal.members);
+                let sends = unanswered.map(|to| Action::Send { to, message: message.clone() });
+                self.actions.extend(sends);
+            }
+            None => self.query(&peers),
         }
-        // The leader, and each time another one: it may be gone, and one that knows is enough.
-        self.turn += 1;
-        let other = peers.get(self.turn % peers.len().max(1));
-        let note = ConfigurationMessage::new(MessageKind::Query, Ballot::default(), Ballot::default(), &[]);
-        let asked = peers.first().into_iter().chain(other);
-        self.acts.extend(asked.map(|to| Action::Send { to: to.clone(), message: note.clone() }));
     }
 
+    /// Asks the leader, and each time another peer too: the leader may be gone, and one that knows is enough.
+    fn query(&mut self, peers: &[MemberId]) {
+        self.query_count += 1;
+        let another = peers.get(self.query_count % peers.len().max(1));
+        let receivers = peers.first().into_iter().chain(another);
+        let message = ConfigurationMessage::query();
+        self.actions.extend(receivers.map(|to| Action::Send { to: to.clone(), message: message.clone() }));
+    }
+
+    /// The actions since the last call, in their order.
     pub fn ready(&mut self) -> Vec<Action> {
-        std::mem::take(&mut self.acts)
+        std::mem::take(&mut self.actions)
     }
 
-    /// The lives that were heard of, without this one, by name.
+    /// The other incarnations that were heard of, by name.
     fn peers(&self) -> impl Iterator<Item = MemberId> + '_ {
-        let ids = self.heard.values().map(|l| MemberId::new(&l.name, l.incarnation));
-        ids.filter(|id| id.name != self.me.name)
+        let ids = self.seen.values().map(|member| MemberId::new(&member.name, member.incarnation));
+        ids.filter(|id| id.name != self.local.name)
     }
 
-    /// As the leader: propose all lives, once all are heard of.
-    fn propose(&mut self, over: Ballot) {
-        let leads = self.members.first().is_some_and(|m| m.id.name == self.me.name);
-        if !leads || self.formed.is_some() || self.heard.len() < self.members.len() {
+    fn send_to_peers(&mut self, message: &ConfigurationMessage) {
+        let peers: Vec<MemberId> = self.peers().collect();
+        self.actions.extend(peers.into_iter().map(|to| Action::Send { to, message: message.clone() }));
+    }
+
+    /// As the leader: proposes all incarnations, once all are heard of. No proposal up to `superseded` was decided.
+    fn propose(&mut self, superseded: Ballot) {
+        let is_leader = self.members.first().is_some_and(|member| member.id.name == self.local.name);
+        if !is_leader || self.decided.is_some() || self.seen.len() < self.members.len() {
             return;
         }
-        let lives: Vec<InitialMember> = self.heard.values().cloned().collect();
-        if !self.like_ours(&lives) {
-            let other =
-                |l: &&InitialMember| !self.members.iter().any(|m| *m.id.name == l.name && *m.zone == l.zone);
-            let differs = lives.iter().find(other).map(|l| MemberId::new(&l.name, l.incarnation));
-            self.acts.extend(differs.map(Action::ConfigurationMismatch));
+        let members: Vec<InitialMember> = self.seen.values().cloned().collect();
+        if !self.matches_file(&members) {
+            self.actions.extend(self.first_mismatch(&members).map(Action::ConfigurationMismatch));
             return;
         }
-        let (number, before) =
-            self.proposal.as_ref().map_or((1, Ballot::default()), |p| (p.round.number + 1, p.over));
-        let (round, over) = (Ballot { leader: self.me.incarnation, number }, over.max(before));
-        let note = ConfigurationMessage::new(MessageKind::Propose, round, over, &lives);
-        self.acts
-            .extend(self.peers().map(|to| Action::Send { to, message: note.clone() }).collect::<Vec<_>>());
-        self.proposal = Some(Proposal { round, over, lives, answers: BTreeMap::new() });
-        self.take(&self.me.clone(), note);
+        let mut number = 1;
+        let mut superseded = superseded;
+        if let Some(earlier) = &self.proposal {
+            number = earlier.ballot.number + 1;
+            superseded = superseded.max(earlier.superseded);
+        }
+        let ballot = Ballot { leader: self.local.incarnation, number };
+        let message = ConfigurationMessage::propose(ballot, superseded, &members);
+        self.send_to_peers(&message);
+        self.proposal = Some(Proposal { ballot, superseded, members, answers: BTreeMap::new() });
+        self.receive_proposal(&self.local.clone(), message);
     }
 
-    /// A leader's proposal.
-    fn take(&mut self, from: &MemberId, note: ConfigurationMessage) {
-        let mine = |l: &InitialMember| *l.name == *self.me.name && l.incarnation == self.me.incarnation;
-        if !note.members.iter().any(mine) {
+    /// The first of `members` that the local file does not have with its zone.
+    fn first_mismatch(&self, members: &[InitialMember]) -> Option<MemberId> {
+        let is_ours = |member: &InitialMember| {
+            self.members.iter().any(|ours| *ours.id.name == member.name && *ours.zone == member.zone)
+        };
+        let mismatch = members.iter().find(|member| !is_ours(member));
+        mismatch.map(|member| MemberId::new(&member.name, member.incarnation))
+    }
+
+    fn receive_proposal(&mut self, from: &MemberId, message: ConfigurationMessage) {
+        let is_local = |member: &InitialMember| {
+            *member.name == *self.local.name && member.incarnation == self.local.incarnation
+        };
+        if !message.members.iter().any(is_local) {
             return;
         }
-        if !self.like_ours(&note.members) {
-            return self.acts.push(Action::ConfigurationMismatch(from.clone()));
+        if !self.matches_file(&message.members) {
+            return self.actions.push(Action::ConfigurationMismatch(from.clone()));
         }
-        // The guard of the invariant: what is held is let go only where it can not have been formed.
-        let free = self.held.as_ref().is_none_or(|(held, _)| {
-            let same_leader = held.leader == note.ballot.leader && held.number <= note.ballot.number;
-            same_leader || *held <= note.superseded
-        });
-        let answer = if free {
-            self.held = Some((note.ballot, note.members));
-            None
-        } else {
-            self.held.clone()
-        };
-        if *from == self.me {
-            return self.answered(from, note.ballot, answer);
+        let ballot = message.ballot;
+        let answer = self.accept(message);
+        if *from == self.local {
+            return self.receive_answer(from, ballot, answer);
         }
-        let note = match answer {
-            None => ConfigurationMessage::new(MessageKind::Accepted, note.ballot, Ballot::default(), &[]),
-            Some((held, lives)) => {
-                ConfigurationMessage::new(MessageKind::Rejected, note.ballot, held, &lives)
-            }
+        let message = match answer {
+            Answer::Accepted => ConfigurationMessage::accepted(ballot),
+            Answer::Rejected(accepted) => ConfigurationMessage::rejected(ballot, accepted),
         };
-        self.acts.push(Action::Send { to: from.clone(), message: note });
+        self.actions.push(Action::Send { to: from.clone(), message });
     }
 
-    /// As the leader: what became of the proposal at one member.
-    fn answered(&mut self, from: &MemberId, round: Ballot, holds: Option<(Ballot, Vec<InitialMember>)>) {
-        let Some(p) = self.proposal.as_mut().filter(|p| p.round == round) else { return };
-        let is_in = |l: &InitialMember| *l.name == *from.name && l.incarnation == from.incarnation;
-        if self.formed.is_some() || !p.lives.iter().any(is_in) {
+    /// Keeps the module's invariant: an accepted proposal is given up only where it can't have been decided.
+    fn accept(&mut self, message: ConfigurationMessage) -> Answer {
+        if let Some(accepted) = &self.accepted {
+            let by_same_leader = accepted.ballot.leader == message.ballot.leader
+                && accepted.ballot.number <= message.ballot.number;
+            if !by_same_leader && accepted.ballot > message.superseded {
+                return Answer::Rejected(accepted.clone());
+            }
+        }
+        self.accepted = Some(AcceptedProposal { ballot: message.ballot, members: message.members });
+        Answer::Accepted
+    }
+
+    /// As the leader: what a member answers to the proposal of `ballot`.
+    fn receive_answer(&mut self, from: &MemberId, ballot: Ballot, answer: Answer) {
+        let Some(proposal) = self.proposal.as_mut().filter(|proposal| proposal.ballot == ballot) else {
+            return;
+        };
+        let is_sender =
+            |member: &InitialMember| *member.name == *from.name && member.incarnation == from.incarnation;
+        if self.decided.is_some() || !proposal.members.iter().any(is_sender) {
             return;
         }
-        p.answers.insert(from.name.clone(), holds);
-        if p.answers.len() < p.lives.len() {
+        proposal.answers.insert(from.name.clone(), answer);
+        if proposal.answers.len() < proposal.members.len() {
             return;
         }
-        let Some((held, lives)) = p.answers.values().flatten().max_by_key(|h| h.0).cloned() else {
-            let lives = p.lives.clone();
-            return self.form(lives);
+        let Some(earlier) = proposal.newest_rejection().cloned() else {
+            let members = proposal.members.clone();
+            return self.decide(members);
         };
-        // A life of that list took this proposal, so it never held that one.
-        let refuted =
-            lives.iter().any(|l| p.lives.contains(l) && matches!(p.answers.get(&*l.name), Some(None)));
-        match refuted {
-            true => self.propose(held),
-            false if self.like_ours(&lives) => self.form(lives),
-            false => self.acts.push(Action::ConfigurationMismatch(from.clone())),
+        if proposal.refutes(&earlier) {
+            self.propose(earlier.ballot);
+        } else {
+            self.decide_if_ours(from, earlier.members);
         }
     }
 
-    /// Whether these are the founding members of this member's file, in their zones.
-    fn like_ours(&self, lives: &[InitialMember]) -> bool {
-        let pairs = || lives.iter().zip(self.members.iter());
-        lives.len() == self.members.len()
-            && pairs().all(|(l, m)| *l.name == *m.id.name && *l.zone == *m.zone && l.incarnation > 0)
+    fn decide_if_ours(&mut self, from: &MemberId, members: Vec<InitialMember>) {
+        if self.matches_file(&members) {
+            self.decide(members);
+        } else {
+            self.actions.push(Action::ConfigurationMismatch(from.clone()));
+        }
     }
 
-    fn form(&mut self, lives: Vec<InitialMember>) {
-        let members = self.members.iter().zip(&lives).map(|(m, l)| {
-            // Addresses are each member's own: it may reach another one by another way.
-            Member { id: MemberId::new(&l.name, l.incarnation), ..m.clone() }
-        });
-        let Ok(config) = Configuration::new(1, members.collect()) else { return };
-        let note =
-            ConfigurationMessage::new(MessageKind::Decided, Ballot::default(), Ballot::default(), &lives);
+    /// Whether these are the initial members of the local file, in their zones.
+    fn matches_file(&self, members: &[InitialMember]) -> bool {
+        let is_same = |(member, ours): (&InitialMember, &Member)| {
+            *member.name == *ours.id.name && *member.zone == *ours.zone && member.incarnation > 0
+        };
+        members.len() == self.members.len() && members.iter().zip(self.members.iter()).all(is_same)
+    }
+
+    fn decide(&mut self, decided: Vec<InitialMember>) {
+        let with_incarnation = |(ours, decided): (&Member, &InitialMember)| {
+            // Addresses are the local file's: each member may reach another one by another way.
+            Member { id: MemberId::new(&decided.name, decided.incarnation), ..ours.clone() }
+        };
+        let members = self.members.iter().zip(&decided).map(with_incarnation).collect();
+        let Ok(config) = Configuration::new(1, members) else { return };
         if self.proposal.is_some() {
-            self.acts.extend(
-                self.peers().map(|to| Action::Send { to, message: note.clone() }).collect::<Vec<_>>(),
-            );
+            self.send_to_peers(&ConfigurationMessage::decided(&decided));
         }
-        (self.formed, self.proposal, self.due) = (Some(lives), None, None);
-        self.acts.push(Action::Decided(config));
+        self.decided = Some(decided);
+        self.proposal = None;
+        self.next_tick_at = None;
+        self.actions.push(Action::Decided(config));
+    }
+}
+
+impl Proposal {
+    /// The newest of the proposals that members have accepted before and keep.
+    fn newest_rejection(&self) -> Option<&AcceptedProposal> {
+        let rejections = self.answers.values().filter_map(|answer| match answer {
+            Answer::Accepted => None,
+            Answer::Rejected(accepted) => Some(accepted),
+        });
+        rejections.max_by_key(|accepted| accepted.ballot)
+    }
+
+    /// Whether `earlier` can't have been decided: one of its members accepted this proposal, so that it never accepted
+    /// that one.
+    fn refutes(&self, earlier: &AcceptedProposal) -> bool {
+        earlier.members.iter().any(|member| {
+            let answer = self.answers.get(&*member.name);
+            self.members.contains(member) && matches!(answer, Some(Answer::Accepted))
+        })
     }
 }
--- a/src/cluster/bootstrap/mod.rs
+++ b/src/cluster/bootstrap/mod.rs
@@ -1,303 +1,254 @@
-//! Founding: who are the first members? Those of the operator's file, once all of them are heard and none has been told
-//! of a cluster. Pure: what is heard comes in, what is to be kept and done goes out.
+//! Bootstrap: which members are the first ones? For a cluster with a log [`Bootstrap`] decides that, for one without
+//! [`first_configuration`].
 //!
-//! Each member pins the set of names, lives and disks that it sees, on its disk, before it says so. A set is founded when
-//! all of its members were heard to have pinned it.
+//! [`Bootstrap`] owns a member's progress from an empty disk to the id of its cluster: those of the operator's file are
+//! the initial members, once all of them were heard and none knows a cluster yet. It is a state machine without I/O,
+//! clock or randomness, and never writes or sends by itself: messages and ticks come in, [`BootstrapAction`]s go out.
 //!
-//! Invariant: no two clusters of one file can both decide anything. A set is founded only with every member of it, so
-//! two founded sets both hold a pin of each member whose disk is in both. A pin gives way to another set only while no
-//! majority of the old set can have gone on: this member, and others that with it are a majority of the disks of the
-//! old set, say with the same disks that they have not founded; and each that has pinned the later set refuses the
-//! earlier one from then on. It goes back only when a member of the later set says itself that it is founded
-//! elsewhere: then the later set never stands. Where most disks of a pinned set are gone nothing is decided here: the
-//! operator has to say so.
+//! Each member accepts the set of names, incarnations and disks that it sees, durably, before it announces that. A set
+//! is chosen when all of its members have announced that they accepted it.
+//!
+//! Invariant: no two clusters of one file can both commit anything. A set is chosen only by every member of it, so that
+//! two chosen sets were both accepted by each member whose disk is in both. An accepted set gives way to another only
+//! while no majority of the earlier set can have gone on: this member, and others that with it are a majority of the
+//! disks of the earlier set, announce with the same disks that they know no cluster; and each that has accepted the
+//! later set refuses the earlier one from then on. It goes back only when a member of the later set announces that it
+//! is in another cluster: then the later set can't be chosen any more. Where most disks of an accepted set are gone
+//! nothing is decided here: the operator has to. `docs/design-log.md` gives the argument.
+#![warn(missing_docs)]
+
 pub mod first_configuration;
+mod members;
+mod message;
 
 use std::collections::BTreeMap;
-use std::fmt;
 use std::rc::Rc;
 
-use prost::Message as _;
-
-use super::consensus_log::{decode_voter, encode_voter, fnv, mix, wire, DecodeError, Voter, MAX_MEMBERS};
+pub use self::members::InitialMembers;
+pub use self::message::BootstrapMessage;
+use super::consensus_log::Voter;
 
 /// How far a member is.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum BootstrapState {
+    /// It has accepted nothing.
     Empty,
+    /// It has accepted these initial members, and does not know whether all of them have.
     Accepted(InitialMembers),
-    /// It knows its cluster: it was founded with this set, or joined it later.
+    /// It knows the id of its cluster: it is an initial member of it, or joined it later.
     Bootstrapped(u64),
 }
 
-/// The members of a founding, in the order of their names.
-#[derive(Clone, Debug, PartialEq, Eq)]
-pub struct InitialMembers(Rc<[Voter]>);
-
-impl InitialMembers {
-    pub fn new(mut seats: Vec<Voter>) -> InitialMembers {
-        seats.sort_by(|a, b| a.member.id.cmp(&b.member.id));
-        InitialMembers(seats.into())
-    }
-
-    pub fn voters(&self) -> &[Voter] {
-        &self.0
-    }
-
-    /// The cluster's number: of its name and all its members with their lives and disks. Never 0.
-    pub fn cluster_id(&self, name: &str) -> u64 {
-        mix(fnv(name.as_bytes()) ^ mix(fnv(&self.encode()))).max(1)
-    }
-
-    fn holds(&self, name: &str, disk: u64) -> bool {
-        self.0.iter().any(|s| &*s.member.id.name == name && s.disk_id == disk)
-    }
-
-    /// For the disk.
-    pub fn encode(&self) -> Vec<u8> {
-        Seats { seats: self.0.iter().map(encode_voter).collect() }.encode_to_vec()
-    }
-
-    pub fn decode(bytes: &[u8]) -> Result<InitialMembers, DecodeError> {
-        let seats = Seats::decode(bytes)?.seats;
-        if seats.len() > MAX_MEMBERS {
-            return Err(DecodeError::Undecodable(format!("{} members, {MAX_MEMBERS} at most", seats.len())));
-        }
-        Ok(InitialMembers::new(seats.into_iter().map(decode_voter).collect::<Result<_, _>>()?))
-    }
-}
-
-#[derive(Clone, PartialEq, prost::Message)]
-struct Seats {
-    #[prost(message, repeated, tag = "1")]
-    seats: Vec<wire::Voter>,
-}
-
-/// What a member says of itself, on each connection and at each tick while it founds.
-#[derive(Clone, Debug, PartialEq, Eq)]
-pub struct BootstrapMessage {
-    pub voter: Voter,
-    pub state: BootstrapState,
-}
-
-#[derive(Clone, PartialEq, prost::Message)]
-struct SayForm {
-    #[prost(message, optional, tag = "1")]
-    seat: Option<wire::Voter>,
-    #[prost(bytes = "vec", optional, tag = "2")]
-    pinned: Option<Vec<u8>>,
-    #[prost(fixed64, tag = "3")]
-    founded: u64,
-}
-
-impl BootstrapMessage {
-    pub fn encode(&self) -> Vec<u8> {
-        let (pinned, founded) = match &self.state {
-            BootstrapState::Empty => (None, 0),
-            BootstrapState::Accepted(set) => (Some(set.encode()), 0),
-            BootstrapState::Bootstrapped(cluster) => (None, *cluster),
-        };
-        SayForm { seat: Some(encode_voter(&self.voter)), pinned, founded }.encode_to_vec()
-    }
-
-    /// The caller has bounded the bytes.
-    pub fn decode(bytes: &[u8]) -> Result<BootstrapMessage, DecodeError> {
-        let said = SayForm::decode(bytes)?;
-        let seat = decode_voter(said.seat.ok_or(DecodeError::MissingField("a member"))?)?;
-        let stage = match (said.pinned, said.founded) {
-            (None, 0) => BootstrapState::Empty,
-            (Some(set), 0) => BootstrapState::Accepted(InitialMembers::decode(&set)?),
-            (None, cluster) => BootstrapState::Bootstrapped(cluster),
-            _ => return Err(DecodeError::Undecodable("pinned and founded at once".into())),
-        };
-        Ok(BootstrapMessage { voter: seat, state: stage })
-    }
-}
-
-/// To be done in this order.
+/// One action of [`Bootstrap::ready`]. Actions are carried out in the order of that list.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum BootstrapAction {
-    /// Durable before anything is said.
+    /// Make the accepted members durable before the next action is started.
     PersistAccepted(InitialMembers),
-    /// To every member of the file, and again at each tick.
+    /// Send this to every member of the file. It is repeated at each tick.
     Broadcast(BootstrapMessage),
-    /// All have pinned it: the log starts with [`super::log::Stored::founded`], durable first.
-    Bootstrapped { cluster_id: u64, members: InitialMembers },
-    /// A cluster stands without this life: the log starts with [`super::log::Stored::joining`], durable first, and this
-    /// member asks to be admitted.
-    Join { cluster_id: u64 },
-    /// Nothing more is done here before the operator looks; said once.
+    /// All have accepted the members: start the log with [`super::consensus_log::StoredLog::bootstrap`], durably before
+    /// the next action.
+    Bootstrapped {
+        /// The id of the new cluster.
+        cluster_id: u64,
+        /// Its initial members.
+        members: InitialMembers,
+    },
+    /// A cluster exists without this incarnation: start the log with [`super::consensus_log::StoredLog::joining`],
+    /// durably before the next action, and ask to be admitted.
+    Join {
+        /// The id of that cluster.
+        cluster_id: u64,
+    },
+    /// Nothing more happens here until the operator acts. Comes once for each reason.
     Failed(BootstrapError),
 }
 
-#[derive(Clone, Debug, PartialEq, Eq)]
+/// Why a member can't be bootstrapped without the operator.
+#[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum BootstrapError {
-    /// Most disks of the pinned set were replaced: it may have gone on without this member.
+    /// Most disks of the accepted set were replaced, those of these names: it may have gone on without this member.
+    #[error(
+        "bootstrap was interrupted: most of its disks are gone ({}); remove the stores of the others to bootstrap anew",
+        .0.join(", ")
+    )]
     MajorityLost(Vec<Rc<str>>),
-    /// A member of the file is in a cluster that this one is not of.
-    OtherCluster { name: Rc<str>, cluster_id: u64 },
-}
-
-impl fmt::Display for BootstrapError {
-    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        match self {
-            BootstrapError::MajorityLost(names) => write!(
-                f,
-                "founding was broken off: most disks of it are gone ({}); remove the stores of the others to found anew",
-                names.join(", ")
-            ),
-            BootstrapError::OtherCluster { name, cluster_id } => write!(f, "'{name}' is of another cluster, {cluster_id:x}"),
-        }
-    }
+    /// A member of the file is in a cluster that this one is not in.
+    #[error("'{name}' is of another cluster, {cluster_id:x}")]
+    OtherCluster {
+        /// That member.
+        name: Rc<str>,
+        /// That cluster.
+        cluster_id: u64,
+    },
 }
 
+/// The bootstrap of one member.
 pub struct Bootstrap {
-    name: Rc<str>,
-    /// The names of the operator's file.
-    names: Vec<Rc<str>>,
-    me: Voter,
-    stage: BootstrapState,
-    /// What each of them said last.
-    said: BTreeMap<Rc<str>, BootstrapMessage>,
-    stuck: Option<BootstrapError>,
-    acts: Vec<BootstrapAction>,
+    cluster_name: Rc<str>,
+    /// The other names of the operator's file.
+    others: Vec<Rc<str>>,
+    local: Voter,
+    state: BootstrapState,
+    /// The last message of each other member of the file.
+    last_messages: BTreeMap<Rc<str>, BootstrapMessage>,
+    error: Option<BootstrapError>,
+    actions: Vec<BootstrapAction>,
 }
 
 impl Bootstrap {
-    /// `stage` is what the disk says. `name` is that of the cluster; `names` are those of the file, this one among them.
-    pub fn new(name: &str, names: &[Rc<str>], me: Voter, stage: BootstrapState) -> Bootstrap {
-        let mut founding = Bootstrap {
-            name: name.into(),
-            names: names.to_vec(),
-            me,
-            stage,
-            said: BTreeMap::new(),
-            stuck: None,
-            acts: Vec::new(),
+    /// Goes on from `state`, which is what the local disk holds. `names` are those of the operator's file, the local one
+    /// among them.
+    pub fn new(cluster_name: &str, names: &[Rc<str>], local: Voter, state: BootstrapState) -> Bootstrap {
+        let is_other = |name: &&Rc<str>| **name != local.member.id.name;
+        let mut bootstrap = Bootstrap {
+            cluster_name: cluster_name.into(),
+            others: names.iter().filter(is_other).cloned().collect(),
+            local,
+            state,
+            last_messages: BTreeMap::new(),
+            error: None,
+            actions: Vec::new(),
         };
-        founding.say();
-        founding.look();
-        founding
+        bootstrap.broadcast();
+        bootstrap.advance();
+        bootstrap
     }
 
+    /// How far this member is.
     pub fn state(&self) -> &BootstrapState {
-        &self.stage
+        &self.state
     }
 
+    /// Announces the state again: messages get lost.
     pub fn tick(&mut self) {
-        self.say();
-    }
-
-    /// What another member said of itself. What one life says comes in order (the same connection, or none of an earlier
-    /// one after it); what an earlier life said may come at any time. The incarnations of a name rise with each start.
-    /// Whoever is not in the file is not asked; a founded one is heeded whoever it is, for members join later.
-    pub fn receive(&mut self, say: BootstrapMessage) {
-        let name = say.voter.member.id.name.clone();
-        let later =
-            |held: &BootstrapMessage| held.voter.member.id.incarnation > say.voter.member.id.incarnation;
-        if name == self.me.member.id.name || self.said.get(&name).is_some_and(later) {
-            // An earlier life of that name, overtaken by the later one.
+        self.broadcast();
+    }
+
+    /// Handles a message of another member.
+    ///
+    /// The messages of one incarnation have to come in order; those of an earlier one may come at any time, and are
+    /// ignored once a later one was heard. The incarnations of a name rise with each start. Members that are not in the
+    /// file take no part, but one that knows a cluster is heard whoever it is, for members join later.
+    pub fn receive(&mut self, message: BootstrapMessage) {
+        let sender = &message.voter.member.id;
+        let name = sender.name.clone();
+        let is_overtaken = |last: &BootstrapMessage| last.voter.member.id.incarnation > sender.incarnation;
+        if name == self.local.member.id.name || self.last_messages.get(&name).is_some_and(is_overtaken) {
             return;
         }
-        if let BootstrapState::Bootstrapped(cluster) = say.state {
-            self.told(&name, say.voter.disk_id, cluster);
+        if let BootstrapState::Bootstrapped(cluster_id) = message.state {
+            self.learn_cluster(&name, message.voter.disk_id, cluster_id);
         }
-        if self.names.contains(&name) {
-            self.said.insert(name, say);
-            self.look();
+        if self.others.contains(&name) {
+            self.last_messages.insert(name, message);
+            self.advance();
         }
     }
 
+    /// The actions since the last call, in the order in which they have to be done.
     pub fn ready(&mut self) -> Vec<BootstrapAction> {
-        std::mem::take(&mut self.acts)
+        std::mem::take(&mut self.actions)
     }
 
-    fn say(&mut self) {
-        let say = BootstrapAction::Broadcast(BootstrapMessage {
-            voter: self.me.clone(),
-            state: self.stage.clone(),
-        });
-        if !self.acts.contains(&say) {
-            self.acts.push(say);
+    fn broadcast(&mut self) {
+        let message = BootstrapMessage { voter: self.local.clone(), state: self.state.clone() };
+        let action = BootstrapAction::Broadcast(message);
+        if !self.actions.contains(&action) {
+            self.actions.push(action);
         }
     }
 
-    fn told(&mut self, name: &Rc<str>, disk: u64, cluster: u64) {
-        match &self.stage {
-            BootstrapState::Bootstrapped(own) if *own == cluster => {}
+    /// The member `name`, on the disk `disk_id`, is in the cluster `cluster_id`.
+    fn learn_cluster(&mut self, name: &Rc<str>, disk_id: u64, cluster_id: u64) {
+        match &self.state {
+            BootstrapState::Bootstrapped(own) if *own == cluster_id => {}
             BootstrapState::Bootstrapped(_) => {
-                self.stick(BootstrapError::OtherCluster { name: name.clone(), cluster_id: cluster })
+                self.fail(BootstrapError::OtherCluster { name: name.clone(), cluster_id });
+            }
+            BootstrapState::Accepted(members) if members.cluster_id(&self.cluster_name) == cluster_id => {
+                self.start_cluster(members.clone());
             }
-            BootstrapState::Accepted(set) if set.cluster_id(&self.name) == cluster => self.found(set.clone()),
-            // This set never stands any more: one that is of it, on the disk that it names, is of another cluster.
-            BootstrapState::Accepted(set) if set.holds(name, disk) => self.join(cluster),
-            // The teller is a new disk of a name; those of the set are asked.
+            // One of the accepted members is in another cluster, on its disk: this set can't be chosen any more.
+            BootstrapState::Accepted(members) if members.contains(name, disk_id) => self.join(cluster_id),
+            // The sender has a new disk, which is not in the accepted set: the members of the set are asked.
             BootstrapState::Accepted(_) => {}
-            BootstrapState::Empty => self.join(cluster),
+            BootstrapState::Empty => self.join(cluster_id),
         }
     }
 
-    fn join(&mut self, cluster: u64) {
-        self.stage = BootstrapState::Bootstrapped(cluster);
-        self.acts.push(BootstrapAction::Join { cluster_id: cluster });
-        self.say();
+    fn join(&mut self, cluster_id: u64) {
+        self.state = BootstrapState::Bootstrapped(cluster_id);
+        self.actions.push(BootstrapAction::Join { cluster_id });
+        self.broadcast();
     }
 
-    fn found(&mut self, set: InitialMembers) {
-        let cluster = set.cluster_id(&self.name);
-        self.stage = BootstrapState::Bootstrapped(cluster);
-        self.acts.push(BootstrapAction::Bootstrapped { cluster_id: cluster, members: set });
-        self.say();
+    fn start_cluster(&mut self, members: InitialMembers) {
+        let cluster_id = members.cluster_id(&self.cluster_name);
+        self.state = BootstrapState::Bootstrapped(cluster_id);
+        self.actions.push(BootstrapAction::Bootstrapped { cluster_id, members });
+        self.broadcast();
     }
 
-    fn stick(&mut self, stuck: BootstrapError) {
-        if self.stuck.as_ref() != Some(&stuck) {
-            self.acts.push(BootstrapAction::Failed(stuck.clone()));
-            self.stuck = Some(stuck);
+    fn fail(&mut self, error: BootstrapError) {
+        if self.error.as_ref() != Some(&error) {
+            self.actions.push(BootstrapAction::Failed(error.clone()));
+            self.error = Some(error);
         }
     }
 
-    fn look(&mut self) {
-        if matches!(self.stage, BootstrapState::Bootstrapped(_)) {
+    /// Accepts the members that are seen, and starts the cluster once all of them have accepted the same.
+    fn advance(&mut self) {
+        if matches!(self.state, BootstrapState::Bootstrapped(_)) {
             return;
         }
-        let own = self.me.member.id.name.clone();
-        let others: Vec<Rc<str>> = self.names.iter().filter(|n| **n != own).cloned().collect();
-        if !others
-            .iter()
-            .all(|n| self.said.get(n).is_some_and(|s| !matches!(s.state, BootstrapState::Bootstrapped(_))))
-        {
-            return;
+        let Some(seen) = self.visible_members() else { return };
+        if let Err(error) = self.accept(&seen) {
+            return self.fail(error);
         }
-        let mut seats: Vec<Voter> =
-            others.iter().filter_map(|n| self.said.get(n)).map(|s| s.voter.clone()).collect();
-        seats.push(self.me.clone());
-        let seen = InitialMembers::new(seats);
-        let pinned = match &self.stage {
-            BootstrapState::Accepted(set) => Some(set.clone()),
-            _ => None,
-        };
-        if pinned.as_ref() != Some(&seen) {
-            if let Some(set) = pinned {
-                let gone: Vec<Rc<str>> = set
-                    .voters()
-                    .iter()
-                    .filter(|s| !seen.holds(&s.member.id.name, s.disk_id))
-                    .map(|s| s.member.id.name.clone())
-                    .collect();
-                if 2 * (set.voters().len() - gone.len()) <= set.voters().len() {
-                    return self.stick(BootstrapError::MajorityLost(gone));
-                }
+        let accepted = BootstrapState::Accepted(seen.clone());
+        let has_accepted = |name| self.last_message(name).is_some_and(|message| message.state == accepted);
+        if self.others.iter().all(has_accepted) {
+            self.start_cluster(seen);
+        }
+    }
+
+    /// The members as they announced themselves; none before all were heard, or while one knows a cluster.
+    fn visible_members(&self) -> Option<InitialMembers> {
+        let mut voters = Vec::with_capacity(self.others.len() + 1);
+        for name in &self.others {
+            let message = self.last_message(name)?;
+            if matches!(message.state, BootstrapState::Bootstrapped(_)) {
+                return None;
             }
-            self.stage = BootstrapState::Accepted(seen.clone());
-            self.acts.push(BootstrapAction::PersistAccepted(seen.clone()));
-            self.say();
+            voters.push(message.voter.clone());
         }
-        let all = others
-            .iter()
-            .all(|n| self.said.get(n).is_some_and(|s| s.state == BootstrapState::Accepted(seen.clone())));
-        if all {
-            self.found(seen);
+        voters.push(self.local.clone());
+        Some(InitialMembers::new(voters))
+    }
+
+    fn last_message(&self, name: &Rc<str>) -> Option<&BootstrapMessage> {
+        self.last_messages.get(name)
+    }
+
+    /// Accepts `seen` in place of what was accepted before.
+    ///
+    /// # Errors
+    /// [`BootstrapError::MajorityLost`] where the earlier set may have gone on without this member.
+    fn accept(&mut self, seen: &InitialMembers) -> Result<(), BootstrapError> {
+        if let BootstrapState::Accepted(earlier) = &self.state {
+            if earlier == seen {
+                return Ok(());
+            }
+            let lost = earlier.names_missing_from(seen);
+            let total = earlier.voters().len();
+            if 2 * (total - lost.len()) <= total {
+                return Err(BootstrapError::MajorityLost(lost));
+            }
         }
+        self.state = BootstrapState::Accepted(seen.clone());
+        self.actions.push(BootstrapAction::PersistAccepted(seen.clone()));
+        self.broadcast();
+        Ok(())
     }
 }
