--- /dev/null
+++ b/src/net/cluster/store/record.rs
@@ -0,0 +1,84 @@
+//! Records with a checksum over their key and content, and the header record of the file.
+use std::hash::Hasher;
+
+use super::error::StoreError;
+use crate::cluster::consensus_log::HardState;
+
+const CHECKSUM_BYTES: usize = 8;
+
+fn checksum(key: &[u8], content: &[u8]) -> [u8; CHECKSUM_BYTES] {
+    let mut hasher = fnv::FnvHasher::default();
+    hasher.write(key);
+    hasher.write_u64(content.len() as u64);
+    hasher.write(content);
+    hasher.finish().to_be_bytes()
+}
+
+/// The record of `content` under `key`: the content, followed by a checksum over both.
+pub(super) fn encode(key: &[u8], content: &[u8]) -> Vec<u8> {
+    [content, &checksum(key, content)].concat()
+}
+
+/// The content of a record.
+///
+/// # Errors
+/// [`StoreError::Corrupt`] where the checksum does not match.
+pub(super) fn decode(key: &[u8], record: &[u8]) -> Result<Vec<u8>, StoreError> {
+    let Some((content, sum)) = record.split_last_chunk::<CHECKSUM_BYTES>() else {
+        return Err(StoreError::Corrupt("a record too short".into()));
+    };
+    if checksum(key, content) != *sum {
+        return Err(StoreError::Corrupt(format!("record {}", key.escape_ascii())));
+    }
+    Ok(content.to_vec())
+}
+
+/// What each batch writes beside its content: nine numbers of 8 bytes, big-endian.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
+pub(super) struct Header {
+    /// Number of the last batch.
+    pub batch_number: u64,
+    pub disk_id: u64,
+    pub cluster_id: u64,
+    pub hard_state: HardState,
+    pub entry_count: u64,
+    /// Index of the last entry; 0 for none.
+    pub last_index: u64,
+    pub has_snapshot: bool,
+}
+
+impl Header {
+    pub fn encode(&self) -> Vec<u8> {
+        let numbers = [
+            self.batch_number,
+            self.disk_id,
+            self.cluster_id,
+            self.hard_state.term,
+            self.hard_state.vote,
+            self.hard_state.commit,
+            self.entry_count,
+            self.last_index,
+            u64::from(self.has_snapshot),
+        ];
+        numbers.iter().flat_map(|number| number.to_be_bytes()).collect()
+    }
+
+    pub fn decode(bytes: &[u8]) -> Result<Header, StoreError> {
+        let (numbers, rest) = bytes.as_chunks::<8>();
+        let numbers: Vec<u64> = numbers.iter().map(|number| u64::from_be_bytes(*number)).collect();
+        let (&[batch_number, disk_id, cluster_id, term, vote, commit, entry_count, last_index, snapshot], []) =
+            (numbers.as_slice(), rest)
+        else {
+            return Err(StoreError::Corrupt("the head's length".into()));
+        };
+        Ok(Header {
+            batch_number,
+            disk_id,
+            cluster_id,
+            hard_state: HardState { term, vote, commit },
+            entry_count,
+            last_index,
+            has_snapshot: snapshot != 0,
+        })
+    }
+}
--- a/tests/fleet_parts/time.rs
+++ b/tests/fleet_parts/time.rs
@@ -41,13 +41,15 @@
     }
     assert_eq!(offsets.state(20_000, 10_020, 4), OffsetState::WithinBound);
     // Our own wall clock steps back, while nobody can be asked.
-    let OffsetState::Beyond { ahead_ms } = offsets.state(30_000, 9_030, 4) else { panic!("a step unseen") };
+    let OffsetState::BeyondBound { ahead_ms } = offsets.state(30_000, 9_030, 4) else {
+        panic!("a step unseen")
+    };
     assert!((980..1320).contains(&ahead_ms), "{ahead_ms}");
     assert_eq!(offsets.state(40_000, 10_040, 4), OffsetState::WithinBound);
     // An old sample says less: 300 ms are not certain after 1,000 s at this drift, and an answer that took long
     // never was.
     offsets.record(&member(2), 0, 20_000, 10_310);
-    assert!(matches!(offsets.state(20_000, 10_020, 4), OffsetState::Beyond { .. }));
+    assert!(matches!(offsets.state(20_000, 10_020, 4), OffsetState::BeyondBound { .. }));
     assert_eq!(offsets.state(1_000_020_000, 1_010_020, 4), OffsetState::WithinBound);
     offsets.record(&member(2), 0, 900_000, 10_310);
     assert_eq!(offsets.state(900_000, 10_900, 4), OffsetState::WithinBound);
