--- a/tests/fleet_parts/founding.rs
+++ b/tests/cluster_parts/bootstrap.rs
@@ -1,4 +1,4 @@
-//! Founding members of a fleet with a log, that lose messages, processes and disks.
+//! Initial members of a cluster with a log, that lose messages, processes and disks.
 use std::collections::BTreeMap;
 use std::rc::Rc;
 
@@ -10,7 +10,7 @@
 use rand_core::{RngCore, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 
-fn seat(n: usize, incarnation: u64, disk: u64) -> Voter {
+fn voter(n: usize, incarnation: u64, disk: u64) -> Voter {
     let id = MemberId::new(&format!("m{n}"), incarnation);
     let address = ([127, 0, 0, 1], n as u16 + 1).into();
     Voter { member: Member { id, zone: "z".into(), address }, disk_id: disk }
@@ -18,7 +18,7 @@
 
 struct Process {
     me: Voter,
-    founding: Bootstrap,
+    bootstrap: Bootstrap,
     disk: BootstrapState,
     joined: Option<u64>,
 }
@@ -27,27 +27,27 @@
     all: Vec<Process>,
     /// From, its life, to.
     wire: Vec<((usize, u64, usize), Vec<u8>)>,
-    stuck: Vec<BootstrapError>,
-    sets: BTreeMap<u64, InitialMembers>,
+    errors: Vec<BootstrapError>,
+    initial: BTreeMap<u64, InitialMembers>,
 }
 
-fn start(of: usize, seat: Voter, disk: BootstrapState) -> Bootstrap {
+fn start(of: usize, voter: Voter, disk: BootstrapState) -> Bootstrap {
     let names: Vec<Rc<str>> = (0..of).map(|i| format!("m{i}").as_str().into()).collect();
-    Bootstrap::new("accra", &names, seat, disk)
+    Bootstrap::new("accra", &names, voter, disk)
 }
 
 impl Play {
     fn new(n: usize) -> Play {
         let process = |i| {
-            let me = seat(i, 1, 100 + i as u64);
-            let founding = start(n, me.clone(), BootstrapState::Empty);
-            Process { me, founding, disk: BootstrapState::Empty, joined: None }
+            let me = voter(i, 1, 100 + i as u64);
+            let bootstrap = start(n, me.clone(), BootstrapState::Empty);
+            Process { me, bootstrap, disk: BootstrapState::Empty, joined: None }
         };
         Play {
             all: (0..n).map(process).collect(),
             wire: Vec::new(),
-            stuck: Vec::new(),
-            sets: BTreeMap::new(),
+            errors: Vec::new(),
+            initial: BTreeMap::new(),
         }
     }
 
@@ -56,51 +56,56 @@
         self.wire.retain(|m| m.0 .2 != i);
         let old = self.all[i].me.disk_id;
         let disk = if with_disk { self.all[i].disk.clone() } else { BootstrapState::Empty };
-        let me = seat(i, incarnation, if with_disk { old } else { 1000 * incarnation + i as u64 });
+        let me = voter(i, incarnation, if with_disk { old } else { 1000 * incarnation + i as u64 });
         let joined = self.all[i].joined.filter(|_| with_disk);
-        let founding = start(self.all.len(), me.clone(), disk.clone());
-        self.all[i] = Process { me, founding, disk, joined };
+        let bootstrap = start(self.all.len(), me.clone(), disk.clone());
+        self.all[i] = Process { me, bootstrap, disk, joined };
     }
 
     /// `upto`: the process ends after as many acts.
     fn act(&mut self, i: usize, upto: usize) {
-        for act in self.all[i].founding.ready().into_iter().take(upto) {
+        for act in self.all[i].bootstrap.ready().into_iter().take(upto) {
             match act {
-                BootstrapAction::PersistAccepted(set) => self.all[i].disk = BootstrapState::Accepted(set),
-                BootstrapAction::Bootstrapped { cluster_id: cluster, members } => {
-                    self.sets.insert(cluster, members);
-                    self.all[i].disk = BootstrapState::Bootstrapped(cluster);
-                    self.all[i].joined = Some(cluster);
+                BootstrapAction::PersistAccepted(members) => {
+                    self.all[i].disk = BootstrapState::Accepted(members)
+                }
+                BootstrapAction::Bootstrapped { cluster_id, members } => {
+                    self.initial.insert(cluster_id, members);
+                    self.all[i].disk = BootstrapState::Bootstrapped(cluster_id);
+                    self.all[i].joined = Some(cluster_id);
                 }
                 BootstrapAction::Join { cluster_id } => {
                     self.all[i].disk = BootstrapState::Bootstrapped(cluster_id);
                     self.all[i].joined = Some(cluster_id);
                 }
-                BootstrapAction::Broadcast(say) => {
-                    let (life, bytes) = (say.voter.member.id.incarnation, say.encode());
+                BootstrapAction::Broadcast(message) => {
+                    let (life, bytes) = (message.voter.member.id.incarnation, message.encode());
                     let to = (0..self.all.len()).filter(|j| *j != i);
                     self.wire.extend(to.map(|j| ((i, life, j), bytes.clone())));
                 }
-                BootstrapAction::Failed(stuck) => self.stuck.push(stuck),
+                BootstrapAction::Failed(error) => self.errors.push(error),
             }
         }
     }
 
-    /// Clusters in which a majority of the founders' disks takes part: these can decide.
+    /// Clusters in which a majority of the initial members' disks takes part: these can decide.
     fn deciding(&self) -> Vec<u64> {
-        let part = |cluster: u64, set: &InitialMembers| {
+        let part = |cluster: u64, members: &InitialMembers| {
             let holds = |me: &Voter| {
-                set.voters().iter().any(|s| s.member.id.name == me.member.id.name && s.disk_id == me.disk_id)
+                members
+                    .voters()
+                    .iter()
+                    .any(|s| s.member.id.name == me.member.id.name && s.disk_id == me.disk_id)
             };
             let of = |p: &&Process| p.joined == Some(cluster) && holds(&p.me);
-            2 * self.all.iter().filter(of).count() > set.voters().len()
+            2 * self.all.iter().filter(of).count() > members.voters().len()
         };
-        self.sets.iter().filter(|(c, set)| part(**c, set)).map(|(c, _)| *c).collect()
+        self.initial.iter().filter(|(c, members)| part(**c, members)).map(|(c, _)| *c).collect()
     }
 }
 
 #[test]
-fn one_cluster_is_founded_whoever_restarts_meanwhile() {
+fn one_cluster_is_bootstrapped_whichever_members_restart() {
     let mut lost = 0;
     for seed in 0..2000u64 {
         let n = 3 + 2 * (seed as usize % 2);
@@ -112,7 +117,7 @@
             let calm = round > 200;
             let i = pick(n);
             if pick(8) == 0 || play.wire.is_empty() {
-                play.all[i].founding.tick();
+                play.all[i].bootstrap.tick();
             }
             play.act(i, usize::MAX);
             for _ in 0..if calm { 4 } else { 1 } {
@@ -125,7 +130,7 @@
                 let first = play.wire.iter().position(|m| m.0 == way).expect("one");
                 let ((_, _, to), bytes) = play.wire.remove(first);
                 if calm || pick(5) > 0 {
-                    play.all[to].founding.receive(BootstrapMessage::decode(&bytes).expect("said"));
+                    play.all[to].bootstrap.receive(BootstrapMessage::decode(&bytes).expect("said"));
                     let ends = !calm && pick(20) == 0;
                     play.act(to, if ends { pick(3) } else { usize::MAX });
                     if ends {
@@ -149,7 +154,7 @@
             }
         }
         lost += disks;
-        assert!(play.stuck.is_empty(), "seed {seed}: {:?}", play.stuck);
+        assert!(play.errors.is_empty(), "seed {seed}: {:?}", play.errors);
         let joined: Vec<_> = play.all.iter().map(|p| p.joined).collect();
         assert!(decided.is_some() && joined.iter().all(|j| *j == decided), "seed {seed}: {joined:?}");
     }
@@ -157,71 +162,75 @@
 }
 
 #[test]
-fn what_can_not_be_known_is_left_to_the_operator() {
+fn a_lost_majority_and_another_cluster_are_left_to_the_operator() {
     let names: Vec<Rc<str>> = ["m0", "m1", "m2"].map(Into::into).into();
-    let set = InitialMembers::new((0..3).map(|i| seat(i, 1, i as u64)).collect());
-    let mut left = Bootstrap::new("accra", &names, seat(0, 2, 0), BootstrapState::Accepted(set));
+    let members = InitialMembers::new((0..3).map(|i| voter(i, 1, i as u64)).collect());
+    let mut left = Bootstrap::new("accra", &names, voter(0, 2, 0), BootstrapState::Accepted(members));
     for i in 1..3 {
-        left.receive(BootstrapMessage { voter: seat(i, 2, 77), state: BootstrapState::Empty });
+        left.receive(BootstrapMessage { voter: voter(i, 2, 77), state: BootstrapState::Empty });
     }
     let lost = BootstrapError::MajorityLost(vec!["m1".into(), "m2".into()]);
     assert!(left.ready().contains(&BootstrapAction::Failed(lost)), "both may have gone on without it");
 
-    let mut founded = Bootstrap::new("accra", &names, seat(0, 2, 0), BootstrapState::Bootstrapped(5));
-    founded.receive(BootstrapMessage { voter: seat(1, 1, 1), state: BootstrapState::Bootstrapped(6) });
+    let mut founded = Bootstrap::new("accra", &names, voter(0, 2, 0), BootstrapState::Bootstrapped(5));
+    founded.receive(BootstrapMessage { voter: voter(1, 1, 1), state: BootstrapState::Bootstrapped(6) });
     let foreign = BootstrapError::OtherCluster { name: "m1".into(), cluster_id: 6 };
     assert!(founded.ready().contains(&BootstrapAction::Failed(foreign)));
     assert_eq!(founded.state(), &BootstrapState::Bootstrapped(5));
 }
 
 #[test]
-fn a_founded_cluster_is_joined_and_one_member_founds_alone() {
+fn an_existing_cluster_is_joined_and_a_single_member_bootstraps_alone() {
     let names: Vec<Rc<str>> = ["m0", "m1"].map(Into::into).into();
-    let mut new = Bootstrap::new("accra", &names, seat(0, 2, 9), BootstrapState::Empty);
-    new.receive(BootstrapMessage { voter: seat(1, 1, 1), state: BootstrapState::Bootstrapped(6) });
+    let mut new = Bootstrap::new("accra", &names, voter(0, 2, 9), BootstrapState::Empty);
+    new.receive(BootstrapMessage { voter: voter(1, 1, 1), state: BootstrapState::Bootstrapped(6) });
     assert!(new.ready().contains(&BootstrapAction::Join { cluster_id: 6 }));
-    let mut alone = Bootstrap::new("accra", &names[..1], seat(0, 1, 9), BootstrapState::Empty);
+    let mut alone = Bootstrap::new("accra", &names[..1], voter(0, 1, 9), BootstrapState::Empty);
     let acts = alone.ready();
-    let pin = acts.iter().position(|a| matches!(a, BootstrapAction::PersistAccepted(_)));
-    let founded = acts.iter().position(|a| matches!(a, BootstrapAction::Bootstrapped { .. }));
-    assert!(pin < founded && pin.is_some(), "{acts:?}");
+    let accepted = acts.iter().position(|a| matches!(a, BootstrapAction::PersistAccepted(_)));
+    let started = acts.iter().position(|a| matches!(a, BootstrapAction::Bootstrapped { .. }));
+    assert!(accepted < started && accepted.is_some(), "{acts:?}");
 }
 
 #[test]
-fn what_is_said_is_durable_before() {
+fn a_state_is_durable_before_it_is_announced() {
     let names: Vec<Rc<str>> = ["m0", "m1"].map(Into::into).into();
-    let mut member = Bootstrap::new("accra", &names, seat(0, 1, 0), BootstrapState::Empty);
-    let set = InitialMembers::new((0..2).map(|i| seat(i, 1, i as u64)).collect());
+    let mut member = Bootstrap::new("accra", &names, voter(0, 1, 0), BootstrapState::Empty);
+    let members = InitialMembers::new((0..2).map(|i| voter(i, 1, i as u64)).collect());
     let at = |acts: &[BootstrapAction], what: &BootstrapAction| {
         acts.iter().position(|a| a == what).expect("an act")
     };
-    let say = |stage| BootstrapAction::Broadcast(BootstrapMessage { voter: seat(0, 1, 0), state: stage });
-    member.receive(BootstrapMessage { voter: seat(1, 1, 1), state: BootstrapState::Empty });
+    let announce = |state| BootstrapAction::Broadcast(BootstrapMessage { voter: voter(0, 1, 0), state });
+    member.receive(BootstrapMessage { voter: voter(1, 1, 1), state: BootstrapState::Empty });
     let acts = member.ready();
     assert!(
-        at(&acts, &BootstrapAction::PersistAccepted(set.clone()))
-            < at(&acts, &say(BootstrapState::Accepted(set.clone()))),
+        at(&acts, &BootstrapAction::PersistAccepted(members.clone()))
+            < at(&acts, &announce(BootstrapState::Accepted(members.clone()))),
         "{acts:?}"
     );
-    member.receive(BootstrapMessage { voter: seat(1, 1, 1), state: BootstrapState::Accepted(set.clone()) });
+    member.receive(BootstrapMessage {
+        voter: voter(1, 1, 1),
+        state: BootstrapState::Accepted(members.clone()),
+    });
     let acts = member.ready();
-    let cluster = set.cluster_id("accra");
+    let cluster = members.cluster_id("accra");
     assert!(
-        at(&acts, &BootstrapAction::Bootstrapped { cluster_id: cluster, members: set })
-            < at(&acts, &say(BootstrapState::Bootstrapped(cluster))),
+        at(&acts, &BootstrapAction::Bootstrapped { cluster_id: cluster, members })
+            < at(&acts, &announce(BootstrapState::Bootstrapped(cluster))),
         "{acts:?}"
     );
 }
 
 #[test]
-fn only_a_disk_of_the_pinned_set_frees_its_pin() {
+fn only_a_disk_of_the_accepted_set_releases_it() {
     let names: Vec<Rc<str>> = ["m0", "m1", "m2"].map(Into::into).into();
-    let set = InitialMembers::new((0..3).map(|i| seat(i, 1, i as u64)).collect());
-    let mut member = Bootstrap::new("accra", &names, seat(0, 1, 0), BootstrapState::Accepted(set.clone()));
-    // The disk that m1 had before may be the one with which the set was founded.
-    member.receive(BootstrapMessage { voter: seat(1, 2, 77), state: BootstrapState::Bootstrapped(6) });
-    assert_eq!(member.state(), &BootstrapState::Accepted(set));
-    member.receive(BootstrapMessage { voter: seat(2, 1, 2), state: BootstrapState::Bootstrapped(6) });
+    let members = InitialMembers::new((0..3).map(|i| voter(i, 1, i as u64)).collect());
+    let mut member =
+        Bootstrap::new("accra", &names, voter(0, 1, 0), BootstrapState::Accepted(members.clone()));
+    // The disk that m1 had before may be the one with which the members was founded.
+    member.receive(BootstrapMessage { voter: voter(1, 2, 77), state: BootstrapState::Bootstrapped(6) });
+    assert_eq!(member.state(), &BootstrapState::Accepted(members));
+    member.receive(BootstrapMessage { voter: voter(2, 1, 2), state: BootstrapState::Bootstrapped(6) });
     assert_eq!(member.state(), &BootstrapState::Bootstrapped(6));
     assert!(member.ready().contains(&BootstrapAction::Join { cluster_id: 6 }));
 }
--- a/tests/fleet_parts/time.rs
+++ b/tests/cluster_parts/hybrid_clock.rs
@@ -1,11 +1,11 @@
-//! The fleet's time: stamps, and the bound on the clocks' offsets.
+//! The cluster's time: timestamps, and the bound on the clocks' offsets.
 use marlgap::cluster::hybrid_clock::{
     ClockOffsets, ClockSkewExceeded, HybridClock, HybridTimestamp, OffsetState, DEFAULT_MAX_OFFSET_MS,
 };
 use marlgap::cluster::MemberId;
 
 #[test]
-fn stamps_rise_while_the_wall_clock_steps_back_and_the_counter_runs_over() {
+fn timestamps_rise_while_the_wall_clock_steps_back_and_the_counter_overflows() {
     let mut clock = HybridClock::new(DEFAULT_MAX_OFFSET_MS);
     let first = clock.now(1000);
     assert!(clock.now(400) > first);
@@ -20,7 +20,7 @@
 }
 
 #[test]
-fn a_stamp_beyond_the_bound_is_refused_and_carries_no_clock_away() {
+fn a_timestamp_beyond_the_bound_is_rejected_and_leaves_the_clock() {
     let mut clock = HybridClock::new(250);
     let near = HybridTimestamp::new(1250, 7);
     assert!(clock.observe(1000, near).expect("within the bound") > near);
@@ -30,7 +30,7 @@
 }
 
 #[test]
-fn a_member_beyond_the_bound_of_a_majority_finds_out_and_comes_back() {
+fn a_member_detects_that_it_is_beyond_the_bound_of_a_majority_and_recovers() {
     let mut offsets = ClockOffsets::new(250, 0.0001);
     let member = |n: u64| MemberId::new("m", n);
     assert_eq!(offsets.state(0, 10_000, 4), OffsetState::Unknown);
--- a/tests/fleet_parts/disk.rs
+++ b/tests/cluster_parts/store_faults.rs
@@ -8,7 +8,7 @@
 use marlgap::net::cluster::store::Store;
 
 use crate::common::fault_library;
-use crate::store::{after, batch};
+use crate::voter_store::{after, batch};
 
 const CHILD: &str = "STORE_CHILD";
 const BATCHES: u64 = 40;
@@ -51,7 +51,7 @@
 }
 
 #[test]
-fn what_was_taken_on_is_written_once_the_disk_is_sound_again() {
+fn owed_batches_are_written_once_the_disk_works_again() {
     if let Some(file) = std::env::var_os(CHILD) {
         return write_batches(Path::new(&file));
     }
@@ -62,7 +62,7 @@
         let (file, plan) =
             (folder.join("store"), Plan::create(&folder.join("faults"), seed).expect("a plan"));
         plan.arm(fault, 50, UNLIMITED).expect("armed");
-        let output = child("disk::what_was_taken_on_is_written_once_the_disk_is_sound_again", &file, &plan);
+        let output = child("store_faults::owed_batches_are_written_once_the_disk_works_again", &file, &plan);
         let fired = plan.fired(fault).expect("read");
         assert!(fired > 0, "{fault:?} never fired");
         let said = String::from_utf8_lossy(&output.stderr);
@@ -74,7 +74,7 @@
 }
 
 #[test]
-fn what_was_acknowledged_is_there_behind_a_kill_within_any_write() {
+fn acknowledged_batches_survive_a_kill_during_any_write() {
     if let Some(file) = std::env::var_os(CHILD) {
         return write_batches(Path::new(&file));
     }
@@ -85,7 +85,7 @@
         let plan = Plan::create(&folder.join("faults"), round).expect("a plan");
         plan.arm(Fault::KilledInWrite, ALWAYS / 30, 1).expect("armed");
         let output =
-            child("disk::what_was_acknowledged_is_there_behind_a_kill_within_any_write", &file, &plan);
+            child("store_faults::acknowledged_batches_survive_a_kill_during_any_write", &file, &plan);
         killed += plan.fired(Fault::KilledInWrite).expect("read");
         most = most.max(acknowledged(&output));
         let opened = Store::open(&file, 77);
--- a/tests/fleet_parts/store.rs
+++ b/tests/cluster_parts/voter_store.rs
@@ -63,7 +63,7 @@
 }
 
 #[test]
-fn what_was_written_is_read_and_a_lost_file_is_told() {
+fn written_batches_are_read_and_a_missing_or_older_file_is_an_error() {
     let dir = Dir::new("plain");
     let path = dir.file("a.redb");
     drop(filled(&path, 50));
@@ -91,7 +91,7 @@
 
 /// A file that is cut or has a bit turned round: all that was acknowledged, or a reason.
 #[test]
-fn a_spoilt_file_never_forgets_a_vote() {
+fn a_corrupt_file_never_loses_a_vote() {
     let dir = Dir::new("spoilt");
     let path = dir.file("a.redb");
     let store = filled(&path, 40);
@@ -165,14 +165,14 @@
 }
 
 #[test]
-fn a_voter_killed_within_a_write_has_forgotten_nothing() {
+fn a_voter_killed_during_a_write_loses_nothing_acknowledged() {
     let dir = Dir::new("killed");
     let path = dir.file("a.redb");
     let mut rng = Pcg64Mcg::seed_from_u64(3);
     let mut last = 0;
     for round in 0..12 {
         let mut child = Command::new(std::env::current_exe().expect("this program"))
-            .args(["--exact", "store::writes_until_it_is_killed", "--nocapture"])
+            .args(["--exact", "voter_store::writes_until_it_is_killed", "--nocapture"])
             .env("MARLGAP_STORE_CHILD", &path)
             .stdout(Stdio::piped())
             .stderr(Stdio::null())
@@ -203,7 +203,7 @@
 }
 
 #[test]
-fn the_file_stays_small_while_batches_come() {
+fn the_file_reuses_the_space_of_dropped_entries() {
     let dir = Dir::new("price");
     let path = dir.file("a.redb");
     let mut store = filled(&path, 40);
--- a/tests/fleet_log/main.rs
+++ b/tests/consensus_log/main.rs
@@ -1,13 +1,16 @@
-//! The replicated log: voters under a virtual clock, spoilt and wild messages, rosters and proposals.
+//! The replicated log: voters under a virtual clock, corrupt and arbitrary messages, membership and proposals.
 mod sim;
 
-use marlgap::cluster::consensus_log::*;
+use marlgap::cluster::consensus_log::{
+    voter_id, Command, CommandOutcome, ConsensusLog, Identity, Limits, Membership, ProposeError,
+    ReceiveError, RecoveryError, RejectionReason, StoredLog, Voter, MAX_OPEN_EPOCHS, MAX_VOTERS,
+};
 use marlgap::cluster::{Configuration, MemberId};
 use protobuf::Message as _;
 use raft::eraftpb::{Entry, Message, MessageType};
 use rand_core::RngCore;
 
-use sim::{fnv, seat, Sim, Without};
+use sim::{fnv, voter, Sim, Without};
 
 /// A message as a peer sends it: version, cluster, check, message.
 fn framed(cluster: u64, message: &Message) -> Vec<u8> {
@@ -30,7 +33,7 @@
 }
 
 #[test]
-fn one_order_and_nothing_acknowledged_is_lost_whatever_fails() {
+fn voters_apply_one_order_and_lose_nothing_acknowledged_under_faults() {
     for n in [3, 5] {
         let ended = plays(n, 0..600, Without::Nothing);
         let broken: Vec<_> = ended.iter().filter_map(|e| e.as_ref().err()).collect();
@@ -49,7 +52,7 @@
 }
 
 #[test]
-fn a_guard_that_is_taken_out_is_missed() {
+fn the_checker_detects_a_disabled_safety_check() {
     for without in [Without::PersistFirst, Without::NewVoter] {
         let broken: Vec<_> = plays(3, 0..1000, without).into_iter().filter_map(Result::err).collect();
         println!("{without:?}: {} of 1000, {:?}", broken.len(), broken.first());
@@ -59,7 +62,7 @@
     }
 }
 
-fn led(n: usize, seed: u64) -> (Sim, usize) {
+fn sim_with_leader(n: usize, seed: u64) -> (Sim, usize) {
     let mut sim = Sim::new(n, seed, Limits::default(), Without::Nothing);
     while sim.leader().is_none() {
         sim.step();
@@ -68,114 +71,159 @@
     (sim, at)
 }
 
+/// Types that voters send to each other, and some that they do not.
+const MESSAGE_TYPES: [MessageType; 14] = [
+    MessageType::MsgAppend,
+    MessageType::MsgAppendResponse,
+    MessageType::MsgRequestVote,
+    MessageType::MsgRequestVoteResponse,
+    MessageType::MsgSnapshot,
+    MessageType::MsgHeartbeat,
+    MessageType::MsgHeartbeatResponse,
+    MessageType::MsgRequestPreVote,
+    MessageType::MsgRequestPreVoteResponse,
+    MessageType::MsgHup,
+    MessageType::MsgPropose,
+    MessageType::MsgTimeoutNow,
+    MessageType::MsgReadIndex,
+    MessageType::MsgTransferLeader,
+];
+
+/// Draws messages from `from` to `to`, most of which no voter would send.
+struct ArbitraryMessages {
+    from: u64,
+    to: u64,
+    /// Of the receiver's log.
+    last_index: u64,
+}
+
+impl ArbitraryMessages {
+    fn number(&self, sim: &mut Sim) -> u64 {
+        let last = self.last_index;
+        let near = [0, 1, 2, last - 1, last, last + 1, last + 9, u64::MAX][sim.pick(8)];
+        if sim.chance(50) {
+            sim.rng.next_u64()
+        } else {
+            near
+        }
+    }
+
+    fn number_or(&self, sim: &mut Sim, one_in: u64, usual: u64) -> u64 {
+        if sim.chance(one_in) {
+            self.number(sim)
+        } else {
+            usual
+        }
+    }
+
+    fn draw(&self, sim: &mut Sim, term: u64) -> Message {
+        let mut message = Message::default();
+        message.set_msg_type(MESSAGE_TYPES[sim.pick(MESSAGE_TYPES.len())]);
+        message.from = self.number_or(sim, 30, self.from);
+        message.to = if sim.chance(30) { 5 } else { self.to };
+        message.term = if sim.chance(2) { term } else { self.number(sim) };
+        message.index = self.number(sim);
+        message.log_term = self.number(sim);
+        message.commit = self.number(sim);
+        message.commit_term = self.number(sim);
+        message.reject_hint = self.number(sim);
+        message.reject = sim.chance(2);
+        match message.get_msg_type() {
+            MessageType::MsgAppend => self.add_entries(sim, &mut message),
+            MessageType::MsgSnapshot => self.add_snapshot(sim, &mut message),
+            _ => {}
+        }
+        message
+    }
+
+    fn add_entries(&self, sim: &mut Sim, message: &mut Message) {
+        for k in 1..=sim.pick(4) as u64 {
+            let term = self.number_or(sim, 3, message.log_term);
+            let index = self.number_or(sim, 9, message.index.saturating_add(k));
+            let mut entry = Entry { term, index, ..Entry::default() };
+            entry.data = vec![7; sim.pick(9)].into();
+            message.mut_entries().push(entry);
+        }
+    }
+
+    fn add_snapshot(&self, sim: &mut Sim, message: &mut Message) {
+        message.mut_snapshot().mut_metadata().index = self.number(sim);
+        message.mut_snapshot().mut_metadata().term = self.number(sim);
+        let ids: Vec<u64> =
+            (0..sim.pick(4)).map(|_| if sim.chance(2) { self.to } else { self.number(sim) }).collect();
+        let conf_state = message.mut_snapshot().mut_metadata().mut_conf_state();
+        conf_state.set_voters(ids.clone());
+        conf_state.set_learners(ids.into_iter().skip(1).collect());
+        let data = if sim.chance(2) { Vec::new() } else { vec![1, 2, 3] };
+        message.mut_snapshot().data = data.into();
+    }
+}
+
+/// A message with one bit flipped is rejected and changes nothing.
+fn assert_corrupt_is_rejected(sim: &mut Sim, log: &mut ConsensusLog, from: &str, mut bytes: Vec<u8>) {
+    let at = sim.pick(bytes.len());
+    bytes[at] ^= 1 << sim.pick(8);
+    let before = (log.term(), log.applied_index(), log.retained_log());
+    log.receive(from, &bytes).expect_err("corrupt");
+    assert_eq!((log.term(), log.applied_index(), log.retained_log()), before);
+}
+
 #[test]
-fn what_is_spoilt_or_wild_is_refused_and_never_stops_the_process() {
-    let (mut sim, at) = led(3, 1);
+fn corrupt_and_arbitrary_messages_are_rejected_and_never_stop_the_process() {
+    let (mut sim, at) = sim_with_leader(3, 1);
     for i in 0..20u8 {
         sim.propose(at, &Command::Plan([i].as_slice().into())).expect("proposed");
         sim.step();
     }
     (0..10).for_each(|_| sim.step());
     let log = sim.nodes[at].log.take().expect("a log");
-    let (me, cluster) = log.identity();
-    let id = voter_id(&me.name, me.disk_id);
+    let (identity, cluster_id) = log.identity();
     let other = (at + 1) % 3;
-    let (name, from) = (format!("m{other}"), sim.nodes[other].seat.voter_id());
-    let stored = sim.nodes[at].disk.clone();
-    let fresh = || ConsensusLog::new(me.clone(), stored.clone(), Limits::default()).expect("a log");
-    let last = log.retained_log().last_index;
-    let wild = |sim: &mut Sim| {
-        let near = [0, 1, 2, last - 1, last, last + 1, last + 9, u64::MAX][sim.pick(8)];
-        if sim.chance(50) {
-            sim.rng.next_u64()
-        } else {
-            near
-        }
+    let name = format!("m{other}");
+    let messages = ArbitraryMessages {
+        from: sim.nodes[other].voter.voter_id(),
+        to: voter_id(&identity.name, identity.disk_id),
+        last_index: log.retained_log().last_index,
     };
-    let kinds = [
-        MessageType::MsgAppend,
-        MessageType::MsgAppendResponse,
-        MessageType::MsgRequestVote,
-        MessageType::MsgRequestVoteResponse,
-        MessageType::MsgSnapshot,
-        MessageType::MsgHeartbeat,
-        MessageType::MsgHeartbeatResponse,
-        MessageType::MsgRequestPreVote,
-        MessageType::MsgRequestPreVoteResponse,
-        MessageType::MsgHup,
-        MessageType::MsgPropose,
-        MessageType::MsgTimeoutNow,
-        MessageType::MsgReadIndex,
-        MessageType::MsgTransferLeader,
-    ];
-    let mut held = fresh();
-    let (mut taken, mut refused) = (0, 0);
+    let stored = sim.nodes[at].disk.clone();
+    let fresh = || ConsensusLog::new(identity.clone(), stored.clone(), Limits::default()).expect("a log");
+    let mut receiver = fresh();
+    let mut accepted = 0;
+    let mut rejected = 0;
     for round in 0..60_000 {
         if round % 50 == 0 {
-            held = fresh();
-            held.ready();
+            receiver = fresh();
+            receiver.ready();
             // A candidate now and then, and a leader where nothing else is in the way.
-            (0..sim.pick(40)).for_each(|_| held.tick());
+            (0..sim.pick(40)).for_each(|_| receiver.tick());
         }
-        let mut m = Message::default();
-        m.set_msg_type(kinds[sim.pick(kinds.len())]);
-        (m.from, m.to) =
-            (if sim.chance(30) { wild(&mut sim) } else { from }, if sim.chance(30) { 5 } else { id });
-        m.term = if sim.chance(2) { held.term() } else { wild(&mut sim) };
-        (m.index, m.log_term, m.commit) = (wild(&mut sim), wild(&mut sim), wild(&mut sim));
-        (m.commit_term, m.reject_hint) = (wild(&mut sim), wild(&mut sim));
-        m.reject = sim.chance(2);
-        if m.get_msg_type() == MessageType::MsgAppend {
-            for k in 1..=sim.pick(4) as u64 {
-                let term = if sim.chance(3) { wild(&mut sim) } else { m.log_term };
-                let index = if sim.chance(9) { wild(&mut sim) } else { m.index.saturating_add(k) };
-                let mut e = Entry { term, index, ..Entry::default() };
-                e.data = vec![7; sim.pick(9)].into();
-                m.mut_entries().push(e);
-            }
-        }
-        if m.get_msg_type() == MessageType::MsgSnapshot {
-            m.mut_snapshot().mut_metadata().index = wild(&mut sim);
-            m.mut_snapshot().mut_metadata().term = wild(&mut sim);
-            let ids: Vec<u64> =
-                (0..sim.pick(4)).map(|_| if sim.chance(2) { id } else { wild(&mut sim) }).collect();
-            let conf = m.mut_snapshot().mut_metadata().mut_conf_state();
-            conf.set_voters(ids.clone());
-            conf.set_learners(ids.into_iter().skip(1).collect());
-            let data = if sim.chance(2) { Vec::new() } else { vec![1, 2, 3] };
-            m.mut_snapshot().data = data.into();
+        let bytes = framed(cluster_id, &messages.draw(&mut sim, receiver.term()));
+        match receiver.receive(&name, &bytes) {
+            Ok(()) => accepted += 1,
+            Err(_) => rejected += 1,
         }
-        let bytes = framed(cluster, &m);
-        match held.receive(&name, &bytes) {
-            Ok(()) => taken += 1,
-            Err(_) => refused += 1,
-        }
-        held.ready();
-        // On its way one bit was turned round: nothing of it is taken.
+        receiver.ready();
         if round % 10 == 0 {
-            let mut bytes = bytes;
-            let at = sim.pick(bytes.len());
-            bytes[at] ^= 1 << sim.pick(8);
-            let before = (held.term(), held.applied_index(), held.retained_log());
-            held.receive(&name, &bytes).expect_err("spoilt");
-            assert_eq!((held.term(), held.applied_index(), held.retained_log()), before);
+            assert_corrupt_is_rejected(&mut sim, &mut receiver, &name, bytes);
         }
     }
-    println!("{taken} taken, {refused} refused");
-    assert!(taken > 1000 && refused > 1000, "{taken} taken, {refused} refused");
+    println!("{accepted} accepted, {rejected} rejected");
+    assert!(accepted > 1000 && rejected > 1000, "{accepted} accepted, {rejected} rejected");
     let large = vec![0; Limits::default().max_frame_bytes + 1];
-    assert!(matches!(held.receive(&name, &large), Err(ReceiveError::TooLarge { .. })));
+    assert!(matches!(receiver.receive(&name, &large), Err(ReceiveError::TooLarge { .. })));
 }
 
 #[test]
-fn a_log_that_ends_before_what_was_agreed_does_not_start() {
-    let (mut sim, at) = led(3, 2);
-    (0..5u8).for_each(|i| drop(sim.propose(at, &Command::Plan([i].as_slice().into()))));
+fn a_stored_log_without_committed_entries_does_not_start() {
+    let (mut sim, at) = sim_with_leader(3, 2);
+    for i in 0..5u8 {
+        let _ = sim.propose(at, &Command::Plan([i].as_slice().into()));
+    }
     (0..20).for_each(|_| sim.step());
     let _ = sim.propose(at, &Command::ClosedTimestamp { ms: 1, logical: 2 });
     (0..20).for_each(|_| sim.step());
     let node = &sim.nodes[at];
-    let me = Identity { name: node.seat.member.id.name.clone(), disk_id: node.seat.disk_id };
+    let me = Identity { name: node.voter.member.id.name.clone(), disk_id: node.voter.disk_id };
     let start = |stored: StoredLog| ConsensusLog::new(me.clone(), stored, Limits::default()).map(|_| ());
     assert_eq!(start(node.disk.clone()), Ok(()));
     let mut short = node.disk.clone();
@@ -190,25 +238,26 @@
 }
 
 #[test]
-fn one_life_of_a_name_counts_and_an_epoch_is_one_configuration() {
-    let roster = Membership::bootstrap(1, (0..7).map(|i| seat(i, 1, i as u64)).collect()).expect("a roster");
-    assert_eq!((roster.raft_ids().voters.len(), roster.raft_ids().learners.len()), (MAX_VOTERS, 2));
-    let admit = |s: Voter, base| Command::Admit { voter: s, known_epoch: base };
-    assert_eq!(roster.evaluate(9, &admit(seat(2, 1, 2), 1)).0, CommandOutcome::Unchanged);
-    let (outcome, second) = roster.evaluate(9, &admit(seat(2, 5, 2), 1));
+fn each_name_has_one_incarnation_and_each_epoch_one_configuration() {
+    let initial =
+        Membership::bootstrap(1, (0..7).map(|i| voter(i, 1, i as u64)).collect()).expect("a membership");
+    assert_eq!((initial.raft_ids().voters.len(), initial.raft_ids().learners.len()), (MAX_VOTERS, 2));
+    let admit = |voter: Voter, known_epoch| Command::Admit { voter, known_epoch };
+    assert_eq!(initial.evaluate(9, &admit(voter(2, 1, 2), 1)).0, CommandOutcome::Unchanged);
+    let (outcome, second) = initial.evaluate(9, &admit(voter(2, 5, 2), 1));
     let second = second.expect("another life");
     assert!(matches!(outcome, CommandOutcome::Reconfigured(c) if c.epoch() == 9));
-    assert_eq!(second.raft_ids(), roster.raft_ids(), "the same disk is the same voter");
+    assert_eq!(second.raft_ids(), initial.raft_ids(), "the same disk is the same voter");
     // An ask that was under way meanwhile, and the life that ended.
     assert_eq!(
-        second.evaluate(10, &admit(seat(2, 4, 2), 1)).0,
+        second.evaluate(10, &admit(voter(2, 4, 2), 1)).0,
         CommandOutcome::Rejected(RejectionReason::StaleEpoch(9))
     );
     assert_eq!(
-        second.evaluate(10, &admit(seat(2, 1, 2), 9)).0,
+        second.evaluate(10, &admit(voter(2, 1, 2), 9)).0,
         CommandOutcome::Rejected(RejectionReason::IncarnationEnded)
     );
-    let third = second.evaluate(11, &admit(seat(2, 6, 88), 9)).1.expect("another disk");
+    let third = second.evaluate(11, &admit(voter(2, 6, 88), 9)).1.expect("another disk");
     assert_ne!(third.raft_ids(), second.raft_ids());
     // One who learned votes in the place of one who leaves.
     let left = third.evaluate(12, &Command::Leave(MemberId::new("m2", 6))).1.expect("left");
@@ -227,7 +276,7 @@
     assert_eq!(closed.open_epochs().map(Configuration::epoch).collect::<Vec<_>>(), [11, 12]);
     let mut many = closed.clone();
     for life in 100.. {
-        match many.evaluate(life, &admit(seat(3, life, 3), life)) {
+        match many.evaluate(life, &admit(voter(3, life, 3), life)) {
             (_, Some(next)) => many = next,
             (outcome, None) => {
                 assert_eq!(outcome, CommandOutcome::Rejected(RejectionReason::LimitReached("open epochs")));
@@ -240,10 +289,10 @@
 }
 
 #[test]
-fn proposals_are_bounded_and_led_to_the_leader() {
-    let (mut sim, at) = led(3, 4);
+fn proposals_are_bounded_and_only_the_leader_accepts_them() {
+    let (mut sim, at) = sim_with_leader(3, 4);
     (0..10).for_each(|_| sim.step());
-    let leader = sim.nodes[at].seat.member.id.name.clone();
+    let leader = sim.nodes[at].voter.member.id.name.clone();
     let plan = |n: usize| Command::Plan(vec![0; n].into());
     let other = (at + 1) % 3;
     assert_eq!(sim.propose(other, &plan(1)), Err(ProposeError::NotLeader { leader: Some(leader) }));
@@ -251,13 +300,13 @@
     let log = sim.nodes[at].log.as_mut().expect("a log");
     let refused = (0..100).find_map(|_| log.propose(&plan(200 << 10)).err());
     assert_eq!(refused, Some(ProposeError::CapacityExceeded));
-    let again = Command::Admit { voter: sim.nodes[at].seat.clone(), known_epoch: 1 };
+    let again = Command::Admit { voter: sim.nodes[at].voter.clone(), known_epoch: 1 };
     assert_eq!(sim.propose(at, &again), Err(ProposeError::NoEffect(CommandOutcome::Unchanged)));
 }
 
 #[test]
-fn entries_a_second() {
-    let (mut sim, at) = led(3, 5);
+fn entries_per_second_in_memory() {
+    let (mut sim, at) = sim_with_leader(3, 5);
     let started = std::time::Instant::now();
     let rounds = 200;
     for round in 0..rounds {
--- a/tests/fleet_log/sim.rs
+++ b/tests/consensus_log/sim.rs
@@ -4,12 +4,15 @@
 use std::hash::Hasher;
 use std::rc::Rc;
 
-use marlgap::cluster::consensus_log::*;
+use marlgap::cluster::consensus_log::{
+    encode_command, voter_id, Command, ConsensusLog, Identity, Limits, LogAction, ProposalId, ProposeError,
+    ReceiveError, StoredLog, Voter,
+};
 use marlgap::cluster::{Configuration, Member, MemberId};
 use rand_core::{RngCore, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 
-/// A guard that is taken out, to show that the checker finds what breaks.
+/// A safety check that is disabled, to show that the checker finds what breaks.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Without {
     Nothing,
@@ -34,7 +37,7 @@
 }
 
 pub struct Node {
-    pub seat: Voter,
+    pub voter: Voter,
     pub disk: StoredLog,
     pub log: Option<ConsensusLog>,
     /// What the other parts hold: the last index applied and a sum over all commands.
@@ -60,11 +63,11 @@
     pub acknowledged: BTreeMap<u64, Vec<u8>>,
     pub refused: Vec<ReceiveError>,
     pub leaders: u64,
-    lives: u64,
+    last_incarnation: u64,
     broken: Option<String>,
 }
 
-pub fn seat(n: usize, incarnation: u64, disk: u64) -> Voter {
+pub fn voter(n: usize, incarnation: u64, disk: u64) -> Voter {
     let id = MemberId::new(&format!("m{n}"), incarnation);
     let member = Member {
         id,
@@ -76,12 +79,12 @@
 
 impl Sim {
     pub fn new(n: usize, seed: u64, limits: Limits, without: Without) -> Sim {
-        let seats: Vec<Voter> = (0..n).map(|i| seat(i, 1, mix(seed) ^ i as u64)).collect();
+        let voters: Vec<Voter> = (0..n).map(|i| voter(i, 1, mix(seed) ^ i as u64)).collect();
         let cluster = mix(seed ^ 7);
-        let stored = StoredLog::bootstrap(cluster, seats.clone()).expect("a founded cluster");
-        let node = |seat: Voter| Node { seat, disk: stored.clone(), log: None, state: (0, 0) };
+        let stored = StoredLog::bootstrap(cluster, voters.clone()).expect("a founded cluster");
+        let node = |voter: Voter| Node { voter, disk: stored.clone(), log: None, state: (0, 0) };
         let mut sim = Sim {
-            nodes: seats.into_iter().map(node).collect(),
+            nodes: voters.into_iter().map(node).collect(),
             rng: Pcg64Mcg::seed_from_u64(seed),
             now: 0,
             without,
@@ -96,7 +99,7 @@
             acknowledged: BTreeMap::new(),
             refused: Vec::new(),
             leaders: 0,
-            lives: 1,
+            last_incarnation: 1,
             broken: None,
         };
         (0..n).for_each(|i| sim.start(i));
@@ -113,7 +116,7 @@
 
     fn start(&mut self, i: usize) {
         let node = &mut self.nodes[i];
-        let me = Identity { name: node.seat.member.id.name.clone(), disk_id: node.seat.disk_id };
+        let me = Identity { name: node.voter.member.id.name.clone(), disk_id: node.voter.disk_id };
         node.state = (0, 0);
         match ConsensusLog::new(me, node.disk.clone(), self.limits.clone()) {
             Ok(log) => node.log = Some(log),
@@ -124,17 +127,17 @@
 
     /// Another life of the same name: with its disk, or with an empty one.
     pub fn restart(&mut self, i: usize, with_disk: bool) {
-        self.lives += 1;
+        self.last_incarnation += 1;
         let cluster = self.cluster;
-        let lives = self.lives;
+        let incarnation = self.last_incarnation;
         let node = &mut self.nodes[i];
         if !with_disk {
             node.disk = StoredLog::joining(cluster);
             if self.without != Without::NewVoter {
-                node.seat.disk_id = mix(lives ^ node.seat.disk_id);
+                node.voter.disk_id = mix(incarnation ^ node.voter.disk_id);
             }
         }
-        node.seat.member.id.incarnation = lives;
+        node.voter.member.id.incarnation = incarnation;
         self.start(i);
     }
 
@@ -160,18 +163,18 @@
             return;
         }
         let Some(log) = &self.nodes[i].log else { return };
-        let (roster, id) =
-            (log.membership(), voter_id(&self.nodes[i].seat.member.id.name, self.nodes[i].seat.disk_id));
+        let (membership, id) =
+            (log.membership(), voter_id(&self.nodes[i].voter.member.id.name, self.nodes[i].voter.disk_id));
         let mut wrong = None;
-        for config in roster.open_epochs() {
+        for config in membership.open_epochs() {
             let known = self.epochs.entry(config.epoch()).or_insert_with(|| config.clone());
             if known != config {
                 wrong = Some(format!("two configurations of epoch {}", config.epoch()));
             }
         }
-        let listed = roster.raft_ids().voters.contains(&id);
-        self.break_if(log_leads(&self.nodes[i]) && !listed && self.without == Without::Nothing, || {
-            "led by no voter".into()
+        let listed = membership.raft_ids().voters.contains(&id);
+        self.break_if(is_leader(&self.nodes[i]) && !listed && self.without == Without::Nothing, || {
+            "the leader is no voter".into()
         });
         self.break_if(wrong.is_some(), || wrong.unwrap_or_default());
     }
@@ -180,7 +183,7 @@
         match act {
             LogAction::Persist(batch) => self.nodes[i].disk.apply(&batch),
             LogAction::Send { to, bytes } => {
-                let to = self.nodes.iter().position(|n| n.seat.member.id.name == to).expect("a name");
+                let to = self.nodes.iter().position(|n| n.voter.member.id.name == to).expect("a name");
                 let copies = if self.lossy { [1, 1, 1, 1, 2, 0][self.pick(6)] } else { 1 };
                 for _ in 0..copies {
                     let late = if self.lossy && self.chance(8) { 25 } else { 3 };
@@ -205,7 +208,7 @@
                     format!("two commands, or orders, at {index}")
                 });
                 if proposal.proposer
-                    == voter_id(&self.nodes[i].seat.member.id.name, self.nodes[i].seat.disk_id)
+                    == voter_id(&self.nodes[i].voter.member.id.name, self.nodes[i].voter.disk_id)
                 {
                     self.acknowledged.insert(index, bytes);
                 }
@@ -276,8 +279,8 @@
             let missing = self
                 .nodes
                 .iter()
-                .find(|n| n.log.is_some() && !log.membership().members().any(|s| *s == n.seat));
-            let admit = missing.map(|n| Command::Admit { voter: n.seat.clone(), known_epoch: base });
+                .find(|n| n.log.is_some() && !log.membership().members().any(|s| *s == n.voter));
+            let admit = missing.map(|n| Command::Admit { voter: n.voter.clone(), known_epoch: base });
             if let Some(admit) = admit {
                 let _ = self.propose(at, &admit);
             }
@@ -335,7 +338,7 @@
         sim.settle(seed)
     }
 
-    /// The others run, vote, and have the newest roster.
+    /// The others run, vote, and have the newest membership.
     fn whole(&self, i: usize) -> bool {
         let Some(leader) = self.leader().and_then(|l| self.nodes[l].log.as_ref()) else { return false };
         if leader.has_pending_membership_change() {
@@ -343,7 +346,7 @@
         }
         let voters = leader.membership().raft_ids().voters;
         let fit = |n: &Node| n.log.as_ref().is_some_and(|l| l.applied_index() + 2 >= leader.applied_index());
-        let counts = |n: &Node| voters.contains(&n.seat.voter_id());
+        let counts = |n: &Node| voters.contains(&n.voter.voter_id());
         self.nodes.iter().all(counts) && self.nodes.iter().enumerate().all(|(j, n)| j == i || fit(n))
     }
 
@@ -352,7 +355,7 @@
             self.step();
             let counted = |s: &Sim, at: usize| {
                 let log = s.nodes[at].log.as_ref().expect("a log");
-                s.nodes.iter().all(|n| log.membership().members().any(|x| *x == n.seat))
+                s.nodes.iter().all(|n| log.membership().members().any(|x| *x == n.voter))
             };
             if let Some(at) = self.leader().filter(|at| counted(&self, *at)) {
                 let first = self.nodes[at].log.as_ref().expect("a log").applied_index();
@@ -385,6 +388,6 @@
     }
 }
 
-fn log_leads(node: &Node) -> bool {
+fn is_leader(node: &Node) -> bool {
     node.log.as_ref().is_some_and(ConsensusLog::is_leader)
 }
--- a/tests/golden_store/bootstrap.rs
+++ b/tests/golden_store/bootstrap.rs
@@ -1,4 +1,4 @@
-//! Founding: what members say to each other before there is a log, and the set that they pin on their disks.
+//! Bootstrap: what members send to each other before there is a log, and the members that they accept on their disks.
 use marlgap::cluster::bootstrap::first_configuration::{
     Ballot, ConfigurationMessage, InitialMember, MessageKind,
 };
@@ -7,58 +7,58 @@
 use prost::Message as _;
 
 use crate::fixture::{names, record, records, Records};
-use crate::sample::{next_life, seat, seats, CLUSTER};
+use crate::sample::{next_life, voter, voters, CLUSTER};
 
-fn says() -> Vec<(&'static str, BootstrapMessage)> {
-    let say = |number, stage| BootstrapMessage { voter: seat(number), state: stage };
+fn messages() -> Vec<(&'static str, BootstrapMessage)> {
+    let message = |number, state| BootstrapMessage { voter: voter(number), state };
     vec![
-        ("say-empty", say(0, BootstrapState::Empty)),
-        ("say-pinned", say(1, BootstrapState::Accepted(InitialMembers::new(seats(3))))),
-        ("say-founded", say(2, BootstrapState::Bootstrapped(CLUSTER))),
+        ("say-empty", message(0, BootstrapState::Empty)),
+        ("say-pinned", message(1, BootstrapState::Accepted(InitialMembers::new(voters(3))))),
+        ("say-founded", message(2, BootstrapState::Bootstrapped(CLUSTER))),
     ]
 }
 
 fn found_records() -> Records {
-    let says = says().into_iter().map(|(name, say)| (name.to_string(), say.encode()));
-    let set = ("set".to_string(), InitialMembers::new(seats(3)).encode());
-    says.chain([set]).collect()
+    let messages = messages().into_iter().map(|(name, message)| (name.to_string(), message.encode()));
+    let set = ("set".to_string(), InitialMembers::new(voters(3)).encode());
+    messages.chain([set]).collect()
 }
 
 #[test]
-fn each_stage_that_a_member_says_is_read() {
+fn each_bootstrap_message_of_an_earlier_build_is_read() {
     let golden = records("found.hex", found_records);
     assert_eq!(names(&golden), ["say-empty", "say-pinned", "say-founded", "set"]);
-    for (name, say) in says() {
+    for (name, message) in messages() {
         let read = BootstrapMessage::decode(record(&golden, name)).expect(name);
-        assert_eq!(read.voter.member.id.name, say.voter.member.id.name, "{name}");
-        assert_eq!(read.voter.member.id.incarnation, say.voter.member.id.incarnation, "{name}");
-        assert_eq!(read.voter.member.zone, say.voter.member.zone, "{name}");
-        assert_eq!(read.voter.member.address, say.voter.member.address, "{name}");
-        assert_eq!(read.voter.disk_id, say.voter.disk_id, "{name}");
-        assert_eq!(read.state, say.state, "{name}");
+        assert_eq!(read.voter.member.id.name, message.voter.member.id.name, "{name}");
+        assert_eq!(read.voter.member.id.incarnation, message.voter.member.id.incarnation, "{name}");
+        assert_eq!(read.voter.member.zone, message.voter.member.zone, "{name}");
+        assert_eq!(read.voter.member.address, message.voter.member.address, "{name}");
+        assert_eq!(read.voter.disk_id, message.voter.disk_id, "{name}");
+        assert_eq!(read.state, message.state, "{name}");
         assert_eq!(read.encode(), record(&golden, name), "{name}");
     }
 }
 
 #[test]
-fn a_pinned_set_is_read_and_gives_the_same_cluster() {
+fn accepted_members_are_read_and_give_the_same_cluster_id() {
     let golden = records("found.hex", found_records);
-    let set = InitialMembers::decode(record(&golden, "set")).expect("a set");
-    assert_eq!(set.voters(), seats(3));
-    assert_eq!(set.encode(), record(&golden, "set"));
+    let members = InitialMembers::decode(record(&golden, "set")).expect("members");
+    assert_eq!(members.voters(), voters(3));
+    assert_eq!(members.encode(), record(&golden, "set"));
     // The number of a cluster is kept on every disk of it: another build has to work out the same.
-    assert_eq!(set.cluster_id("accra"), SET_CLUSTER);
+    assert_eq!(members.cluster_id("accra"), CLUSTER_OF_MEMBERS);
 }
 
-const SET_CLUSTER: u64 = 9_022_134_833_960_559_442;
+const CLUSTER_OF_MEMBERS: u64 = 9_022_134_833_960_559_442;
 
-fn life(number: usize) -> InitialMember {
-    let member = next_life(seat(number)).member;
+fn initial_member(number: usize) -> InitialMember {
+    let member = next_life(voter(number)).member;
     let (name, incarnation) = (member.id.name.to_string(), member.id.incarnation);
     InitialMember { name, incarnation, zone: member.zone.to_string() }
 }
 
-fn notes() -> Vec<(&'static str, MessageKind, ConfigurationMessage)> {
+fn configuration_messages() -> Vec<(&'static str, MessageKind, ConfigurationMessage)> {
     let kinds = [
         ("note-asked", MessageKind::Query),
         ("note-propose", MessageKind::Propose),
@@ -66,7 +66,7 @@
         ("note-holds", MessageKind::Rejected),
         ("note-formed", MessageKind::Decided),
     ];
-    let note = |(n, (name, kind)): (usize, (&'static str, MessageKind))| {
+    let message = |(n, (name, kind)): (usize, (&'static str, MessageKind))| {
         let n = n as u64;
         let round = Ballot { leader: 501 + n, number: 601 + n };
         let over = Ballot { leader: 701 + n, number: 801 + n };
@@ -77,34 +77,37 @@
                 kind: kind.into(),
                 ballot: round,
                 superseded: over,
-                members: vec![life(0), life(1)],
+                members: vec![initial_member(0), initial_member(1)],
             },
         )
     };
-    kinds.into_iter().enumerate().map(note).collect()
+    kinds.into_iter().enumerate().map(message).collect()
 }
 
-fn note_records() -> Records {
-    notes().into_iter().map(|(name, _, note)| (name.to_string(), note.encode_to_vec())).collect()
+fn configuration_records() -> Records {
+    configuration_messages()
+        .into_iter()
+        .map(|(name, _, message)| (name.to_string(), message.encode_to_vec()))
+        .collect()
 }
 
 #[test]
-fn each_note_between_founding_members_is_read() {
-    let golden = records("notes.hex", note_records);
+fn each_configuration_message_is_read() {
+    let golden = records("notes.hex", configuration_records);
     assert_eq!(names(&golden), ["note-asked", "note-propose", "note-took", "note-holds", "note-formed"]);
-    for (number, (name, kind, note)) in notes().into_iter().enumerate() {
+    for (number, (name, kind, message)) in configuration_messages().into_iter().enumerate() {
         let read = ConfigurationMessage::decode(record(&golden, name)).expect(name);
         assert_eq!(read.kind, number as i32, "{name}");
         assert_eq!(MessageKind::try_from(read.kind), Ok(kind), "{name}");
-        assert_eq!(read.ballot, note.ballot, "{name}");
-        assert_eq!(read.superseded, note.superseded, "{name}");
-        assert_eq!(read.members, note.members, "{name}");
+        assert_eq!(read.ballot, message.ballot, "{name}");
+        assert_eq!(read.superseded, message.superseded, "{name}");
+        assert_eq!(read.members, message.members, "{name}");
         assert_eq!(read.encode_to_vec(), record(&golden, name), "{name}");
     }
 }
 
 fn connection_frames() -> Vec<(&'static str, Frame)> {
-    let member = seat(2).member;
+    let member = voter(2).member;
     let hello = Hello {
         cluster: "accra".into(),
         version: VERSION,
@@ -112,8 +115,8 @@
         incarnation: member.id.incarnation,
         zone: member.zone.to_string(),
     };
-    let (_, _, note) = notes().swap_remove(1);
-    vec![("frame-hello", Frame::Hello(hello)), ("frame-founding", Frame::Founding(note))]
+    let (_, _, message) = configuration_messages().swap_remove(1);
+    vec![("frame-hello", Frame::Hello(hello)), ("frame-founding", Frame::Founding(message))]
 }
 
 fn connection_records() -> Records {
@@ -121,7 +124,7 @@
 }
 
 #[test]
-fn a_hello_and_a_note_are_read_from_a_connection() {
+fn a_hello_and_a_configuration_message_are_read_from_a_connection() {
     let golden = records("connection.hex", connection_records);
     assert_eq!(names(&golden), ["frame-hello", "frame-founding"]);
     for (name, frame) in connection_frames() {
--- a/tests/golden_store/frames.rs
+++ b/tests/golden_store/frames.rs
@@ -10,7 +10,7 @@
 use raft::eraftpb::{Message, MessageType};
 
 use crate::fixture::{names, record, records, Records};
-use crate::sample::{seat, seats, CLUSTER};
+use crate::sample::{voter, voters, CLUSTER};
 
 /// Version, cluster and check come before the message.
 const HEAD: usize = 1 + 8 + 8;
@@ -23,16 +23,16 @@
 }
 
 fn name(number: usize) -> Rc<str> {
-    seat(number).member.id.name
+    voter(number).member.id.name
 }
 
 fn number(id: u64) -> usize {
-    (0..3).find(|n| voter_id(&name(*n), seat(*n).disk_id) == id).expect("a voter")
+    (0..3).find(|n| voter_id(&name(*n), voter(*n).disk_id) == id).expect("a voter")
 }
 
 fn start(number: usize) -> ConsensusLog {
-    let stored = StoredLog::bootstrap(CLUSTER, seats(3)).expect("a founded cluster");
-    let me = Identity { name: name(number), disk_id: seat(number).disk_id };
+    let stored = StoredLog::bootstrap(CLUSTER, voters(3)).expect("a founded cluster");
+    let me = Identity { name: name(number), disk_id: voter(number).disk_id };
     ConsensusLog::new(me, stored, Limits { retained_entries: 2, ..Limits::default() }).expect("a log")
 }
 
@@ -121,7 +121,7 @@
 }
 
 #[test]
-fn the_head_of_a_frame_is_version_cluster_and_check() {
+fn the_header_of_a_frame_is_version_cluster_and_checksum() {
     for (kind, frame) in records("frames.hex", first_of_each_kind) {
         let mut hasher = fnv::FnvHasher::default();
         hasher.write(&frame[HEAD..]);
@@ -133,7 +133,7 @@
 }
 
 #[test]
-fn a_voter_takes_the_frames_of_an_earlier_build() {
+fn a_voter_accepts_the_frames_of_an_earlier_build() {
     let golden = records("frames.hex", first_of_each_kind);
     for kind in ["MsgRequestPreVote", "MsgRequestVote", "MsgAppend", "MsgSnapshot"] {
         let frame = record(&golden, kind);
@@ -147,7 +147,7 @@
             let restored = |act: &LogAction| match act {
                 LogAction::Restored { index, membership, application_state } => {
                     *index == sent.get_snapshot().get_metadata().index
-                        && membership.members().cloned().collect::<Vec<_>>() == seats(3)
+                        && membership.members().cloned().collect::<Vec<_>>() == voters(3)
                         && application_state == b"other parts"
                 }
                 _ => false,
--- a/tests/golden_store/log.rs
+++ b/tests/golden_store/log.rs
@@ -1,11 +1,11 @@
-//! The replicated log: a command of each kind, the roster, and the snapshot that a voter keeps and sends.
+//! The replicated log: a command of each kind, the membership, and the snapshot that a voter keeps and sends.
 use marlgap::cluster::consensus_log::{
     decode_command, encode_command, voter_id, Command, CommandOutcome, ConsensusLog, HardState, Identity,
     Limits, LogAction, Membership, StoredLog, WriteBatch,
 };
 
 use crate::fixture::{names, record, records, Records};
-use crate::sample::{commands, next_life, seat, seats, CLUSTER, PROPOSAL};
+use crate::sample::{commands, next_life, voter, voters, CLUSTER, PROPOSAL};
 
 fn command_records() -> Records {
     let encoded = |(name, command): (&str, Command)| (name.to_string(), encode_command(PROPOSAL, &command));
@@ -26,51 +26,51 @@
 }
 
 #[test]
-fn the_number_of_a_voter_stays() {
-    assert_eq!(voter_id("oslo", seat(2).disk_id), OSLO);
+fn the_id_of_a_voter_stays() {
+    assert_eq!(voter_id("oslo", voter(2).disk_id), OSLO);
 }
 
 const OSLO: u64 = 4_685_882_829_923_860_291;
 
 /// Six members in epoch 1, of whom one learns only; one in its second life; one that left and came back; an epoch that
 /// is closed.
-fn roster() -> Membership {
+fn sample_membership() -> Membership {
     let steps = [
-        (401, Command::Admit { voter: next_life(seat(1)), known_epoch: 1 }),
-        (402, Command::Leave(seat(3).member.id)),
+        (401, Command::Admit { voter: next_life(voter(1)), known_epoch: 1 }),
+        (402, Command::Leave(voter(3).member.id)),
         (403, Command::CloseEpoch(1)),
     ];
-    let mut roster = Membership::bootstrap(1, seats(6)).expect("a roster");
+    let mut membership = Membership::bootstrap(1, voters(6)).expect("a membership");
     for (index, command) in steps {
-        let (outcome, next) = roster.evaluate(index, &command);
+        let (outcome, next) = membership.evaluate(index, &command);
         assert!(matches!(outcome, CommandOutcome::Reconfigured(_) | CommandOutcome::Accepted), "{outcome:?}");
-        roster = next.expect("a change");
+        membership = next.expect("a change");
     }
-    roster
+    membership
 }
 
 #[test]
-fn a_roster_is_read() {
-    let golden = records("roster.hex", || vec![("roster".into(), roster().encode())]);
+fn a_membership_is_read() {
+    let golden = records("roster.hex", || vec![("roster".into(), sample_membership().encode())]);
     assert_eq!(names(&golden), ["roster"]);
-    let read = Membership::decode(record(&golden, "roster")).expect("a roster");
+    let read = Membership::decode(record(&golden, "roster")).expect("a membership");
     // Its histories have no accessor: they are compared as a whole, and by what they refuse.
-    assert_eq!(read, roster());
-    let again = Command::Admit { voter: seat(1), known_epoch: 500 };
+    assert_eq!(read, sample_membership());
+    let again = Command::Admit { voter: voter(1), known_epoch: 500 };
     assert!(matches!(read.evaluate(500, &again).0, CommandOutcome::Rejected(_)), "its first life has ended");
-    let members = [seat(0), next_life(seat(1)), seat(2), seat(4), seat(5)];
+    let members = [voter(0), next_life(voter(1)), voter(2), voter(4), voter(5)];
     assert_eq!(read.members().cloned().collect::<Vec<_>>(), members);
     assert_eq!(read.closed_epoch(), 1);
     assert_eq!(read.open_epochs().map(|config| config.epoch()).collect::<Vec<_>>(), [401, 402]);
-    let listed: Vec<_> = members.iter().map(|seat| seat.member.clone()).collect();
+    let listed: Vec<_> = members.iter().map(|voter| voter.member.clone()).collect();
     assert_eq!(read.latest().map(|config| config.members().to_vec()), Some(listed));
-    assert_eq!(read.raft_ids(), roster().raft_ids());
+    assert_eq!(read.raft_ids(), sample_membership().raft_ids());
     assert_eq!(read.encode(), record(&golden, "roster"));
 }
 
 /// A voter alone, whose log holds a command of each kind, and a snapshot of the state after some of them.
 pub fn lone_voter() -> StoredLog {
-    let mut stored = StoredLog::bootstrap(CLUSTER, seats(1)).expect("a founded cluster");
+    let mut stored = StoredLog::bootstrap(CLUSTER, voters(1)).expect("a founded cluster");
     let limits = Limits { retained_entries: 100, ..Limits::default() };
     let mut log = ConsensusLog::new(lone_identity(), stored.clone(), limits).expect("a log");
     while !log.is_leader() {
@@ -78,7 +78,7 @@
         keep(&mut log, &mut stored);
     }
     let steps = [
-        Command::Admit { voter: next_life(seat(0)), known_epoch: 1 },
+        Command::Admit { voter: next_life(voter(0)), known_epoch: 1 },
         Command::CloseEpoch(1),
         Command::Layout(b"a layout".as_slice().into()),
         Command::Plan(b"a plan".as_slice().into()),
@@ -91,13 +91,13 @@
     log.compact(b"other parts").expect("a snapshot");
     keep(&mut log, &mut stored);
     // A new voter as the last one: the entry is a change of voters, and is not agreed on while it does not answer.
-    log.propose(&Command::Admit { voter: seat(2), known_epoch: 3 }).expect("taken");
+    log.propose(&Command::Admit { voter: voter(2), known_epoch: 3 }).expect("taken");
     keep(&mut log, &mut stored);
     stored
 }
 
 fn lone_identity() -> Identity {
-    Identity { name: seat(0).member.id.name, disk_id: seat(0).disk_id }
+    Identity { name: voter(0).member.id.name, disk_id: voter(0).disk_id }
 }
 
 fn keep(log: &mut ConsensusLog, stored: &mut StoredLog) {
@@ -124,7 +124,7 @@
         entries.push((index, bytes.clone()));
     }
     let snapshot = record(&golden, "snapshot").to_vec();
-    let hard = HardState { term: 2, vote: voter_id("bonn", seat(0).disk_id), commit: 7 };
+    let hard = HardState { term: 2, vote: voter_id("bonn", voter(0).disk_id), commit: 7 };
     let stored =
         StoredLog { cluster_id: CLUSTER, hard_state: hard, snapshot: Some(snapshot.clone()), entries };
     assert_eq!(stored, lone_voter(), "this build writes the same snapshot and entries");
@@ -137,7 +137,7 @@
         panic!("{acts:?}")
     };
     assert_eq!(application_state, b"other parts");
-    assert_eq!(membership.members().cloned().collect::<Vec<_>>(), [next_life(seat(0))]);
+    assert_eq!(membership.members().cloned().collect::<Vec<_>>(), [next_life(voter(0))]);
     assert_eq!(membership.closed_epoch(), 1);
     assert_eq!(membership.open_epochs().map(|config| config.epoch()).collect::<Vec<_>>(), [3]);
     log.compact(b"other parts").expect("a snapshot");
--- a/tests/golden_store/sample.rs
+++ b/tests/golden_store/sample.rs
@@ -6,7 +6,7 @@
 pub const DISK: u64 = 0xd1d2_d3d4_d5d6_d7d8;
 
 /// Members by number: names, zones and addresses of their own.
-pub fn seat(number: usize) -> Voter {
+pub fn voter(number: usize) -> Voter {
     let (name, zone, address) = [
         ("bonn", "north", "10.1.2.3:4011"),
         ("lima", "south", "10.1.2.4:4012"),
@@ -20,14 +20,14 @@
     Voter { member, disk_id: DISK + 0x100 * number as u64 }
 }
 
-pub fn seats(count: usize) -> Vec<Voter> {
-    (0..count).map(seat).collect()
+pub fn voters(count: usize) -> Vec<Voter> {
+    (0..count).map(voter).collect()
 }
 
 /// The same name on the same disk, in its next life.
-pub fn next_life(mut seat: Voter) -> Voter {
-    seat.member.id.incarnation += 0x1000;
-    seat
+pub fn next_life(mut voter: Voter) -> Voter {
+    voter.member.id.incarnation += 0x1000;
+    voter
 }
 
 pub const PROPOSAL: ProposalId = ProposalId { proposer: 0xb1b2_b3b4_b5b6_b7b8, sequence: 0x0005_0000_0007 };
@@ -35,8 +35,8 @@
 /// One command of each kind.
 pub fn commands() -> Vec<(&'static str, Command)> {
     vec![
-        ("admit", Command::Admit { voter: seat(2), known_epoch: 301 }),
-        ("leave", Command::Leave(seat(1).member.id)),
+        ("admit", Command::Admit { voter: voter(2), known_epoch: 301 }),
+        ("leave", Command::Leave(voter(1).member.id)),
         ("close-epoch", Command::CloseEpoch(302)),
         ("layout", Command::Layout(b"a layout".as_slice().into())),
         ("plan", Command::Plan(b"a plan".as_slice().into())),
--- a/tests/golden_store/store.rs
+++ b/tests/golden_store/store.rs
@@ -9,7 +9,7 @@
 use redb::{Database, ReadableDatabase, ReadableTable, TableDefinition, TableHandle};
 
 use crate::fixture::compressed;
-use crate::sample::{seats, CLUSTER, DISK};
+use crate::sample::{voters, CLUSTER, DISK};
 
 /// A folder that goes with the test.
 struct Folder(PathBuf);
@@ -43,8 +43,8 @@
     (0x0c02..0x0c06).map(|index| (index, format!("entry {index:x}").into_bytes())).collect()
 }
 
-fn stage() -> Vec<u8> {
-    InitialMembers::new(seats(3)).encode()
+fn bootstrap_state() -> Vec<u8> {
+    InitialMembers::new(voters(3)).encode()
 }
 
 fn expected() -> StoreContents {
@@ -54,7 +54,7 @@
         snapshot: Some(SNAPSHOT.into()),
         entries: entries(),
     };
-    StoreContents { disk_id: DISK, bootstrap_state: stage(), stored }
+    StoreContents { disk_id: DISK, bootstrap_state: bootstrap_state(), stored }
 }
 
 /// The generator: four batches, so that the last is the store's fifth transaction, counted from its making.
@@ -62,13 +62,13 @@
     let (mut store, _) = Store::open(path, DISK).expect("a new store");
     store.write_bootstrap_state(b"an earlier stage").expect("written");
     let first = HardState { term: 1, vote: 2, commit: 3 };
-    let begun = StoredLog {
+    let initial = StoredLog {
         cluster_id: CLUSTER,
         hard_state: first,
         snapshot: Some(b"first".into()),
         entries: Vec::new(),
     };
-    store.initialize_log(&begun, &stage()).expect("written");
+    store.initialize_log(&initial, &bootstrap_state()).expect("written");
     let all = entries();
     let batch = WriteBatch { hard_state: first, entries: all[..2].to_vec(), ..WriteBatch::default() };
     store.persist(&batch).expect("written");
@@ -101,8 +101,8 @@
     let folder = inflate("read");
     let (store, opened) = Store::open(&folder.store(), 1).expect("opened");
     assert_eq!(opened.disk_id, DISK);
-    assert_eq!(opened.bootstrap_state, stage());
-    assert_eq!(InitialMembers::decode(&opened.bootstrap_state).expect("a set").voters(), seats(3));
+    assert_eq!(opened.bootstrap_state, bootstrap_state());
+    assert_eq!(InitialMembers::decode(&opened.bootstrap_state).expect("members").voters(), voters(3));
     assert_eq!(opened.stored.cluster_id, CLUSTER);
     assert_eq!(opened.stored.hard_state.term, HARD.term);
     assert_eq!(opened.stored.hard_state.vote, HARD.vote);
@@ -150,7 +150,7 @@
     let head = [5, DISK, CLUSTER, HARD.term, HARD.vote, HARD.commit, count, last, 1];
     let head: Vec<u8> = head.iter().flat_map(|number: &u64| number.to_be_bytes()).collect();
     let mut wanted = BTreeMap::new();
-    for (key, bytes) in [("head", head), ("snapshot", SNAPSHOT.to_vec()), ("stage", stage())] {
+    for (key, bytes) in [("head", head), ("snapshot", SNAPSHOT.to_vec()), ("stage", bootstrap_state())] {
         wanted.insert(key.to_string(), sealed(key.as_bytes(), &bytes));
     }
     assert_eq!(found, wanted);
@@ -166,7 +166,7 @@
 }
 
 #[test]
-fn tables_keys_and_records_are_those_of_the_form() {
+fn tables_keys_and_records_are_those_of_the_format() {
     check_raw(&inflate("raw").store());
 }
 
