--- a/tests/consensus_log/sim.rs
+++ b/tests/consensus_log/sim.rs
@@ -5,7 +5,7 @@
 use std::rc::Rc;
 
 use marlgap::cluster::consensus_log::{
-    encode_command, voter_id, Command, ConsensusLog, Identity, Limits, LogAction, ProposalId, ProposeError,
+    encode_command, Command, ConsensusLog, Identity, Limits, LogAction, ProposalId, ProposeError,
     ReceiveError, StoredLog, Voter,
 };
 use marlgap::cluster::{Configuration, Member, MemberId};
@@ -40,8 +40,43 @@
     pub voter: Voter,
     pub disk: StoredLog,
     pub log: Option<ConsensusLog>,
-    /// What the other parts hold: the last index applied and a sum over all commands.
-    state: (u64, u64),
+    application: Application,
+}
+
+/// The state of the other parts of the cluster.
+#[derive(Clone, Copy, Debug, Default)]
+struct Application {
+    applied_index: u64,
+    /// Over all commands in their order.
+    checksum: u64,
+}
+
+/// A message on its way.
+struct Packet {
+    arrives_at: u64,
+    from: usize,
+    to: usize,
+    bytes: Vec<u8>,
+}
+
+/// What was applied at one index, and the state after it.
+#[derive(Clone, PartialEq)]
+struct LedgerEntry {
+    command: Vec<u8>,
+    checksum: u64,
+}
+
+/// A leader that is to be cut off from the others.
+struct PlannedCut {
+    at: u64,
+    leader: usize,
+}
+
+/// What becomes of a node's disk when its process restarts.
+#[derive(Clone, Copy, PartialEq)]
+pub enum Disk {
+    Kept,
+    Lost,
 }
 
 pub struct Sim {
@@ -51,17 +86,16 @@
     without: Without,
     limits: Limits,
     cluster: u64,
-    wire: Vec<(u64, usize, usize, Vec<u8>)>,
-    /// Cut from the others.
-    apart: Vec<bool>,
+    network: Vec<Packet>,
+    /// By node: whether it is cut off from those that are not.
+    partitioned: Vec<bool>,
     lossy: bool,
-    /// The leader that is to be cut off, and when.
-    cut: Option<(u64, usize)>,
-    /// What was applied at each index, anywhere, and the state after it.
-    ledger: BTreeMap<u64, (Vec<u8>, u64)>,
+    planned_cut: Option<PlannedCut>,
+    /// By index, of any node.
+    ledger: BTreeMap<u64, LedgerEntry>,
     epochs: BTreeMap<u64, Configuration>,
     pub acknowledged: BTreeMap<u64, Vec<u8>>,
-    pub refused: Vec<ReceiveError>,
+    pub rejected: Vec<ReceiveError>,
     pub leaders: u64,
     last_incarnation: u64,
     broken: Option<String>,
@@ -82,7 +116,12 @@
         let voters: Vec<Voter> = (0..n).map(|i| voter(i, 1, mix(seed) ^ i as u64)).collect();
         let cluster = mix(seed ^ 7);
         let stored = StoredLog::bootstrap(cluster, voters.clone()).expect("a founded cluster");
-        let node = |voter: Voter| Node { voter, disk: stored.clone(), log: None, state: (0, 0) };
+        let node = |voter: Voter| Node {
+            voter,
+            disk: stored.clone(),
+            log: None,
+            application: Application::default(),
+        };
         let mut sim = Sim {
             nodes: voters.into_iter().map(node).collect(),
             rng: Pcg64Mcg::seed_from_u64(seed),
@@ -90,14 +129,14 @@
             without,
             limits,
             cluster,
-            wire: Vec::new(),
-            apart: vec![false; n],
+            network: Vec::new(),
+            partitioned: vec![false; n],
             lossy: false,
-            cut: None,
+            planned_cut: None,
             ledger: BTreeMap::new(),
             epochs: BTreeMap::new(),
             acknowledged: BTreeMap::new(),
-            refused: Vec::new(),
+            rejected: Vec::new(),
             leaders: 0,
             last_incarnation: 1,
             broken: None,
@@ -117,21 +156,21 @@
     fn start(&mut self, i: usize) {
         let node = &mut self.nodes[i];
         let me = Identity { name: node.voter.member.id.name.clone(), disk_id: node.voter.disk_id };
-        node.state = (0, 0);
+        node.application = Application::default();
         match ConsensusLog::new(me, node.disk.clone(), self.limits.clone()) {
             Ok(log) => node.log = Some(log),
             Err(e) => self.broken = Some(format!("m{i} does not start: {e}")),
         }
-        self.act(i, false);
+        self.act(i);
     }
 
     /// Another life of the same name: with its disk, or with an empty one.
-    pub fn restart(&mut self, i: usize, with_disk: bool) {
+    pub fn restart(&mut self, i: usize, disk: Disk) {
         self.last_incarnation += 1;
         let cluster = self.cluster;
         let incarnation = self.last_incarnation;
         let node = &mut self.nodes[i];
-        if !with_disk {
+        if disk == Disk::Lost {
             node.disk = StoredLog::joining(cluster);
             if self.without != Without::NewVoter {
                 node.voter.disk_id = mix(incarnation ^ node.voter.disk_id);
@@ -147,81 +186,107 @@
         }
     }
 
-    /// Acts on what is ready; `crash` ends the process somewhere within it.
-    pub fn act(&mut self, i: usize, crash: bool) {
-        let Some(log) = &mut self.nodes[i].log else { return };
-        let mut acts = log.ready();
+    /// Takes the actions that are ready.
+    fn ready(&mut self, i: usize) -> Vec<LogAction> {
+        let Some(log) = &mut self.nodes[i].log else { return Vec::new() };
+        let mut actions = log.ready();
         if self.without == Without::PersistFirst {
-            acts.sort_by_key(|a| !matches!(a, LogAction::Send { .. }));
+            actions.sort_by_key(|action| !matches!(action, LogAction::Send { .. }));
         }
-        let upto = if crash { self.pick(acts.len() + 1) } else { acts.len() };
-        for act in acts.into_iter().take(upto) {
-            self.one(i, act);
+        actions
+    }
+
+    /// Carries out what is ready.
+    pub fn act(&mut self, i: usize) {
+        for action in self.ready(i) {
+            self.perform(i, action);
         }
-        if crash {
-            self.nodes[i].log = None;
+        self.check_membership(i);
+    }
+
+    /// Carries out some of what is ready; then the process ends.
+    pub fn act_and_crash(&mut self, i: usize) {
+        if self.nodes[i].log.is_none() {
             return;
         }
-        let Some(log) = &self.nodes[i].log else { return };
-        let (membership, id) =
-            (log.membership(), voter_id(&self.nodes[i].voter.member.id.name, self.nodes[i].voter.disk_id));
-        let mut wrong = None;
+        let actions = self.ready(i);
+        let done = self.pick(actions.len() + 1);
+        for action in actions.into_iter().take(done) {
+            self.perform(i, action);
+        }
+        self.nodes[i].log = None;
+    }
+
+    /// One configuration per epoch anywhere, and none but voters lead.
+    fn check_membership(&mut self, i: usize) {
+        let node = &self.nodes[i];
+        let Some(log) = &node.log else { return };
+        let membership = log.membership();
+        let mut conflict = None;
         for config in membership.open_epochs() {
             let known = self.epochs.entry(config.epoch()).or_insert_with(|| config.clone());
             if known != config {
-                wrong = Some(format!("two configurations of epoch {}", config.epoch()));
+                conflict = Some(format!("two configurations of epoch {}", config.epoch()));
             }
         }
-        let listed = membership.raft_ids().voters.contains(&id);
-        self.break_if(is_leader(&self.nodes[i]) && !listed && self.without == Without::Nothing, || {
-            "the leader is no voter".into()
-        });
-        self.break_if(wrong.is_some(), || wrong.unwrap_or_default());
+        let votes = membership.raft_ids().voters.contains(&node.voter.voter_id());
+        let is_wrong_leader = log.is_leader() && !votes && self.without == Without::Nothing;
+        self.break_if(is_wrong_leader, || "the leader is no voter".into());
+        self.break_if(conflict.is_some(), || conflict.unwrap_or_default());
     }
 
-    fn one(&mut self, i: usize, act: LogAction) {
-        match act {
+    fn perform(&mut self, i: usize, action: LogAction) {
+        match action {
             LogAction::Persist(batch) => self.nodes[i].disk.apply(&batch),
-            LogAction::Send { to, bytes } => {
-                let to = self.nodes.iter().position(|n| n.voter.member.id.name == to).expect("a name");
-                let copies = if self.lossy { [1, 1, 1, 1, 2, 0][self.pick(6)] } else { 1 };
-                for _ in 0..copies {
-                    let late = if self.lossy && self.chance(8) { 25 } else { 3 };
-                    let at = self.now + 1 + self.rng.next_u64() % late;
-                    self.wire.push((at, i, to, bytes.clone()));
-                }
-            }
+            LogAction::Send { to, bytes } => self.send(i, &to, &bytes),
             LogAction::Restored { index, application_state, .. } => {
-                let sum = application_state.try_into().map_or(0, u64::from_be_bytes);
-                self.nodes[i].state = (index, sum);
-                let differs = self.ledger.range(..=index).next_back().is_some_and(|(_, (_, s))| *s != sum);
-                self.break_if(differs, || format!("m{i} restored another state at {index}"));
+                self.restore(i, index, application_state);
             }
             LogAction::Applied { index, proposal, command, .. } => {
-                let bytes = encode_command(proposal, &command);
-                let (last, sum) = self.nodes[i].state;
-                self.break_if(index <= last, || format!("m{i} applied {index} after {last}"));
-                let sum = mix(sum ^ fnv(&bytes) ^ index);
-                self.nodes[i].state = (index, sum);
-                let known = self.ledger.entry(index).or_insert((bytes.clone(), sum)).clone();
-                self.break_if(known != (bytes.clone(), sum), || {
-                    format!("two commands, or orders, at {index}")
-                });
-                if proposal.proposer
-                    == voter_id(&self.nodes[i].voter.member.id.name, self.nodes[i].voter.disk_id)
-                {
-                    self.acknowledged.insert(index, bytes);
-                }
+                self.apply(i, index, proposal, &command);
             }
             LogAction::Compact => {
-                let (state, log) = (self.nodes[i].state, self.nodes[i].log.as_mut());
-                if let Some(log) = log {
-                    log.compact(&state.1.to_be_bytes()).expect("a snapshot");
+                let checksum = self.nodes[i].application.checksum;
+                if let Some(log) = self.nodes[i].log.as_mut() {
+                    log.compact(&checksum.to_be_bytes()).expect("a snapshot");
                 }
-                self.act(i, false);
+                self.act(i);
             }
             LogAction::LeadershipChanged { is_leader } => self.leaders += u64::from(is_leader),
-            LogAction::Stopped(why) => self.break_if(true, || format!("m{i} stopped: {why}")),
+            LogAction::Stopped(reason) => self.break_if(true, || format!("m{i} stopped: {reason}")),
+        }
+    }
+
+    fn send(&mut self, from: usize, to: &str, bytes: &[u8]) {
+        let to = self.nodes.iter().position(|node| &*node.voter.member.id.name == to).expect("a name");
+        let copies = if self.lossy { [1, 1, 1, 1, 2, 0][self.pick(6)] } else { 1 };
+        for _ in 0..copies {
+            let max_delay = if self.lossy && self.chance(8) { 25 } else { 3 };
+            let arrives_at = self.now + 1 + self.rng.next_u64() % max_delay;
+            self.network.push(Packet { arrives_at, from, to, bytes: bytes.to_vec() });
+        }
+    }
+
+    fn restore(&mut self, i: usize, index: u64, application_state: Vec<u8>) {
+        let checksum = application_state.try_into().map_or(0, u64::from_be_bytes);
+        self.nodes[i].application = Application { applied_index: index, checksum };
+        let known = self.ledger.range(..=index).next_back();
+        let differs = known.is_some_and(|(_, entry)| entry.checksum != checksum);
+        self.break_if(differs, || format!("m{i} restored another state at {index}"));
+    }
+
+    fn apply(&mut self, i: usize, index: u64, proposal: ProposalId, command: &Command) {
+        let bytes = encode_command(proposal, command);
+        let before = self.nodes[i].application;
+        let last = before.applied_index;
+        self.break_if(index <= last, || format!("m{i} applied {index} after {last}"));
+        let checksum = mix(before.checksum ^ fnv(&bytes) ^ index);
+        self.nodes[i].application = Application { applied_index: index, checksum };
+        let entry = LedgerEntry { command: bytes.clone(), checksum };
+        let differs = *self.ledger.entry(index).or_insert_with(|| entry.clone()) != entry;
+        self.break_if(differs, || format!("two commands, or orders, at {index}"));
+        if proposal.proposer == self.nodes[i].voter.voter_id() {
+            self.acknowledged.insert(index, bytes);
         }
     }
 
@@ -234,62 +299,78 @@
 
     pub fn propose(&mut self, at: usize, command: &Command) -> Result<ProposalId, ProposeError> {
         let proposed = self.nodes[at].log.as_mut().expect("a log").propose(command);
-        self.act(at, false);
+        self.act(at);
         proposed
     }
 
     /// One tick of time: what is due is delivered, in any order.
     pub fn step(&mut self) {
         self.now += 1;
-        if let Some((_, leader)) = self.cut.take_if(|(at, _)| *at <= self.now) {
-            let n = self.nodes.len();
-            (0..n).for_each(|i| self.apart[i] = i == leader);
-        }
-        let (mut due, later): (Vec<_>, Vec<_>) = self.wire.drain(..).partition(|m| m.0 <= self.now);
-        self.wire = later;
-        while !due.is_empty() {
-            let (_, from, to, bytes) = due.swap_remove((self.rng.next_u64() % due.len() as u64) as usize);
-            if self.apart[from] == self.apart[to] {
-                let name: Rc<str> = format!("m{from}").as_str().into();
-                if let Some(Err(e)) = self.nodes[to].log.as_mut().map(|l| l.receive(&name, &bytes)) {
-                    self.refused.push(e);
-                }
-                // A process ends within what it does on a message, now and then.
-                let crash = self.lossy && self.chance(60);
-                self.act(to, crash);
-                if let Some(leader) = self.leader().filter(|l| crash && *l != to) {
-                    // Its answer may be out; then the leader that heard it goes, and it is back without its memory.
-                    self.cut = Some((self.now + 4, leader));
-                }
+        if let Some(cut) = self.planned_cut.take_if(|cut| cut.at <= self.now) {
+            for i in 0..self.nodes.len() {
+                self.partitioned[i] = i == cut.leader;
             }
         }
+        self.deliver_due();
         for i in 0..self.nodes.len() {
             if let Some(log) = &mut self.nodes[i].log {
                 log.tick();
             }
-            self.act(i, false);
+            self.act(i);
         }
-        // Whoever runs and does not count asks to be admitted.
-        if let Some(at) = self.leader().filter(|_| self.now.is_multiple_of(5)) {
-            let log = self.nodes[at].log.as_ref().expect("a log");
-            let (base, closes) = (
-                log.membership().latest().map_or(0, Configuration::epoch),
-                log.membership().open_epochs().count() > 4,
-            );
-            let missing = self
-                .nodes
-                .iter()
-                .find(|n| n.log.is_some() && !log.membership().members().any(|s| *s == n.voter));
-            let admit = missing.map(|n| Command::Admit { voter: n.voter.clone(), known_epoch: base });
-            if let Some(admit) = admit {
-                let _ = self.propose(at, &admit);
-            }
-            if closes {
-                let _ = self.propose(at, &Command::CloseEpoch(base - 1));
+        if let Some(leader) = self.leader().filter(|_| self.now.is_multiple_of(5)) {
+            self.maintain_membership(leader);
+        }
+    }
+
+    fn deliver_due(&mut self) {
+        let now = self.now;
+        let is_due = |packet: &Packet| packet.arrives_at <= now;
+        let (mut due, later): (Vec<_>, Vec<_>) = self.network.drain(..).partition(is_due);
+        self.network = later;
+        while !due.is_empty() {
+            let packet = due.swap_remove((self.rng.next_u64() % due.len() as u64) as usize);
+            if self.partitioned[packet.from] == self.partitioned[packet.to] {
+                self.deliver(packet);
             }
         }
     }
 
+    fn deliver(&mut self, packet: Packet) {
+        let to = packet.to;
+        let from: Rc<str> = format!("m{}", packet.from).as_str().into();
+        let received = self.nodes[to].log.as_mut().map(|log| log.receive(&from, &packet.bytes));
+        if let Some(Err(error)) = received {
+            self.rejected.push(error);
+        }
+        // A process ends during what it does on a message, now and then.
+        if !(self.lossy && self.chance(60)) {
+            return self.act(to);
+        }
+        self.act_and_crash(to);
+        if let Some(leader) = self.leader().filter(|leader| *leader != to) {
+            // Its answer may have been sent; then the leader that received it is cut off, and it comes back without its
+            // memory.
+            self.planned_cut = Some(PlannedCut { at: self.now + 4, leader });
+        }
+    }
+
+    /// Who runs and is no member asks to be admitted; old epochs are closed.
+    fn maintain_membership(&mut self, leader: usize) {
+        let membership = self.nodes[leader].log.as_ref().expect("a log").membership();
+        let known_epoch = membership.latest().map_or(0, Configuration::epoch);
+        let has_many_epochs = membership.open_epochs().count() > 4;
+        let is_missing =
+            |node: &&Node| node.log.is_some() && !membership.members().any(|member| *member == node.voter);
+        let missing = self.nodes.iter().find(is_missing).map(|node| node.voter.clone());
+        if let Some(voter) = missing {
+            let _ = self.propose(leader, &Command::Admit { voter, known_epoch });
+        }
+        if has_many_epochs {
+            let _ = self.propose(leader, &Command::CloseEpoch(known_epoch - 1));
+        }
+    }
+
     /// A day of faults, then rest. What is wrong, if anything is.
     pub fn play(n: usize, seed: u64, without: Without) -> Result<Sim, String> {
         let limits = Limits { retained_entries: 8, ..Limits::default() };
@@ -307,20 +388,20 @@
                 // One of them, two of five: either half may hold the leader.
                 let whom = [sim.pick(n), sim.pick(n)];
                 let cut = sim.chance(2);
-                (0..n).for_each(|i| sim.apart[i] = cut && whom.contains(&i));
+                (0..n).for_each(|i| sim.partitioned[i] = cut && whom.contains(&i));
             }
             if sim.chance(25) {
                 // A leader in half of the cases: it has the most to forget.
                 let i = if sim.chance(2) { sim.leader().unwrap_or(0) } else { sim.pick(n) };
-                sim.act(i, true);
+                sim.act_and_crash(i);
             }
             for i in 0..n {
                 if sim.nodes[i].log.is_none() && sim.chance(10) {
                     // A disk is lost only while all others vote and have theirs: two lost at once are beyond what
                     // three voters can bear.
-                    let whole = sim.whole(i);
-                    let with_disk = !whole || !sim.chance(3);
-                    sim.restart(i, with_disk);
+                    let may_lose_disk = sim.all_others_vote(i);
+                    let disk = if may_lose_disk && sim.chance(3) { Disk::Lost } else { Disk::Kept };
+                    sim.restart(i, disk);
                 }
             }
             if let Some(why) = sim.broken {
@@ -328,18 +409,18 @@
             }
         }
         sim.lossy = false;
-        sim.cut = None;
-        sim.apart = vec![false; n];
+        sim.planned_cut = None;
+        sim.partitioned = vec![false; n];
         for i in 0..n {
             if sim.nodes[i].log.is_none() {
-                sim.restart(i, true);
+                sim.restart(i, Disk::Kept);
             }
         }
         sim.settle(seed)
     }
 
     /// The others run, vote, and have the newest membership.
-    fn whole(&self, i: usize) -> bool {
+    fn all_others_vote(&self, i: usize) -> bool {
         let Some(leader) = self.leader().and_then(|l| self.nodes[l].log.as_ref()) else { return false };
         if leader.has_pending_membership_change() {
             return false;
@@ -369,17 +450,18 @@
                 return Err(format!("seed {seed}, time {}: {why}", self.now));
             }
         }
-        let states: Vec<_> = self.nodes.iter().map(|n| n.state).collect();
-        if states.iter().any(|s| s.1 != states[0].1) {
+        let states: Vec<_> = self.nodes.iter().map(|n| n.application).collect();
+        if states.iter().any(|s| s.checksum != states[0].checksum) {
             let at: Vec<_> = self
                 .nodes
                 .iter()
                 .map(|n| n.log.as_ref().map(|l| (l.applied_index(), l.term(), l.is_leader())))
                 .collect();
-            return Err(format!("seed {seed}: no rest, {states:?} {at:?} {:?}", self.refused.last()));
+            return Err(format!("seed {seed}: no rest, {states:?} {at:?} {:?}", self.rejected.last()));
         }
         for (index, bytes) in &self.acknowledged {
-            let kept = self.ledger.get(index).is_some_and(|(b, _)| b == bytes) && *index <= states[0].0;
+            let kept = self.ledger.get(index).is_some_and(|entry| entry.command == *bytes)
+                && *index <= states[0].applied_index;
             if !kept {
                 return Err(format!("seed {seed}: {index} was acknowledged and is lost"));
             }
@@ -387,7 +469,3 @@
         Ok(self)
     }
 }
-
-fn is_leader(node: &Node) -> bool {
-    node.log.as_ref().is_some_and(ConsensusLog::is_leader)
-}
