--- a/tests/cluster_parts/bootstrap.rs
+++ b/tests/cluster_parts/bootstrap.rs
@@ -17,148 +17,205 @@
 }
 
 struct Process {
-    me: Voter,
+    local: Voter,
     bootstrap: Bootstrap,
     disk: BootstrapState,
     joined: Option<u64>,
 }
 
+/// What becomes of a member's disk when its process restarts.
+#[derive(Clone, Copy, PartialEq)]
+enum Disk {
+    Kept,
+    Lost,
+}
+
+/// The messages of one channel arrive in the order in which they were sent.
+#[derive(Clone, Copy, PartialEq)]
+struct Channel {
+    from: usize,
+    /// Of the sender.
+    incarnation: u64,
+    to: usize,
+}
+
 struct Play {
-    all: Vec<Process>,
-    /// From, its life, to.
-    wire: Vec<((usize, u64, usize), Vec<u8>)>,
+    rng: Pcg64Mcg,
+    members: Vec<Process>,
+    network: Vec<(Channel, Vec<u8>)>,
     errors: Vec<BootstrapError>,
+    /// By cluster id.
     initial: BTreeMap<u64, InitialMembers>,
+    /// The cluster that could commit first.
+    decided: Option<u64>,
+    lost_disks: usize,
 }
 
-fn start(of: usize, voter: Voter, disk: BootstrapState) -> Bootstrap {
-    let names: Vec<Rc<str>> = (0..of).map(|i| format!("m{i}").as_str().into()).collect();
-    Bootstrap::new("accra", &names, voter, disk)
+fn start(member_count: usize, local: Voter, disk: BootstrapState) -> Bootstrap {
+    let names: Vec<Rc<str>> = (0..member_count).map(|i| format!("m{i}").as_str().into()).collect();
+    Bootstrap::new("accra", &names, local, disk)
 }
 
 impl Play {
-    fn new(n: usize) -> Play {
+    fn new(member_count: usize, seed: u64) -> Play {
         let process = |i| {
-            let me = voter(i, 1, 100 + i as u64);
-            let bootstrap = start(n, me.clone(), BootstrapState::Empty);
-            Process { me, bootstrap, disk: BootstrapState::Empty, joined: None }
+            let local = voter(i, 1, 100 + i as u64);
+            let bootstrap = start(member_count, local.clone(), BootstrapState::Empty);
+            Process { local, bootstrap, disk: BootstrapState::Empty, joined: None }
         };
         Play {
-            all: (0..n).map(process).collect(),
-            wire: Vec::new(),
+            rng: Pcg64Mcg::seed_from_u64(seed),
+            members: (0..member_count).map(process).collect(),
+            network: Vec::new(),
             errors: Vec::new(),
             initial: BTreeMap::new(),
+            decided: None,
+            lost_disks: 0,
+        }
+    }
+
+    fn pick(&mut self, below: usize) -> usize {
+        (self.rng.next_u64() % below as u64) as usize
+    }
+
+    fn restart(&mut self, i: usize, incarnation: u64, fate: Disk) {
+        // Its connections are gone; what it sent before may still arrive.
+        self.network.retain(|(channel, _)| channel.to != i);
+        let member_count = self.members.len();
+        let member = &mut self.members[i];
+        let mut disk_id = member.local.disk_id;
+        if fate == Disk::Lost {
+            disk_id = 1000 * incarnation + i as u64;
+            member.disk = BootstrapState::Empty;
+            member.joined = None;
         }
+        member.local = voter(i, incarnation, disk_id);
+        member.bootstrap = start(member_count, member.local.clone(), member.disk.clone());
     }
 
-    fn restart(&mut self, i: usize, incarnation: u64, with_disk: bool) {
-        // Its connections are gone, what it said before may still be under way.
-        self.wire.retain(|m| m.0 .2 != i);
-        let old = self.all[i].me.disk_id;
-        let disk = if with_disk { self.all[i].disk.clone() } else { BootstrapState::Empty };
-        let me = voter(i, incarnation, if with_disk { old } else { 1000 * incarnation + i as u64 });
-        let joined = self.all[i].joined.filter(|_| with_disk);
-        let bootstrap = start(self.all.len(), me.clone(), disk.clone());
-        self.all[i] = Process { me, bootstrap, disk, joined };
+    fn act(&mut self, i: usize) {
+        self.act_up_to(i, usize::MAX);
     }
 
-    /// `upto`: the process ends after as many acts.
-    fn act(&mut self, i: usize, upto: usize) {
-        for act in self.all[i].bootstrap.ready().into_iter().take(upto) {
-            match act {
+    /// Carries out the first `count` actions that are ready; the others are dropped.
+    fn act_up_to(&mut self, i: usize, count: usize) {
+        for action in self.members[i].bootstrap.ready().into_iter().take(count) {
+            match action {
                 BootstrapAction::PersistAccepted(members) => {
-                    self.all[i].disk = BootstrapState::Accepted(members)
+                    self.members[i].disk = BootstrapState::Accepted(members)
                 }
                 BootstrapAction::Bootstrapped { cluster_id, members } => {
                     self.initial.insert(cluster_id, members);
-                    self.all[i].disk = BootstrapState::Bootstrapped(cluster_id);
-                    self.all[i].joined = Some(cluster_id);
-                }
-                BootstrapAction::Join { cluster_id } => {
-                    self.all[i].disk = BootstrapState::Bootstrapped(cluster_id);
-                    self.all[i].joined = Some(cluster_id);
-                }
-                BootstrapAction::Broadcast(message) => {
-                    let (life, bytes) = (message.voter.member.id.incarnation, message.encode());
-                    let to = (0..self.all.len()).filter(|j| *j != i);
-                    self.wire.extend(to.map(|j| ((i, life, j), bytes.clone())));
+                    self.join(i, cluster_id);
                 }
+                BootstrapAction::Join { cluster_id } => self.join(i, cluster_id),
+                BootstrapAction::Broadcast(message) => self.broadcast(i, &message),
                 BootstrapAction::Failed(error) => self.errors.push(error),
             }
         }
     }
 
-    /// Clusters in which a majority of the initial members' disks takes part: these can decide.
-    fn deciding(&self) -> Vec<u64> {
-        let part = |cluster: u64, members: &InitialMembers| {
-            let holds = |me: &Voter| {
-                members
-                    .voters()
-                    .iter()
-                    .any(|s| s.member.id.name == me.member.id.name && s.disk_id == me.disk_id)
+    fn join(&mut self, i: usize, cluster_id: u64) {
+        self.members[i].disk = BootstrapState::Bootstrapped(cluster_id);
+        self.members[i].joined = Some(cluster_id);
+    }
+
+    fn broadcast(&mut self, from: usize, message: &BootstrapMessage) {
+        let incarnation = message.voter.member.id.incarnation;
+        let bytes = message.encode();
+        let receivers = (0..self.members.len()).filter(|to| *to != from);
+        self.network.extend(receivers.map(|to| (Channel { from, incarnation, to }, bytes.clone())));
+    }
+
+    /// One member acts, and messages arrive. Before `calm` there are faults.
+    fn round(&mut self, round: u64, calm: bool) {
+        let i = self.pick(self.members.len());
+        if self.pick(8) == 0 || self.network.is_empty() {
+            self.members[i].bootstrap.tick();
+        }
+        self.act(i);
+        for _ in 0..if calm { 4 } else { 1 } {
+            if self.network.is_empty() {
+                break;
+            }
+            self.deliver(round, calm);
+        }
+        if !calm && self.pick(40) == 0 {
+            // A minority of all disks is lost; what the old incarnation sent may still arrive.
+            let may_lose_disk = self.lost_disks < (self.members.len() - 1) / 2;
+            let disk = if may_lose_disk && self.pick(2) != 0 { Disk::Lost } else { Disk::Kept };
+            self.lost_disks += usize::from(disk == Disk::Lost);
+            self.restart(i, 4 + 2 * round, disk);
+        }
+    }
+
+    /// The messages of one incarnation arrive in order, those of an ended one perhaps after a later one's, and some
+    /// never: a member keeps announcing how far it is.
+    fn deliver(&mut self, round: u64, calm: bool) {
+        let picked = self.pick(self.network.len());
+        let channel = self.network[picked].0;
+        let first = self.network.iter().position(|(other, _)| *other == channel).expect("one");
+        let (Channel { to, .. }, bytes) = self.network.remove(first);
+        if !calm && self.pick(5) == 0 {
+            return;
+        }
+        self.members[to].bootstrap.receive(BootstrapMessage::decode(&bytes).expect("a message"));
+        if calm || self.pick(20) != 0 {
+            return self.act(to);
+        }
+        let count = self.pick(3);
+        self.act_up_to(to, count);
+        self.restart(to, 3 + 2 * round, Disk::Kept);
+    }
+
+    /// Whether a majority of the initial members' disks takes part in this cluster, so that it can commit.
+    fn can_commit(&self, cluster_id: u64, initial: &InitialMembers) -> bool {
+        let is_initial = |local: &Voter| {
+            let same = |voter: &Voter| {
+                voter.member.id.name == local.member.id.name && voter.disk_id == local.disk_id
             };
-            let of = |p: &&Process| p.joined == Some(cluster) && holds(&p.me);
-            2 * self.all.iter().filter(of).count() > members.voters().len()
+            initial.voters().iter().any(same)
         };
-        self.initial.iter().filter(|(c, members)| part(**c, members)).map(|(c, _)| *c).collect()
+        let takes_part = |member: &&Process| member.joined == Some(cluster_id) && is_initial(&member.local);
+        2 * self.members.iter().filter(takes_part).count() > initial.voters().len()
+    }
+
+    fn check_one_cluster(&mut self, seed: u64) {
+        for (cluster_id, initial) in &self.initial {
+            if self.can_commit(*cluster_id, initial) {
+                let decided = self.decided.unwrap_or(*cluster_id);
+                assert_eq!(decided, *cluster_id, "seed {seed}: two clusters");
+                self.decided = Some(decided);
+            }
+        }
+    }
+
+    fn all_joined(&self) -> bool {
+        self.decided.is_some() && self.members.iter().all(|member| member.joined == self.decided)
     }
 }
 
 #[test]
 fn one_cluster_is_bootstrapped_whichever_members_restart() {
-    let mut lost = 0;
+    let mut lost_disks = 0;
     for seed in 0..2000u64 {
-        let n = 3 + 2 * (seed as usize % 2);
-        let mut rng = Pcg64Mcg::seed_from_u64(seed);
-        let mut pick = move |below: usize| (rng.next_u64() % below as u64) as usize;
-        let mut play = Play::new(n);
-        let (mut decided, mut disks) = (None, 0);
-        for round in 0..4000usize {
+        let member_count = 3 + 2 * (seed as usize % 2);
+        let mut play = Play::new(member_count, seed);
+        for round in 0..4000 {
             let calm = round > 200;
-            let i = pick(n);
-            if pick(8) == 0 || play.wire.is_empty() {
-                play.all[i].bootstrap.tick();
-            }
-            play.act(i, usize::MAX);
-            for _ in 0..if calm { 4 } else { 1 } {
-                if play.wire.is_empty() {
-                    break;
-                }
-                // What one life says comes in order, what an ended one said perhaps after a later one's, and some
-                // never: a member keeps saying how far it is.
-                let (way, _) = play.wire[pick(play.wire.len())];
-                let first = play.wire.iter().position(|m| m.0 == way).expect("one");
-                let ((_, _, to), bytes) = play.wire.remove(first);
-                if calm || pick(5) > 0 {
-                    play.all[to].bootstrap.receive(BootstrapMessage::decode(&bytes).expect("said"));
-                    let ends = !calm && pick(20) == 0;
-                    play.act(to, if ends { pick(3) } else { usize::MAX });
-                    if ends {
-                        play.restart(to, 3 + 2 * round as u64, true);
-                    }
-                }
-            }
-            if !calm && pick(40) == 0 {
-                // A minority of all disks is lost; what the old life said may still be under way.
-                let with_disk = disks >= (n - 1) / 2 || pick(2) == 0;
-                disks += usize::from(!with_disk);
-                play.restart(i, 4 + 2 * round as u64, with_disk);
-            }
-            for cluster in play.deciding() {
-                let first = *decided.get_or_insert(cluster);
-                assert_eq!(first, cluster, "seed {seed}: two clusters");
-            }
-            let one = |p: &Process| p.joined.is_some() && p.joined == decided;
-            if calm && decided.is_some() && play.all.iter().all(one) {
+            play.round(round, calm);
+            play.check_one_cluster(seed);
+            if calm && play.all_joined() {
                 break;
             }
         }
-        lost += disks;
+        lost_disks += play.lost_disks;
         assert!(play.errors.is_empty(), "seed {seed}: {:?}", play.errors);
-        let joined: Vec<_> = play.all.iter().map(|p| p.joined).collect();
-        assert!(decided.is_some() && joined.iter().all(|j| *j == decided), "seed {seed}: {joined:?}");
+        let joined: Vec<_> = play.members.iter().map(|member| member.joined).collect();
+        assert!(play.all_joined(), "seed {seed}: {joined:?}");
     }
-    assert!(lost > 600, "{lost}");
+    println!("{lost_disks} disks lost");
+    assert!(lost_disks > 600, "{lost_disks}");
 }
 
 #[test]
--- a/tests/cluster_parts/first_configuration.rs
+++ b/tests/cluster_parts/first_configuration.rs
@@ -6,6 +6,7 @@
 };
 use marlgap::cluster::{Configuration, Member, MemberId};
 use rand_core::{RngCore, SeedableRng};
+use rand_pcg::Pcg32;
 
 const NAMES: [&str; 3] = ["a", "b", "c"];
 
@@ -18,63 +19,106 @@
     NAMES.iter().map(member).collect()
 }
 
+#[derive(Clone)]
+struct Packet {
+    from: MemberId,
+    to: MemberId,
+    message: ConfigurationMessage,
+}
+
 /// Three initial members over links that lose, double and reorder; `a` and `b` restart at any moment, `c` never.
-/// The configurations that were decided, and whether all members know one.
-fn play(seed: u64) -> (Vec<Configuration>, bool) {
-    let mut chance = rand_pcg::Pcg32::seed_from_u64(seed);
-    let mut ids: Vec<MemberId> = NAMES.iter().map(|n| MemberId::new(n, 1)).collect();
-    let mut all: Vec<LoglessBootstrap> =
-        ids.iter().map(|id| LoglessBootstrap::new(0, id.clone(), file())).collect();
-    let (mut decided, mut wire, mut restarts) =
-        (Vec::new(), Vec::<(MemberId, MemberId, ConfigurationMessage)>::new(), 0);
-    for now in (0..).step_by(10_000).take(400) {
-        if now < 2_000_000 && chance.next_u32() % 30 == 0 {
-            restarts += 1;
-            let n = (chance.next_u32() % 2) as usize;
-            ids[n] = MemberId::new(NAMES[n], 1 + restarts);
-            all[n] = LoglessBootstrap::new(now, ids[n].clone(), file());
+struct Play {
+    rng: Pcg32,
+    ids: Vec<MemberId>,
+    members: Vec<LoglessBootstrap>,
+    network: Vec<Packet>,
+    decided: Vec<Configuration>,
+    restarts: u64,
+}
+
+impl Play {
+    fn new(seed: u64) -> Play {
+        let ids: Vec<MemberId> = NAMES.iter().map(|name| MemberId::new(name, 1)).collect();
+        Play {
+            rng: Pcg32::seed_from_u64(seed),
+            members: ids.iter().map(|id| LoglessBootstrap::new(0, id.clone(), file())).collect(),
+            ids,
+            network: Vec::new(),
+            decided: Vec::new(),
+            restarts: 0,
         }
-        for (n, bootstrap) in all.iter_mut().enumerate() {
-            if chance.next_u32() % 8 == 0 {
-                bootstrap.peer_seen(&ids[(n + 1) % 3], "z");
-                bootstrap.peer_seen(&ids[(n + 2) % 3], "z");
+    }
+
+    fn restart_one(&mut self, now: u64) {
+        self.restarts += 1;
+        let n = (self.rng.next_u32() % 2) as usize;
+        self.ids[n] = MemberId::new(NAMES[n], 1 + self.restarts);
+        self.members[n] = LoglessBootstrap::new(now, self.ids[n].clone(), file());
+    }
+
+    fn act(&mut self, now: u64) {
+        for (n, bootstrap) in self.members.iter_mut().enumerate() {
+            if self.rng.next_u32() % 8 == 0 {
+                bootstrap.peer_seen(&self.ids[(n + 1) % 3], "z");
+                bootstrap.peer_seen(&self.ids[(n + 2) % 3], "z");
             }
             bootstrap.tick(now);
-            for act in bootstrap.ready() {
-                match act {
-                    Action::Send { to, message } => wire.push((ids[n].clone(), to, message)),
-                    Action::Decided(config) => decided.push(config),
+            for action in bootstrap.ready() {
+                match action {
+                    Action::Send { to, message } => {
+                        self.network.push(Packet { from: self.ids[n].clone(), to, message });
+                    }
+                    Action::Decided(config) => self.decided.push(config),
                     Action::ConfigurationMismatch(id) => panic!("{id} differs"),
                 }
             }
         }
-        for _ in 0..wire.len() {
-            let at = chance.next_u32() as usize % wire.len().max(1);
-            let fate = chance.next_u32() % 8;
-            if wire.is_empty() || fate == 0 {
+    }
+
+    fn deliver(&mut self) {
+        for _ in 0..self.network.len() {
+            let at = self.rng.next_u32() as usize % self.network.len().max(1);
+            let fate = self.rng.next_u32() % 8;
+            if self.network.is_empty() || fate == 0 {
                 continue;
             }
-            let (from, to, message) = if fate == 1 { wire[at].clone() } else { wire.swap_remove(at) };
-            if fate > 2 {
-                let to = all.iter_mut().zip(&ids).filter(|(_, id)| **id == to);
-                to.for_each(|(f, _)| f.receive(&from, message.clone()));
+            let packet = if fate == 1 { self.network[at].clone() } else { self.network.swap_remove(at) };
+            let receiver = self.ids.iter().position(|id| *id == packet.to);
+            if let Some(receiver) = receiver.filter(|_| fate > 2) {
+                self.members[receiver].receive(&packet.from, packet.message);
             }
         }
     }
-    // Who knows of epoch 1 repeats nothing any more.
-    let complete = all.iter().all(|f| f.next_tick_at().is_none());
-    (decided, complete)
+
+    /// Whoever knows epoch 1 repeats nothing any more.
+    fn all_know(&self) -> bool {
+        self.members.iter().all(|member| member.next_tick_at().is_none())
+    }
+}
+
+fn play(seed: u64) -> Play {
+    let mut play = Play::new(seed);
+    for now in (0..).step_by(10_000).take(400) {
+        if now < 2_000_000 && play.rng.next_u32() % 30 == 0 {
+            play.restart_one(now);
+        }
+        play.act(now);
+        play.deliver();
+    }
+    play
 }
 
 #[test]
 fn one_configuration_is_decided_whatever_is_lost_and_whoever_restarts() {
     let mut late = 0;
     for seed in 0..2000 {
-        let (decided, complete) = play(seed);
-        assert!(complete, "seed {seed}: not all know of epoch 1");
+        let play = play(seed);
+        assert!(play.all_know(), "seed {seed}: not all know of epoch 1");
+        let decided = play.decided;
         assert!(decided.windows(2).all(|w| w[0] == w[1]), "seed {seed}: {decided:?}");
         late += usize::from(decided.iter().any(|c| c.member("a").is_some_and(|a| a.id.incarnation > 1)));
     }
+    println!("{late} decided after a restart");
     assert!(late > 50, "restarts before the bootstrap are among the seeds: {late}");
 }
 
@@ -84,11 +128,10 @@
     a.peer_seen(&MemberId::new("b", 1), "z");
     a.peer_seen(&MemberId::new("c", 1), "elsewhere");
     assert_eq!(a.ready(), [Action::ConfigurationMismatch(MemberId::new("c", 1))]);
-    let (round, over) = (Ballot::default(), Ballot::default());
     let message = ConfigurationMessage {
         kind: MessageKind::Decided.into(),
-        ballot: round,
-        superseded: over,
+        ballot: Ballot::default(),
+        superseded: Ballot::default(),
         members: Vec::new(),
     };
     a.receive(&MemberId::new("b", 1), message);
--- a/tests/cluster_parts/store_faults.rs
+++ b/tests/cluster_parts/store_faults.rs
@@ -80,7 +80,8 @@
     }
     let folder = folder("disk_killed");
     let file = folder.join("store");
-    let (mut most, mut killed) = (0, 0);
+    let mut most = 0;
+    let mut killed = 0;
     for round in 0..60 {
         let plan = Plan::create(&folder.join("faults"), round).expect("a plan");
         plan.arm(Fault::KilledInWrite, ALWAYS / 30, 1).expect("armed");
--- a/tests/cluster_parts/voter_store.rs
+++ b/tests/cluster_parts/voter_store.rs
@@ -89,63 +89,96 @@
     assert!(matches!(Store::open(&dir.file("none/a.redb"), 1), Err(StoreError::Io(_))));
 }
 
-/// A file that is cut or has a bit turned round: all that was acknowledged, or a reason.
-#[test]
-fn a_corrupt_file_never_loses_a_vote() {
-    let dir = Dir::new("spoilt");
-    let path = dir.file("a.redb");
-    let store = filled(&path, 40);
-    // As it is when the process ends at once, and as it is when the file was closed.
-    let killed = std::fs::read(&path).expect("a file");
-    drop(store);
-    let (closed, mark) =
-        (std::fs::read(&path).expect("a file"), std::fs::read(mark_path(&path)).expect("a mark"));
-    let used: Vec<usize> = (0..closed.len().min(killed.len())).filter(|i| closed[*i] != 0).collect();
-    let whole = after(40);
-    let outcomes = std::thread::scope(|scope| {
-        let (dir, killed, closed, mark, used, whole) = (&dir, &killed, &closed, &mark, &used, &whole);
-        let one = move |core: u64| {
-            let mut rng = Pcg64Mcg::seed_from_u64(core);
-            let mut pick = move |below: usize| (rng.next_u64() % below.max(1) as u64) as usize;
-            let path = dir.file(&format!("{core}.redb"));
-            let (mut kept, mut back, mut refused) = (0, 0, 0);
-            for round in 0..120 {
-                let mut bytes = if round % 2 == 0 { killed.clone() } else { closed.clone() };
-                let size = bytes.len();
-                match round / 2 % 4 {
-                    0 => bytes.truncate(pick(size)),
-                    // The head of the file, where the commits are told apart; bytes in use; any.
-                    1 => bytes[pick(400)] ^= 1 << pick(8),
-                    2 => bytes[used[pick(used.len())]] ^= 1 << pick(8),
-                    _ => bytes[pick(size)] ^= 1 << pick(8),
-                }
-                std::fs::write(&path, &bytes).expect("written");
-                std::fs::write(mark_path(&path), mark).expect("written");
-                let opened = std::panic::catch_unwind(|| Store::open(&path, 1).map(|(_, opened)| opened));
-                match opened.map_err(|_| format!("round {round}")).expect("no panic") {
-                    Ok(opened) => {
-                        assert_eq!(
-                            (opened.disk_id, &opened.stored),
-                            (77, whole),
-                            "core {core}, round {round}"
-                        );
-                        kept += 1;
-                    }
-                    Err(StoreError::RolledBack { .. }) => back += 1,
-                    Err(_) => refused += 1,
+/// A store's file in two states, and what it holds.
+struct Sample {
+    /// As it is when the process ends at once.
+    killed: Vec<u8>,
+    /// As it is when the file was closed.
+    closed: Vec<u8>,
+    mark: Vec<u8>,
+    /// Offsets of bytes that are not 0.
+    used: Vec<usize>,
+    stored: StoredLog,
+}
+
+impl Sample {
+    fn new(path: &Path) -> Sample {
+        let store = filled(path, 40);
+        let killed = std::fs::read(path).expect("a file");
+        drop(store);
+        let closed = std::fs::read(path).expect("a file");
+        let mark = std::fs::read(mark_path(path)).expect("a mark");
+        let used = (0..closed.len().min(killed.len())).filter(|i| closed[*i] != 0).collect();
+        Sample { killed, closed, mark, used, stored: after(40) }
+    }
+
+    /// The file, truncated or with one bit flipped.
+    fn corrupt(&self, round: usize, mut pick: impl FnMut(usize) -> usize) -> Vec<u8> {
+        let mut bytes = if round.is_multiple_of(2) { self.killed.clone() } else { self.closed.clone() };
+        let size = bytes.len();
+        match round / 2 % 4 {
+            0 => bytes.truncate(pick(size)),
+            // The header, where the commits are distinguished; bytes in use; any.
+            1 => bytes[pick(400)] ^= 1 << pick(8),
+            2 => bytes[self.used[pick(self.used.len())]] ^= 1 << pick(8),
+            _ => bytes[pick(size)] ^= 1 << pick(8),
+        }
+        bytes
+    }
+
+    /// Opens 120 corrupt files, all at `path`.
+    fn open_corrupt(&self, path: &Path, seed: u64) -> Outcomes {
+        let mut rng = Pcg64Mcg::seed_from_u64(seed);
+        let mut pick = move |below: usize| (rng.next_u64() % below.max(1) as u64) as usize;
+        let mut outcomes = Outcomes::default();
+        for round in 0..120 {
+            std::fs::write(path, self.corrupt(round, &mut pick)).expect("written");
+            std::fs::write(mark_path(path), &self.mark).expect("written");
+            let opened = std::panic::catch_unwind(|| Store::open(path, 1).map(|(_, opened)| opened));
+            match opened.map_err(|_| format!("round {round}")).expect("no panic") {
+                Ok(opened) => {
+                    assert_eq!(opened.disk_id, 77, "seed {seed}, round {round}");
+                    assert_eq!(opened.stored, self.stored, "seed {seed}, round {round}");
+                    outcomes.complete += 1;
                 }
+                Err(StoreError::RolledBack { .. }) => outcomes.rolled_back += 1,
+                Err(_) => outcomes.rejected += 1,
             }
-            (kept, back, refused)
-        };
-        let threads: Vec<_> = (0..8).map(|core| scope.spawn(move || one(core))).collect();
-        threads.into_iter().map(|t| t.join().expect("a thread")).collect::<Vec<_>>()
+        }
+        outcomes
+    }
+}
+
+#[derive(Default)]
+struct Outcomes {
+    complete: u32,
+    rolled_back: u32,
+    rejected: u32,
+}
+
+/// A file that is truncated or has a bit flipped opens with all that was acknowledged, or not at all.
+#[test]
+fn a_corrupt_file_never_loses_a_vote() {
+    let dir = Dir::new("corrupt");
+    let sample = Sample::new(&dir.file("a.redb"));
+    let mut total = Outcomes::default();
+    std::thread::scope(|scope| {
+        let sample = &sample;
+        let dir = &dir;
+        let open = move |seed: u64| sample.open_corrupt(&dir.file(&format!("{seed}.redb")), seed);
+        let threads: Vec<_> = (0..8).map(|seed| scope.spawn(move || open(seed))).collect();
+        for thread in threads {
+            let outcomes = thread.join().expect("a thread");
+            total.complete += outcomes.complete;
+            total.rolled_back += outcomes.rolled_back;
+            total.rejected += outcomes.rejected;
+        }
     });
-    let sum = |f: fn(&(i32, i32, i32)) -> i32| outcomes.iter().map(f).sum::<i32>();
-    let (kept, back, refused) = (sum(|o| o.0), sum(|o| o.1), sum(|o| o.2));
-    println!("{kept} whole, {back} went back and were found by the mark, {refused} refused");
-    assert!(kept > 100 && refused > 100, "{kept} whole, {refused} refused");
+    let Outcomes { complete, rolled_back, rejected } = total;
+    println!("{complete} complete, {rolled_back} rolled back and found by the mark, {rejected} rejected");
+    assert!(complete > 100 && rejected > 100, "{complete} complete, {rejected} rejected");
     // Without the mark these would have opened with an older vote.
-    assert!(back > 0);
+    assert!(rolled_back > 0);
 }
 
 /// Not a test by itself: the child of the next one, which is killed.
