--- a/src/cluster/bootstrap/first_configuration.rs
+++ b/src/cluster/bootstrap/first_configuration.rs
@@ -4,7 +4,7 @@
 //! and holds everything in memory: it does not outlast a loss of all members at once, which takes the log.
 //!
 //! The first member by name leads. Once it has heard all initial members it proposes their incarnations; when all have
-//! accepted the proposal it is decided as epoch 1. A process that starts later is told of it and is no member of it.
+//! accepted the proposal it is decided as epoch 1. A process that starts later is notified of it and is no member of it.
 //!
 //! Invariant: while one of its incarnations runs, no other configuration is decided. A proposal is decided only when
 //! each of its incarnations has accepted it; an incarnation has accepted one proposal at a time, and gives it up only
--- a/tests/cluster_parts/first_configuration.rs
+++ b/tests/cluster_parts/first_configuration.rs
@@ -58,7 +58,7 @@
 
     fn act(&mut self, now: u64) {
         for (n, bootstrap) in self.members.iter_mut().enumerate() {
-            if self.rng.next_u32() % 8 == 0 {
+            if self.rng.next_u32().is_multiple_of(8) {
                 bootstrap.peer_seen(&self.ids[(n + 1) % 3], "z");
                 bootstrap.peer_seen(&self.ids[(n + 2) % 3], "z");
             }
@@ -99,7 +99,7 @@
 fn play(seed: u64) -> Play {
     let mut play = Play::new(seed);
     for now in (0..).step_by(10_000).take(400) {
-        if now < 2_000_000 && play.rng.next_u32() % 30 == 0 {
+        if now < 2_000_000 && play.rng.next_u32().is_multiple_of(30) {
             play.restart_one(now);
         }
         play.act(now);
--- a/tests/golden_store/bootstrap.rs
+++ b/tests/golden_store/bootstrap.rs
@@ -54,7 +54,8 @@
 
 fn initial_member(number: usize) -> InitialMember {
     let member = next_life(voter(number)).member;
-    let (name, incarnation) = (member.id.name.to_string(), member.id.incarnation);
+    let name = member.id.name.to_string();
+    let incarnation = member.id.incarnation;
     InitialMember { name, incarnation, zone: member.zone.to_string() }
 }
 
--- a/tests/golden_store/store.rs
+++ b/tests/golden_store/store.rs
@@ -146,7 +146,8 @@
         let (key, value) = record.expect("a record");
         found.insert(key.value().to_string(), value.value().to_vec());
     }
-    let (count, last) = (4, 0x0c05);
+    let count = 4;
+    let last = 0x0c05;
     let head = [5, DISK, CLUSTER, HARD.term, HARD.vote, HARD.commit, count, last, 1];
     let head: Vec<u8> = head.iter().flat_map(|number: &u64| number.to_be_bytes()).collect();
     let mut wanted = BTreeMap::new();
@@ -172,10 +173,12 @@
 
 #[test]
 fn this_build_writes_the_same_tables_keys_records_and_mark() {
-    let (old, new) = (inflate("old"), Folder::new("new"));
+    let old = inflate("old");
+    let new = Folder::new("new");
     write(&new.store());
     check_raw(&new.store());
-    let (old, new) = (std::fs::read(old.mark()).expect("a mark"), std::fs::read(new.mark()).expect("a mark"));
+    let old = std::fs::read(old.mark()).expect("a mark");
+    let new = std::fs::read(new.mark()).expect("a mark");
     assert_eq!(new, old);
 }
 
