--- a/src/cluster/bootstrap/first_configuration.rs
+++ b/src/cluster/bootstrap/first_configuration.rs
@@ -1,15 +1,19 @@
-//! The first configuration of a cluster without a log: agreed on once by the initial members of the operator's file.
+//! The first configuration of a cluster without a log: agreed on once by the initial members of the
+//! operator's file.
 //!
-//! [`LoglessBootstrap`] owns a member's part in that agreement. It is a state machine without I/O, clock or randomness,
-//! and holds everything in memory: it does not outlast a loss of all members at once, which takes the log.
+//! [`LoglessBootstrap`] owns a member's part in that agreement. It is a state machine without I/O, clock or
+//! randomness, and holds everything in memory: it does not outlast a loss of all members at once, which takes
+//! the log.
 //!
-//! The first member by name leads. Once it has heard all initial members it proposes their incarnations; when all have
-//! accepted the proposal it is decided as epoch 1. A process that starts later is notified of it and is no member of it.
+//! The first member by name leads. Once it has heard all initial members it proposes their incarnations; when
+//! all have accepted the proposal it is decided as epoch 1. A process that starts later is notified of it and
+//! is no member of it.
 //!
-//! Invariant: while one of its incarnations runs, no other configuration is decided. A proposal is decided only when
-//! each of its incarnations has accepted it; an incarnation has accepted one proposal at a time, and gives it up only
-//! where it can't have been decided: the incarnation that proposed it says so by proposing again (it proposes only until
-//! one is decided), or a later leader found a member of the proposal that never accepted it.
+//! Invariant: while one of its incarnations runs, no other configuration is decided. A proposal is decided
+//! only when each of its incarnations has accepted it; an incarnation has accepted one proposal at a time,
+//! and gives it up only where it can't have been decided: the incarnation that proposed it says so by
+//! proposing again (it proposes only until one is decided), or a later leader found a member of the proposal
+//! that never accepted it.
 mod message;
 
 use std::collections::BTreeMap;
@@ -70,8 +74,8 @@
 }
 
 impl LoglessBootstrap {
-    /// `members` are those of the operator's file by name, with `local` among them; `now` is on the local monotonic
-    /// clock.
+    /// `members` are those of the operator's file by name, with `local` among them; `now` is on the local
+    /// monotonic clock.
     pub fn new(now: Micros, local: MemberId, members: Rc<[Member]>) -> LoglessBootstrap {
         let own_entry = members.iter().find(|member| member.id.name == local.name);
         let zone = own_entry.map_or_else(|| "".into(), |member| member.zone.clone());
@@ -110,7 +114,8 @@
         }
     }
 
-    /// Handles a message of another member. One that is of no known kind, or about an earlier proposal, is ignored.
+    /// Handles a message of another member. One that is of no known kind, or about an earlier proposal, is
+    /// ignored.
     pub fn receive(&mut self, from: &MemberId, message: ConfigurationMessage) {
         let Ok(kind) = MessageKind::try_from(message.kind) else { return };
         if let Some(members) = &self.decided {
@@ -135,7 +140,8 @@
         }
     }
 
-    /// When [`LoglessBootstrap::tick`] is to be called next, on the local monotonic clock; none once epoch 1 is known.
+    /// When [`LoglessBootstrap::tick`] is to be called next, on the local monotonic clock; none once epoch 1
+    /// is known.
     pub fn next_tick_at(&self) -> Option<Micros> {
         self.next_tick_at
     }
@@ -184,7 +190,8 @@
         self.actions.extend(peers.into_iter().map(|to| Action::Send { to, message: message.clone() }));
     }
 
-    /// As the leader: proposes all incarnations, once all are heard of. No proposal up to `superseded` was decided.
+    /// As the leader: proposes all incarnations, once all are heard of. No proposal up to `superseded` was
+    /// decided.
     fn propose(&mut self, superseded: Ballot) {
         let is_leader = self.members.first().is_some_and(|member| member.id.name == self.local.name);
         if !is_leader || self.decided.is_some() || self.seen.len() < self.members.len() {
@@ -320,8 +327,8 @@
         rejections.max_by_key(|accepted| accepted.ballot)
     }
 
-    /// Whether `earlier` can't have been decided: one of its members accepted this proposal, so that it never accepted
-    /// that one.
+    /// Whether `earlier` can't have been decided: one of its members accepted this proposal, so that it never
+    /// accepted that one.
     fn refutes(&self, earlier: &AcceptedProposal) -> bool {
         earlier.members.iter().any(|member| {
             let answer = self.answers.get(&*member.name);
--- a/src/cluster/bootstrap/first_configuration/message.rs
+++ b/src/cluster/bootstrap/first_configuration/message.rs
@@ -1,4 +1,5 @@
-//! What the initial members of a cluster without a log send to each other. Tags and numbers of the kinds are fixed.
+//! What the initial members of a cluster without a log send to each other. Tags and numbers of the kinds are
+//! fixed.
 /// An initial member with its incarnation, as proposed.
 #[derive(Clone, PartialEq, Eq, prost::Message)]
 pub struct InitialMember {
--- a/src/cluster/bootstrap/members.rs
+++ b/src/cluster/bootstrap/members.rs
@@ -30,7 +30,8 @@
         &self.0
     }
 
-    /// The id of the cluster `name` with these members: another incarnation or disk gives another id. Never 0.
+    /// The id of the cluster `name` with these members: another incarnation or disk gives another id. Never
+    /// 0.
     pub fn cluster_id(&self, name: &str) -> u64 {
         mix(fnv(name.as_bytes()) ^ mix(fnv(&self.encode()))).max(1)
     }
--- a/src/cluster/bootstrap/mod.rs
+++ b/src/cluster/bootstrap/mod.rs
@@ -1,20 +1,22 @@
-//! Bootstrap: which members are the first ones? For a cluster with a log [`Bootstrap`] decides that, for one without
-//! [`first_configuration`].
+//! Bootstrap: which members are the first ones? For a cluster with a log [`Bootstrap`] decides that, for one
+//! without [`first_configuration`].
 //!
-//! [`Bootstrap`] owns a member's progress from an empty disk to the id of its cluster: those of the operator's file are
-//! the initial members, once all of them were heard and none knows a cluster yet. It is a state machine without I/O,
-//! clock or randomness, and never writes or sends by itself: messages and ticks come in, [`BootstrapAction`]s go out.
+//! [`Bootstrap`] owns a member's progress from an empty disk to the id of its cluster: those of the
+//! operator's file are the initial members, once all of them were heard and none knows a cluster yet. It is a
+//! state machine without I/O, clock or randomness, and never writes or sends by itself: messages and ticks
+//! come in, [`BootstrapAction`]s go out.
 //!
-//! Each member accepts the set of names, incarnations and disks that it sees, durably, before it announces that. A set
-//! is chosen when all of its members have announced that they accepted it.
+//! Each member accepts the set of names, incarnations and disks that it sees, durably, before it announces
+//! that. A set is chosen when all of its members have announced that they accepted it.
 //!
-//! Invariant: no two clusters of one file can both commit anything. A set is chosen only by every member of it, so that
-//! two chosen sets were both accepted by each member whose disk is in both. An accepted set gives way to another only
-//! while no majority of the earlier set can have gone on: this member, and others that with it are a majority of the
-//! disks of the earlier set, announce with the same disks that they know no cluster; and each that has accepted the
-//! later set refuses the earlier one from then on. It goes back only when a member of the later set announces that it
-//! is in another cluster: then the later set can't be chosen any more. Where most disks of an accepted set are gone
-//! nothing is decided here: the operator has to. `docs/design-log.md` gives the argument.
+//! Invariant: no two clusters of one file can both commit anything. A set is chosen only by every member of
+//! it, so that two chosen sets were both accepted by each member whose disk is in both. An accepted set gives
+//! way to another only while no majority of the earlier set can have gone on: this member, and others that
+//! with it are a majority of the disks of the earlier set, announce with the same disks that they know no
+//! cluster; and each that has accepted the later set refuses the earlier one from then on. It goes back only
+//! when a member of the later set announces that it is in another cluster: then the later set can't be chosen
+//! any more. Where most disks of an accepted set are gone nothing is decided here: the operator has to.
+//! `docs/design-log.md` gives the argument.
 #![warn(missing_docs)]
 
 pub mod first_configuration;
@@ -46,16 +48,16 @@
     PersistAccepted(InitialMembers),
     /// Send this to every member of the file. It is repeated at each tick.
     Broadcast(BootstrapMessage),
-    /// All have accepted the members: start the log with [`super::consensus_log::StoredLog::bootstrap`], durably before
-    /// the next action.
+    /// All have accepted the members: start the log with [`super::consensus_log::StoredLog::bootstrap`],
+    /// durably before the next action.
     Bootstrapped {
         /// The id of the new cluster.
         cluster_id: u64,
         /// Its initial members.
         members: InitialMembers,
     },
-    /// A cluster exists without this incarnation: start the log with [`super::consensus_log::StoredLog::joining`],
-    /// durably before the next action, and ask to be admitted.
+    /// A cluster exists without this incarnation: start the log with
+    /// [`super::consensus_log::StoredLog::joining`], durably before the next action, and ask to be admitted.
     Join {
         /// The id of that cluster.
         cluster_id: u64,
@@ -67,7 +69,8 @@
 /// Why a member can't be bootstrapped without the operator.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum BootstrapError {
-    /// Most disks of the accepted set were replaced, those of these names: it may have gone on without this member.
+    /// Most disks of the accepted set were replaced, those of these names: it may have gone on without this
+    /// member.
     #[error(
         "bootstrap was interrupted: most of its disks are gone ({}); remove the stores of the others to bootstrap anew",
         .0.join(", ")
@@ -97,8 +100,8 @@
 }
 
 impl Bootstrap {
-    /// Goes on from `state`, which is what the local disk holds. `names` are those of the operator's file, the local one
-    /// among them.
+    /// Goes on from `state`, which is what the local disk holds. `names` are those of the operator's file,
+    /// the local one among them.
     pub fn new(cluster_name: &str, names: &[Rc<str>], local: Voter, state: BootstrapState) -> Bootstrap {
         let is_other = |name: &&Rc<str>| **name != local.member.id.name;
         let mut bootstrap = Bootstrap {
@@ -127,9 +130,10 @@
 
     /// Handles a message of another member.
     ///
-    /// The messages of one incarnation have to come in order; those of an earlier one may come at any time, and are
-    /// ignored once a later one was heard. The incarnations of a name rise with each start. Members that are not in the
-    /// file take no part, but one that knows a cluster is heard whoever it is, for members join later.
+    /// The messages of one incarnation have to come in order; those of an earlier one may come at any time,
+    /// and are ignored once a later one was heard. The incarnations of a name rise with each start. Members
+    /// that are not in the file take no part, but one that knows a cluster is heard whoever it is, for
+    /// members join later.
     pub fn receive(&mut self, message: BootstrapMessage) {
         let sender = &message.voter.member.id;
         let name = sender.name.clone();
@@ -169,7 +173,8 @@
             BootstrapState::Accepted(members) if members.cluster_id(&self.cluster_name) == cluster_id => {
                 self.start_cluster(members.clone());
             }
-            // One of the accepted members is in another cluster, on its disk: this set can't be chosen any more.
+            // One of the accepted members is in another cluster, on its disk: this set can't be chosen any
+            // more.
             BootstrapState::Accepted(members) if members.contains(name, disk_id) => self.join(cluster_id),
             // The sender has a new disk, which is not in the accepted set: the members of the set are asked.
             BootstrapState::Accepted(_) => {}
--- a/src/cluster/consensus_log/action.rs
+++ b/src/cluster/consensus_log/action.rs
@@ -8,8 +8,8 @@
 /// One action of [`super::ConsensusLog::ready`]. Actions are carried out in the order of that list.
 #[derive(Debug, PartialEq)]
 pub enum LogAction {
-    /// Make this durable before the next action is started. Where that fails, none of the following actions may be
-    /// done, and the log is dropped: it has already gone on in memory.
+    /// Make this durable before the next action is started. Where that fails, none of the following actions
+    /// may be done, and the log is dropped: it has already gone on in memory.
     Persist(WriteBatch),
     /// Send `bytes` to a member. The message may be lost, repeated or reordered.
     Send {
@@ -27,8 +27,8 @@
         /// What [`super::ConsensusLog::compact`] was given.
         application_state: Vec<u8>,
     },
-    /// A committed command. Each member applies the same ones in the same order; after a restart those since the
-    /// snapshot come again.
+    /// A committed command. Each member applies the same ones in the same order; after a restart those since
+    /// the snapshot come again.
     Applied {
         /// Index of its entry.
         index: u64,
@@ -39,7 +39,8 @@
         /// What it did to the membership.
         outcome: CommandOutcome,
     },
-    /// Call [`super::ConsensusLog::compact`] with the state of the other parts after everything that was applied.
+    /// Call [`super::ConsensusLog::compact`] with the state of the other parts after everything that was
+    /// applied.
     Compact,
     /// This voter became the leader, or is it no longer.
     LeadershipChanged {
--- a/src/cluster/consensus_log/codec.rs
+++ b/src/cluster/consensus_log/codec.rs
@@ -1,4 +1,5 @@
-//! The encoding of commands and voters, on the wire and on disk. Version 1; a member rejects any other version.
+//! The encoding of commands and voters, on the wire and on disk. Version 1; a member rejects any other
+//! version.
 use std::net::SocketAddr;
 
 use prost::Message as _;
--- a/src/cluster/consensus_log/command.rs
+++ b/src/cluster/consensus_log/command.rs
@@ -6,9 +6,9 @@
 
 /// A member together with the disk that it votes from.
 ///
-/// The incarnation in `member` identifies a process and ends with it. The disk identifies a store and ends with its
-/// file. Raft's voter is one name on one disk: a process that restarts with its disk stays the same voter, one that
-/// comes back without it is a new one.
+/// The incarnation in `member` identifies a process and ends with it. The disk identifies a store and ends
+/// with its file. Raft's voter is one name on one disk: a process that restarts with its disk stays the same
+/// voter, one that comes back without it is a new one.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Voter {
     /// Name, incarnation, zone and address.
@@ -24,7 +24,8 @@
     }
 }
 
-/// Raft's number for `name` on the disk `disk_id`: another disk is another voter. Never 0, which Raft takes for nobody.
+/// Raft's number for `name` on the disk `disk_id`: another disk is another voter. Never 0, which Raft takes
+/// for nobody.
 pub fn voter_id(name: &str, disk_id: u64) -> u64 {
     mix(fnv(name.as_bytes()) ^ mix(disk_id)).max(1)
 }
@@ -36,8 +37,8 @@
     Admit {
         /// The member to admit, with its disk.
         voter: Voter,
-        /// The newest epoch that the proposer knew. A proposal that was in flight while another incarnation of the
-        /// name was admitted is rejected.
+        /// The newest epoch that the proposer knew. A proposal that was in flight while another incarnation
+        /// of the name was admitted is rejected.
         known_epoch: u64,
     },
     /// This incarnation is a member no longer.
--- a/src/cluster/consensus_log/error.rs
+++ b/src/cluster/consensus_log/error.rs
@@ -1,5 +1,5 @@
-//! Why a message, a proposal, stored data or a snapshot is not accepted. Nothing has changed when one of these comes
-//! back.
+//! Why a message, a proposal, stored data or a snapshot is not accepted. Nothing has changed when one of
+//! these comes back.
 use std::rc::Rc;
 
 use super::codec::DecodeError;
@@ -121,7 +121,8 @@
         /// The limit.
         max_bytes: usize,
     },
-    /// Actions have not been taken with [`super::ConsensusLog::ready`] yet, so the given state can't include them.
+    /// Actions have not been taken with [`super::ConsensusLog::ready`] yet, so the given state can't include
+    /// them.
     #[error("actions of the log are pending")]
     ActionsPending,
     /// The snapshot can't be encoded.
--- a/src/cluster/consensus_log/frame.rs
+++ b/src/cluster/consensus_log/frame.rs
@@ -1,4 +1,5 @@
-//! A message between voters as bytes: version (1 byte), cluster id and checksum (8 bytes each, big-endian), Raft message.
+//! A message between voters as bytes: version (1 byte), cluster id and checksum (8 bytes each, big-endian),
+//! Raft message.
 use protobuf::Message as _;
 use raft::eraftpb::Message;
 
@@ -22,8 +23,8 @@
     Ok(bytes)
 }
 
-/// The size is checked before anything is decoded: a message of empty entries alone decodes to some sixty times its
-/// size.
+/// The size is checked before anything is decoded: a message of empty entries alone decodes to some sixty
+/// times its size.
 pub(super) fn decode(cluster_id: u64, max_bytes: usize, bytes: &[u8]) -> Result<Message, ReceiveError> {
     if bytes.len() > max_bytes {
         return Err(ReceiveError::TooLarge { bytes: bytes.len(), max_bytes });
--- a/src/cluster/consensus_log/hash.rs
+++ b/src/cluster/consensus_log/hash.rs
@@ -1,4 +1,5 @@
-//! Hashes that are part of stored and transmitted forms: changing one changes voter ids, cluster ids and checksums.
+//! Hashes that are part of stored and transmitted forms: changing one changes voter ids, cluster ids and
+//! checksums.
 use std::hash::Hasher;
 
 /// The finalizer of SplitMix64: spreads apart what FNV leaves close together.
--- a/src/cluster/consensus_log/membership.rs
+++ b/src/cluster/consensus_log/membership.rs
@@ -1,8 +1,9 @@
-//! The members as the log's entries define them: a function of the entries alone, so that every member that has applied
-//! the same entries has the same membership.
+//! The members as the log's entries define them: a function of the entries alone, so that every member that
+//! has applied the same entries has the same membership.
 //!
-//! Invariants: one configuration per epoch, and an epoch is the index of the entry that made it; an incarnation that has
-//! ended is never a member again; a voter is one name on one disk, and each name has one voter.
+//! Invariants: one configuration per epoch, and an epoch is the index of the entry that made it; an
+//! incarnation that has ended is never a member again; a voter is one name on one disk, and each name has one
+//! voter.
 mod snapshot;
 
 use std::collections::{BTreeMap, VecDeque};
@@ -12,16 +13,16 @@
 use super::command::{Command, Voter};
 use crate::cluster::{Configuration, Member};
 
-/// The most voters. Further members are learners: each further voter costs a message per entry, and five voters
-/// tolerate the failure of any two.
+/// The most voters. Further members are learners: each further voter costs a message per entry, and five
+/// voters tolerate the failure of any two.
 pub const MAX_VOTERS: usize = 5;
 /// The most members: lists of members are kept and sent complete.
 pub const MAX_MEMBERS: usize = 4096;
-/// The most open epochs. A further change of members waits until one is closed: an epoch that was dropped while work
-/// is pinned to it could start that work a second time.
+/// The most open epochs. A further change of members waits until one is closed: an epoch that was dropped
+/// while work is pinned to it could start that work a second time.
 pub const MAX_OPEN_EPOCHS: usize = 16;
-/// Ended incarnations that are remembered for each name. One that ended before these, and asks again, has been
-/// superseded by as many successors.
+/// Ended incarnations that are remembered for each name. One that ended before these, and asks again, has
+/// been superseded by as many successors.
 const MAX_PAST_INCARNATIONS: usize = 64;
 
 /// What a committed command does.
@@ -95,8 +96,8 @@
 type Change = Result<Option<(Configuration, Membership)>, RejectionReason>;
 
 impl Membership {
-    /// The initial members, as the configuration of `epoch`. The voters are spread over the zones as the acceptors of
-    /// an entry are.
+    /// The initial members, as the configuration of `epoch`. The voters are spread over the zones as the
+    /// acceptors of an entry are.
     ///
     /// # Errors
     /// [`RejectionReason::InvalidConfiguration`] where the members are no [`Configuration`].
@@ -149,7 +150,8 @@
         ids
     }
 
-    /// What `command` does as the entry at `index`: its outcome, and the membership after it where it changes it.
+    /// What `command` does as the entry at `index`: its outcome, and the membership after it where it changes
+    /// it.
     pub fn evaluate(&self, index: u64, command: &Command) -> (CommandOutcome, Option<Membership>) {
         let change = match command {
             Command::Admit { voter, known_epoch } => self.admit(index, voter, *known_epoch),
--- a/src/cluster/consensus_log/message_check.rs
+++ b/src/cluster/consensus_log/message_check.rs
@@ -1,6 +1,6 @@
-//! Checks a peer's message against the local log before it reaches the crate `raft`, which stops the process on a
-//! message that contradicts what it holds: a heartbeat beyond its last entry, an entry that differs from a committed
-//! one. Such a message is rejected here, with a reason, and changes nothing.
+//! Checks a peer's message against the local log before it reaches the crate `raft`, which stops the process
+//! on a message that contradicts what it holds: a heartbeat beyond its last entry, an entry that differs from
+//! a committed one. Such a message is rejected here, with a reason, and changes nothing.
 use raft::eraftpb::{ConfState, EntryType, Message, MessageType};
 
 use super::error::ReceiveError;
--- a/src/cluster/consensus_log/mod.rs
+++ b/src/cluster/consensus_log/mod.rs
@@ -1,9 +1,9 @@
-//! The replicated log of the cluster's configurations, shard layouts and plans: a state machine without I/O, clock or
-//! randomness around the crate `raft` ([Raft](https://raft.github.io/raft.pdf), with pre-vote, check of the quorum and
-//! joint changes of voters). Ticks, messages and proposals come in, [`LogAction`]s go out.
+//! The replicated log of the cluster's configurations, shard layouts and plans: a state machine without I/O,
+//! clock or randomness around the crate `raft` ([Raft](https://raft.github.io/raft.pdf), with pre-vote, check
+//! of the quorum and joint changes of voters). Ticks, messages and proposals come in, [`LogAction`]s go out.
 //!
-//! It owns the order of the commands, the membership that they define, and what a voter may promise. It never writes a
-//! file, opens a connection or interprets a layout or plan. `docs/design-log.md` gives the argument.
+//! It owns the order of the commands, the membership that they define, and what a voter may promise. It never
+//! writes a file, opens a connection or interprets a layout or plan. `docs/design-log.md` gives the argument.
 //!
 //! Invariants, each with the place that keeps it:
 //! - a vote, a term and an entry are durable before a message that depends on them is sent: [`ConsensusLog::ready`]
@@ -63,8 +63,8 @@
     pub max_uncommitted_bytes: usize,
     /// Memory of all retained entries. Proposals beyond it are rejected until a snapshot lets older ones go.
     pub max_log_bytes: usize,
-    /// Entries that stay behind a snapshot, for members that are a little behind. After as many further entries the
-    /// next snapshot is asked for.
+    /// Entries that stay behind a snapshot, for members that are a little behind. After as many further
+    /// entries the next snapshot is asked for.
     pub retained_entries: u64,
     /// Ticks without a leader before an election, at least; fewer than twice as many at most.
     pub election_ticks: usize,
--- a/src/cluster/consensus_log/node.rs
+++ b/src/cluster/consensus_log/node.rs
@@ -28,7 +28,8 @@
 
 /// One member's replica of the log, around the crate's `RawNode`.
 ///
-/// Feed it ticks, messages and proposals; after each, take [`ConsensusLog::ready`] and carry out its actions in order.
+/// Feed it ticks, messages and proposals; after each, take [`ConsensusLog::ready`] and carry out its actions
+/// in order.
 pub struct ConsensusLog {
     node: RawNode<MemoryStorage>,
     identity: Identity,
@@ -130,8 +131,8 @@
         self.node.raft.term
     }
 
-    /// Whether a joint change of voters has not finished: a majority of the old voters and one of the new have to agree
-    /// meanwhile, and one further disk that is lost may take either majority away.
+    /// Whether a joint change of voters has not finished: a majority of the old voters and one of the new
+    /// have to agree meanwhile, and one further disk that is lost may take either majority away.
     pub fn has_pending_membership_change(&self) -> bool {
         self.node.raft.has_pending_conf() || !self.node.store().conf_state.get_voters_outgoing().is_empty()
     }
@@ -159,8 +160,8 @@
         self.set_election_timeout();
     }
 
-    /// The crate waits for a report on each snapshot that it sent, and messages are lost without one: those in flight
-    /// are reported as failed, so that they are sent again.
+    /// The crate waits for a report on each snapshot that it sent, and messages are lost without one: those
+    /// in flight are reported as failed, so that they are sent again.
     fn resend_snapshots(&mut self) {
         let progress = self.node.raft.prs().iter();
         let in_snapshot = progress.filter(|(_, progress)| progress.state == ProgressState::Snapshot);
@@ -212,8 +213,8 @@
         self.names = self.membership.members().map(name).collect();
     }
 
-    /// The crate draws an election timeout at random whenever term or role change, for use in later ticks. This
-    /// replaces it before any of them, so that the same events have the same effect.
+    /// The crate draws an election timeout at random whenever term or role change, for use in later ticks.
+    /// This replaces it before any of them, so that the same events have the same effect.
     fn set_election_timeout(&mut self) {
         let raft = &mut self.node.raft;
         let drawn = mix(self.seed ^ mix(raft.term << 3 | raft.state as u64));
--- a/src/cluster/consensus_log/node/apply.rs
+++ b/src/cluster/consensus_log/node/apply.rs
@@ -47,7 +47,8 @@
         self.actions.push(LogAction::Applied { index: entry.index, proposal, command, outcome });
     }
 
-    /// An entry without a command is a new leader's first one; or it ends a joint change, proposed by the crate itself.
+    /// An entry without a command is a new leader's first one; or it ends a joint change, proposed by the
+    /// crate itself.
     fn leave_joint_voters(&mut self, change: Option<ConfChangeV2>) {
         let Some(change) = change.filter(|change| change.get_changes().is_empty()) else { return };
         if !self.node.store().conf_state.get_voters_outgoing().is_empty() {
--- a/src/cluster/consensus_log/node/propose.rs
+++ b/src/cluster/consensus_log/node/propose.rs
@@ -18,8 +18,8 @@
 const SNAPSHOT_OVERHEAD_BYTES: usize = 256;
 
 impl ConsensusLog {
-    /// Proposes `command`; only the leader can. An accepted proposal may still be lost with its leader: its proposer
-    /// repeats it until it sees it applied, and one that is in effect already changes nothing.
+    /// Proposes `command`; only the leader can. An accepted proposal may still be lost with its leader: its
+    /// proposer repeats it until it sees it applied, and one that is in effect already changes nothing.
     ///
     /// # Errors
     /// [`ProposeError`] where it was not accepted; nothing has changed then.
@@ -67,8 +67,8 @@
         proposed.map_err(|_| ProposeError::CapacityExceeded)
     }
 
-    /// Makes a snapshot of everything that was applied and taken with [`ConsensusLog::ready`], and drops older entries.
-    /// `application_state` is the state of the other parts of the cluster after it.
+    /// Makes a snapshot of everything that was applied and taken with [`ConsensusLog::ready`], and drops
+    /// older entries. `application_state` is the state of the other parts of the cluster after it.
     ///
     /// # Errors
     /// [`CompactError`] where no snapshot was made; nothing has changed then.
--- a/src/cluster/consensus_log/node/recovery.rs
+++ b/src/cluster/consensus_log/node/recovery.rs
@@ -61,8 +61,8 @@
             }
             entries.push(entry);
         }
-        // Entries before the snapshot stay for members that are behind. The entry before the first of them is not known
-        // any more, so that the first one becomes the base.
+        // Entries before the snapshot stay for members that are behind. The entry before the first of them is
+        // not known any more, so that the first one becomes the base.
         if entries.first().is_some_and(|entry| entry.index <= self.applied) {
             let first = entries.remove(0);
             self.storage.base = EntryId { index: first.index, term: first.term };
--- a/src/cluster/consensus_log/storage.rs
+++ b/src/cluster/consensus_log/storage.rs
@@ -1,5 +1,6 @@
-//! The storage that the crate `raft` reads: the entries since the last snapshot, and that snapshot. A copy of what is on
-//! disk, or is about to be: [`super::ConsensusLog::ready`] gives the batch before anything that depends on it.
+//! The storage that the crate `raft` reads: the entries since the last snapshot, and that snapshot. A copy of
+//! what is on disk, or is about to be: [`super::ConsensusLog::ready`] gives the batch before anything that
+//! depends on it.
 use std::collections::VecDeque;
 
 use raft::eraftpb::{ConfState, Entry, HardState as RaftHardState, Snapshot};
@@ -122,7 +123,8 @@
         Ok(self.last_entry_index())
     }
 
-    /// Entries are dropped only once a snapshot includes them: the last one serves whoever needs a dropped entry.
+    /// Entries are dropped only once a snapshot includes them: the last one serves whoever needs a dropped
+    /// entry.
     fn snapshot(&self, at_least: u64, _to: u64) -> Result<Snapshot> {
         if self.snapshot.get_metadata().index < at_least || self.snapshot.get_metadata().index == 0 {
             return Err(Error::Store(StorageError::SnapshotTemporarilyUnavailable));
--- a/src/cluster/consensus_log/stored.rs
+++ b/src/cluster/consensus_log/stored.rs
@@ -8,7 +8,8 @@
 use super::membership::{Membership, MembershipSnapshot, RejectionReason};
 use super::storage::EntryId;
 
-/// Raft's hard state. `term` and `vote` are promises and have to be durable before they are sent; `commit` is a hint.
+/// Raft's hard state. `term` and `vote` are promises and have to be durable before they are sent; `commit` is
+/// a hint.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct HardState {
     /// The newest term that this voter knows.
@@ -54,8 +55,8 @@
 }
 
 impl StoredLog {
-    /// The start of a new cluster, the same at each of its initial members: they are the configuration of epoch 1, and
-    /// the log goes on from index 1.
+    /// The start of a new cluster, the same at each of its initial members: they are the configuration of
+    /// epoch 1, and the log goes on from index 1.
     ///
     /// # Errors
     /// [`RejectionReason::InvalidConfiguration`] where the members are no configuration.
--- a/src/cluster/hybrid_clock.rs
+++ b/src/cluster/hybrid_clock.rs
@@ -1,14 +1,14 @@
 //! The cluster's time: hybrid logical clocks with a bound on their offset, and the measured offsets.
 //!
-//! Source: Kulkarni, Demirbas, Madappa, Avva, Leone, "Logical Physical Clocks" (OPODIS 2014). A timestamp is the largest
-//! wall time that was seen and a counter within it: it is greater than that of any event that it was caused by, and stays
-//! within the bound of the wall clock.
+//! Source: Kulkarni, Demirbas, Madappa, Avva, Leone, "Logical Physical Clocks" (OPODIS 2014). A timestamp is
+//! the largest wall time that was seen and a counter within it: it is greater than that of any event that it
+//! was caused by, and stays within the bound of the wall clock.
 //!
 //! It never reads a clock: wall time and monotonic time come in with each call.
 //!
-//! Invariants: a [`HybridClock`] issues each timestamp once and always a later one; it never runs ahead of its own wall
-//! clock by more than the bound, since a timestamp that is further ahead is rejected. No rule of safety depends on the
-//! bound: it keeps one member's clock from carrying away those of all others.
+//! Invariants: a [`HybridClock`] issues each timestamp once and always a later one; it never runs ahead of
+//! its own wall clock by more than the bound, since a timestamp that is further ahead is rejected. No rule of
+//! safety depends on the bound: it keeps one member's clock from carrying away those of all others.
 #![warn(missing_docs)]
 
 mod offsets;
@@ -17,8 +17,9 @@
 
 pub use self::offsets::{ClockOffsets, OffsetState};
 
-/// How far two members' clocks may be apart, in ms, unless the settings say otherwise. NTP within one site keeps
-/// clocks within some ms; a quarter of a second is far outside that and small against the life of a layout.
+/// How far two members' clocks may be apart, in ms, unless the settings say otherwise. NTP within one site
+/// keeps clocks within some ms; a quarter of a second is far outside that and small against the life of a
+/// layout.
 pub const DEFAULT_MAX_OFFSET_MS: u64 = 250;
 
 /// A point in the cluster's time.
@@ -118,8 +119,8 @@
     /// Takes over a timestamp that came with a message, and issues a later one.
     ///
     /// # Errors
-    /// [`ClockSkewExceeded`] for a timestamp beyond the bound, whose message is to be rejected too. The clock has not
-    /// changed.
+    /// [`ClockSkewExceeded`] for a timestamp beyond the bound, whose message is to be rejected too. The clock
+    /// has not changed.
     pub fn observe(
         &mut self,
         unix_ms: u64,
--- a/src/cluster/hybrid_clock/offsets.rs
+++ b/src/cluster/hybrid_clock/offsets.rs
@@ -1,6 +1,7 @@
 //! The measured offsets of the others' clocks.
 //!
-//! Source: Cristian, "Probabilistic clock synchronization" (Distributed Computing 3, 1989): by request and answer.
+//! Source: Cristian, "Probabilistic clock synchronization" (Distributed Computing 3, 1989): by request and
+//! answer.
 use std::collections::BTreeMap;
 
 use crate::cluster::{MemberId, Micros};
@@ -24,7 +25,8 @@
     },
 }
 
-/// One exchange with another member: its wall clock minus our monotonic clock, in microseconds, was between the two.
+/// One exchange with another member: its wall clock minus our monotonic clock, in microseconds, was between
+/// the two.
 #[derive(Clone, Copy, Debug)]
 struct Sample {
     low: i128,
@@ -35,9 +37,9 @@
 
 /// The offsets of the others' clocks from the local one.
 ///
-/// Samples are relative to the local monotonic clock, so that a step of the local wall clock shows at once, also while
-/// this member is cut off; with age they widen by the drift of both clocks. An offset that is not certainly beyond the
-/// bound counts as within it.
+/// Samples are relative to the local monotonic clock, so that a step of the local wall clock shows at once,
+/// also while this member is cut off; with age they widen by the drift of both clocks. An offset that is not
+/// certainly beyond the bound counts as within it.
 #[derive(Clone, Debug)]
 pub struct ClockOffsets {
     bound_ms: u64,
@@ -46,13 +48,14 @@
 }
 
 impl ClockOffsets {
-    /// No samples. `drift` is the rate at which one clock may drift, as a share of the time that passes, from 0 to 1.
+    /// No samples. `drift` is the rate at which one clock may drift, as a share of the time that passes, from
+    /// 0 to 1.
     pub fn new(bound_ms: u64, drift: f64) -> ClockOffsets {
         ClockOffsets { bound_ms, drift: drift.clamp(0.0, 1.0), samples: BTreeMap::new() }
     }
 
-    /// `member` answered a request with its wall clock `theirs_ms`. `sent_at` and `received_at` are on the local
-    /// monotonic clock; an answer that came before its request is ignored.
+    /// `member` answered a request with its wall clock `theirs_ms`. `sent_at` and `received_at` are on the
+    /// local monotonic clock; an answer that came before its request is ignored.
     pub fn record(&mut self, member: &MemberId, sent_at: Micros, received_at: Micros, theirs_ms: u64) {
         let is_full = self.samples.len() >= MAX_SAMPLES && !self.samples.contains_key(member);
         if received_at < sent_at || is_full {
@@ -72,8 +75,8 @@
         self.samples.retain(|id, _| is_member(id));
     }
 
-    /// The state of the local clock against `others` other members, at `now` on the monotonic clock and `unix_ms` on the
-    /// wall clock.
+    /// The state of the local clock against `others` other members, at `now` on the monotonic clock and
+    /// `unix_ms` on the wall clock.
     pub fn state(&self, now: Micros, unix_ms: u64, others: usize) -> OffsetState {
         if self.samples.len() * 2 <= others {
             return OffsetState::Unknown;
--- a/src/net/cluster/clock.rs
+++ b/src/net/cluster/clock.rs
@@ -1,5 +1,5 @@
-//! The machine's clocks, in the units in which the cluster's decisions count time. Nothing else in the cluster's network
-//! code reads a clock.
+//! The machine's clocks, in the units in which the cluster's decisions count time. Nothing else in the
+//! cluster's network code reads a clock.
 #![warn(missing_docs)]
 
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
--- a/src/net/cluster/store.rs
+++ b/src/net/cluster/store.rs
@@ -1,16 +1,16 @@
 //! The store of a voter: disk id, state of bootstrap, hard state, entries and snapshot.
 //!
-//! It owns one file by `redb`, in which each batch is one durable transaction, and beside it the mark file `FILE.mark`
-//! with the number of the last batch that was acknowledged. `redb` keeps two commits and goes back to the earlier one
-//! when the later is not intact: after a process that ended within a write that is right, after a corrupt byte it would
-//! be an older vote. The content of entries and snapshot is opaque here.
+//! It owns one file by `redb`, in which each batch is one durable transaction, and beside it the mark file
+//! `FILE.mark` with the number of the last batch that was acknowledged. `redb` keeps two commits and goes
+//! back to the earlier one when the later is not intact: after a process that ended within a write that is
+//! right, after a corrupt byte it would be an older vote. The content of entries and snapshot is opaque here.
 //!
-//! A write that fails, as on a full disk, closes the file; the next one opens it again and goes on from what it holds.
-//! All calls block on the disk.
+//! A write that fails, as on a full disk, closes the file; the next one opens it again and goes on from what
+//! it holds. All calls block on the disk.
 //!
-//! Invariant: a write returns only when both files are durable, so that a file that opens holds every batch that was
-//! acknowledged, or it does not open. Each record has a checksum over its key and content, the header says how many
-//! entries there are, and the mark how far the file has to be.
+//! Invariant: a write returns only when both files are durable, so that a file that opens holds every batch
+//! that was acknowledged, or it does not open. Each record has a checksum over its key and content, the
+//! header says how many entries there are, and the mark how far the file has to be.
 #![warn(missing_docs)]
 
 mod error;
@@ -114,7 +114,8 @@
             return Err(StoreError::RolledBack { file: in_file, mark: acknowledged });
         }
         if in_file > acknowledged {
-            // The process ended between the two writes: a batch that was not acknowledged may be there or not.
+            // The process ended between the two writes: a batch that was not acknowledged may be there or
+            // not.
             self.mark.write(in_file)?;
         }
         Ok(contents)
@@ -126,7 +127,8 @@
         builder.create(&self.path).map_err(corrupt)
     }
 
-    /// Opens the file again after a write that failed: that batch may have become durable, with its mark or without.
+    /// Opens the file again after a write that failed: that batch may have become durable, with its mark or
+    /// without.
     ///
     /// Invariant: the file's last batch is the acknowledged one, or the next.
     fn reopen(&mut self) -> Result<(), StoreError> {
@@ -180,7 +182,8 @@
         Ok(StoreContents { disk_id, bootstrap_state, stored })
     }
 
-    /// One durable transaction with the header, then the mark. An empty `bootstrap_state` leaves the earlier one.
+    /// One durable transaction with the header, then the mark. An empty `bootstrap_state` leaves the earlier
+    /// one.
     fn commit(
         &mut self,
         bootstrap_state: &[u8],
@@ -206,8 +209,8 @@
     /// Makes `batch` durable before it returns.
     ///
     /// # Errors
-    /// [`StoreError`]: the batch may be durable or not, and is owed. The same batch is to be given again until it is
-    /// acknowledged; writing it twice has the effect of writing it once.
+    /// [`StoreError`]: the batch may be durable or not, and is owed. The same batch is to be given again
+    /// until it is acknowledged; writing it twice has the effect of writing it once.
     pub fn persist(&mut self, batch: &WriteBatch) -> Result<(), StoreError> {
         self.commit(&[], |header, transaction| {
             header.hard_state = batch.hard_state;
@@ -223,8 +226,8 @@
         self.commit(bootstrap_state, |_, _| Ok(()))
     }
 
-    /// Starts the log with `stored`, together with the state of bootstrap that says so. Both are durable when this
-    /// returns.
+    /// Starts the log with `stored`, together with the state of bootstrap that says so. Both are durable when
+    /// this returns.
     ///
     /// # Errors
     /// As [`Store::persist`].
--- a/src/net/cluster/store/error.rs
+++ b/src/net/cluster/store/error.rs
@@ -28,7 +28,8 @@
     Closed,
 }
 
-/// For the errors of `redb`, which are of many types: a full disk and a corrupt page alike end the use of the file.
+/// For the errors of `redb`, which are of many types: a full disk and a corrupt page alike end the use of the
+/// file.
 pub(super) fn corrupt(error: impl fmt::Display) -> StoreError {
     StoreError::Corrupt(error.to_string())
 }
--- a/tests/cluster_parts/bootstrap.rs
+++ b/tests/cluster_parts/bootstrap.rs
@@ -149,8 +149,8 @@
         }
     }
 
-    /// The messages of one incarnation arrive in order, those of an ended one perhaps after a later one's, and some
-    /// never: a member keeps announcing how far it is.
+    /// The messages of one incarnation arrive in order, those of an ended one perhaps after a later one's,
+    /// and some never: a member keeps announcing how far it is.
     fn deliver(&mut self, round: u64, calm: bool) {
         let picked = self.pick(self.network.len());
         let channel = self.network[picked].0;
--- a/tests/cluster_parts/first_configuration.rs
+++ b/tests/cluster_parts/first_configuration.rs
@@ -26,7 +26,8 @@
     message: ConfigurationMessage,
 }
 
-/// Three initial members over links that lose, double and reorder; `a` and `b` restart at any moment, `c` never.
+/// Three initial members over links that lose, double and reorder; `a` and `b` restart at any moment, `c`
+/// never.
 struct Play {
     rng: Pcg32,
     ids: Vec<MemberId>,
--- a/tests/cluster_parts/hybrid_clock.rs
+++ b/tests/cluster_parts/hybrid_clock.rs
@@ -46,8 +46,8 @@
     };
     assert!((980..1320).contains(&ahead_ms), "{ahead_ms}");
     assert_eq!(offsets.state(40_000, 10_040, 4), OffsetState::WithinBound);
-    // An old sample says less: 300 ms are not certain after 1,000 s at this drift, and an answer that took long
-    // never was.
+    // An old sample says less: 300 ms are not certain after 1,000 s at this drift, and an answer that took
+    // long never was.
     offsets.record(&member(2), 0, 20_000, 10_310);
     assert!(matches!(offsets.state(20_000, 10_020, 4), OffsetState::BeyondBound { .. }));
     assert_eq!(offsets.state(1_000_020_000, 1_010_020, 4), OffsetState::WithinBound);
--- a/tests/cluster_parts/store_faults.rs
+++ b/tests/cluster_parts/store_faults.rs
@@ -1,6 +1,6 @@
-//! A voter's disk that fails for a while, or whose process is killed within a write: what was acknowledged is there, and
-//! what was taken on is written once the disk is sound again. The store runs in a process of its own, under the library
-//! that makes system calls fail.
+//! A voter's disk that fails for a while, or whose process is killed within a write: what was acknowledged is
+//! there, and what was taken on is written once the disk is sound again. The store runs in a process of its
+//! own, under the library that makes system calls fail.
 use std::path::{Path, PathBuf};
 use std::process::{Command, Output};
 
@@ -15,7 +15,8 @@
 /// Tries to open the store or to write a batch: far more than any run here needs.
 const TRIES: usize = 500;
 
-/// What the process under faults does: open the store, write on from where it is, and say what was acknowledged.
+/// What the process under faults does: open the store, write on from where it is, and say what was
+/// acknowledged.
 fn write_batches(path: &Path) {
     let opened = (0..TRIES).find_map(|_| Store::open(path, 77).ok());
     let (mut store, opened) = opened.expect("opened once the disk is sound");
--- a/tests/consensus_log/main.rs
+++ b/tests/consensus_log/main.rs
@@ -1,4 +1,5 @@
-//! The replicated log: voters under a virtual clock, corrupt and arbitrary messages, membership and proposals.
+//! The replicated log: voters under a virtual clock, corrupt and arbitrary messages, membership and
+//! proposals.
 mod sim;
 
 use marlgap::cluster::consensus_log::{
--- a/tests/golden_store/bootstrap.rs
+++ b/tests/golden_store/bootstrap.rs
@@ -1,4 +1,5 @@
-//! Bootstrap: what members send to each other before there is a log, and the members that they accept on their disks.
+//! Bootstrap: what members send to each other before there is a log, and the members that they accept on
+//! their disks.
 use marlgap::cluster::bootstrap::first_configuration::{
     Ballot, ConfigurationMessage, InitialMember, MessageKind,
 };
--- a/tests/golden_store/fixture.rs
+++ b/tests/golden_store/fixture.rs
@@ -1,7 +1,7 @@
 //! The committed files: hex records, one a line (`name hex`), and compressed binary files.
 //!
-//! With `WRITE_GOLDEN` set in the environment a file that is missing is written by the generator that its test hands
-//! in. A file that is there is never written over: to renew one on purpose, remove it first.
+//! With `WRITE_GOLDEN` set in the environment a file that is missing is written by the generator that its
+//! test hands in. A file that is there is never written over: to renew one on purpose, remove it first.
 use std::io::{Read, Write};
 use std::path::{Path, PathBuf};
 use std::sync::{Mutex, MutexGuard};
--- a/tests/golden_store/frames.rs
+++ b/tests/golden_store/frames.rs
@@ -1,4 +1,5 @@
-//! Messages between voters: of each kind the first one that three voters send each other, as their connection has it.
+//! Messages between voters: of each kind the first one that three voters send each other, as their connection
+//! has it.
 use std::collections::VecDeque;
 use std::hash::Hasher;
 use std::rc::Rc;
@@ -159,7 +160,8 @@
 
 #[test]
 fn the_fields_of_each_message_are_read() {
-    // Term, term of the entry before, its index, where the log is agreed on, and how many entries come with it.
+    // Term, term of the entry before, its index, where the log is agreed on, and how many entries come with
+    // it.
     let fields = |(kind, frame): (String, Vec<u8>)| {
         let m = message(&frame);
         assert_eq!(format!("{:?}", m.get_msg_type()), kind);
--- a/tests/golden_store/log.rs
+++ b/tests/golden_store/log.rs
@@ -32,8 +32,8 @@
 
 const OSLO: u64 = 4_685_882_829_923_860_291;
 
-/// Six members in epoch 1, of whom one learns only; one in its second life; one that left and came back; an epoch that
-/// is closed.
+/// Six members in epoch 1, of whom one learns only; one in its second life; one that left and came back; an
+/// epoch that is closed.
 fn sample_membership() -> Membership {
     let steps = [
         (401, Command::Admit { voter: next_life(voter(1)), known_epoch: 1 }),
@@ -90,7 +90,8 @@
     }
     log.compact(b"other parts").expect("a snapshot");
     keep(&mut log, &mut stored);
-    // A new voter as the last one: the entry is a change of voters, and is not agreed on while it does not answer.
+    // A new voter as the last one: the entry is a change of voters, and is not agreed on while it does not
+    // answer.
     log.propose(&Command::Admit { voter: voter(2), known_epoch: 3 }).expect("taken");
     keep(&mut log, &mut stored);
     stored
--- a/tests/golden_store/store.rs
+++ b/tests/golden_store/store.rs
@@ -1,4 +1,5 @@
-//! A voter's store: the file by `redb`, with its tables, keys and sealed records, and the mark file beside it.
+//! A voter's store: the file by `redb`, with its tables, keys and sealed records, and the mark file beside
+//! it.
 use std::collections::BTreeMap;
 use std::hash::Hasher;
 use std::path::{Path, PathBuf};
