--- a/src/net/cluster/driver.rs
+++ b/src/net/cluster/driver.rs
@@ -19,11 +19,11 @@
 use futures_lite::FutureExt;
 use slog::{info, warn, Logger};
 
-use super::clock::Clock;
+use super::clock::MachineClock;
 use super::execution::{Execution, WorkExecutor};
 use super::frames::{Frame, FrameError, Hello, VERSION};
 use super::outbox::Outbox;
-use crate::cluster::bootstrap::first_configuration::Founding;
+use crate::cluster::bootstrap::first_configuration::LoglessBootstrap;
 use crate::cluster::takeover::{
     ClientReply, ClientToken, Counters, ExecutionKey, SubmitRequest, TakeoverState,
 };
@@ -44,9 +44,9 @@
     zone: Rc<str>,
     members: Rc<[Member]>,
     max_frame_bytes: usize,
-    clock: Clock,
+    clock: MachineClock,
     takeover: RefCell<TakeoverState>,
-    founding: RefCell<Founding>,
+    founding: RefCell<LoglessBootstrap>,
     configuration: RefCell<Option<Configuration>>,
     /// The latest incarnation of each name that was seen.
     latest_incarnations: RefCell<BTreeMap<Rc<str>, u64>>,
@@ -71,10 +71,10 @@
 impl Driver {
     /// A member whose incarnation is the time of this call, with no connection yet.
     pub fn new(config: &ClusterConfig, log: Logger) -> Rc<Driver> {
-        let clock = Clock::start();
+        let clock = MachineClock::start();
         let me = MemberId::new(&config.name, clock.started_unix_us);
         let takeover = TakeoverState::new(me.clone(), config.rules.clone(), config.limits.clone());
-        let founding = Founding::new(clock.now(), me.clone(), config.members.clone());
+        let founding = LoglessBootstrap::new(clock.now(), me.clone(), config.members.clone());
         let others = config.members.iter().filter(|m| m.id.name != me.name);
         let outbox = || Rc::new(Outbox::new(config.max_queued_frames, config.max_frame_bytes));
         Rc::new(Driver {
@@ -252,7 +252,7 @@
         if self.reachable.borrow_mut().insert(id.name.clone(), true) != Some(true) {
             info!(self.log, "fleet member reached"; "member" => %id);
         }
-        self.founding.borrow_mut().heard(id, zone);
+        self.founding.borrow_mut().peer_seen(id, zone);
         self.with_takeover(|takeover, now| takeover.record_gossip(now, id, true));
     }
 
@@ -298,7 +298,7 @@
         loop {
             let changed = self.timer_changed.listen();
             let takeover_due = self.takeover.borrow().next_due();
-            let founding_due = self.founding.borrow().due();
+            let founding_due = self.founding.borrow().next_tick_at();
             let due = takeover_due.into_iter().chain(founding_due).min();
             self.timer_due.set(due);
             if due.is_none_or(|due| due > self.clock.now()) {
@@ -319,7 +319,7 @@
     async fn wait_until(&self, due: Option<Micros>) {
         match due {
             Some(due) => {
-                Timer::at(self.clock.at(due)).await;
+                Timer::at(self.clock.instant_at(due)).await;
             }
             None => std::future::pending().await,
         }
--- a/src/net/cluster/driver/actions.rs
+++ b/src/net/cluster/driver/actions.rs
@@ -71,11 +71,11 @@
         self.executions.borrow().get(&key).and_then(Weak::upgrade)
     }
 
-    fn apply_founding_action(&self, action: first_configuration::Act) {
+    fn apply_founding_action(&self, action: first_configuration::Action) {
         match action {
-            first_configuration::Act::Send { to, note } => self.send(&to, &Frame::Founding(note)),
-            first_configuration::Act::Formed(configuration) => self.configure(configuration),
-            first_configuration::Act::Differs(id) => {
+            first_configuration::Action::Send { to, message } => self.send(&to, &Frame::Founding(message)),
+            first_configuration::Action::Decided(configuration) => self.configure(configuration),
+            first_configuration::Action::ConfigurationMismatch(id) => {
                 self.warn("founding members differ", &id, &"its file names others, or other zones")
             }
         }
--- a/src/net/cluster/frames.rs
+++ b/src/net/cluster/frames.rs
@@ -6,7 +6,7 @@
 #![warn(missing_docs)]
 use prost::Message as _;
 
-use crate::cluster::bootstrap::first_configuration::Note;
+use crate::cluster::bootstrap::first_configuration::ConfigurationMessage;
 use crate::cluster::configuration::ConfigError;
 use crate::cluster::takeover::{Message, MessageError};
 use crate::cluster::{Configuration, Member, MemberId};
@@ -47,7 +47,7 @@
     /// A message of the takeover protocol.
     Takeover(Message),
     /// A message about the first configuration.
-    Founding(Note),
+    Founding(ConfigurationMessage),
 }
 
 const HELLO: u8 = 0;
@@ -112,7 +112,7 @@
     let frame = match *kind {
         HELLO => Frame::Hello(Hello::decode(body).map_err(FrameError::Malformed)?),
         TAKEOVER => Frame::Takeover(Message::from_bytes(body).map_err(FrameError::InvalidMessage)?),
-        _ => Frame::Founding(Note::decode(body).map_err(FrameError::Malformed)?),
+        _ => Frame::Founding(ConfigurationMessage::decode(body).map_err(FrameError::Malformed)?),
     };
     Ok(Some((frame, LENGTH_BYTES + length)))
 }
--- /dev/null
+++ b/tests/cluster_parts/bootstrap.rs
@@ -0,0 +1,293 @@
+//! Initial members of a cluster with a log, that lose messages, processes and disks.
+use std::collections::BTreeMap;
+use std::rc::Rc;
+
+use marlgap::cluster::bootstrap::{
+    Bootstrap, BootstrapAction, BootstrapError, BootstrapMessage, BootstrapState, InitialMembers,
+};
+use marlgap::cluster::consensus_log::Voter;
+use marlgap::cluster::{Member, MemberId};
+use rand_core::{RngCore, SeedableRng};
+use rand_pcg::Pcg64Mcg;
+
+fn voter(n: usize, incarnation: u64, disk: u64) -> Voter {
+    let id = MemberId::new(&format!("m{n}"), incarnation);
+    let address = ([127, 0, 0, 1], n as u16 + 1).into();
+    Voter { member: Member { id, zone: "z".into(), address }, disk_id: disk }
+}
+
+struct Process {
+    local: Voter,
+    bootstrap: Bootstrap,
+    disk: BootstrapState,
+    joined: Option<u64>,
+}
+
+/// What becomes of a member's disk when its process restarts.
+#[derive(Clone, Copy, PartialEq)]
+enum Disk {
+    Kept,
+    Lost,
+}
+
+/// The messages of one channel arrive in the order in which they were sent.
+#[derive(Clone, Copy, PartialEq)]
+struct Channel {
+    from: usize,
+    /// Of the sender.
+    incarnation: u64,
+    to: usize,
+}
+
+struct Play {
+    rng: Pcg64Mcg,
+    members: Vec<Process>,
+    network: Vec<(Channel, Vec<u8>)>,
+    errors: Vec<BootstrapError>,
+    /// By cluster id.
+    initial: BTreeMap<u64, InitialMembers>,
+    /// The cluster that could commit first.
+    decided: Option<u64>,
+    lost_disks: usize,
+}
+
+fn start(member_count: usize, local: Voter, disk: BootstrapState) -> Bootstrap {
+    let names: Vec<Rc<str>> = (0..member_count).map(|i| format!("m{i}").as_str().into()).collect();
+    Bootstrap::new("accra", &names, local, disk)
+}
+
+impl Play {
+    fn new(member_count: usize, seed: u64) -> Play {
+        let process = |i| {
+            let local = voter(i, 1, 100 + i as u64);
+            let bootstrap = start(member_count, local.clone(), BootstrapState::Empty);
+            Process { local, bootstrap, disk: BootstrapState::Empty, joined: None }
+        };
+        Play {
+            rng: Pcg64Mcg::seed_from_u64(seed),
+            members: (0..member_count).map(process).collect(),
+            network: Vec::new(),
+            errors: Vec::new(),
+            initial: BTreeMap::new(),
+            decided: None,
+            lost_disks: 0,
+        }
+    }
+
+    fn pick(&mut self, below: usize) -> usize {
+        (self.rng.next_u64() % below as u64) as usize
+    }
+
+    fn restart(&mut self, i: usize, incarnation: u64, fate: Disk) {
+        // Its connections are gone; what it sent before may still arrive.
+        self.network.retain(|(channel, _)| channel.to != i);
+        let member_count = self.members.len();
+        let member = &mut self.members[i];
+        let mut disk_id = member.local.disk_id;
+        if fate == Disk::Lost {
+            disk_id = 1000 * incarnation + i as u64;
+            member.disk = BootstrapState::Empty;
+            member.joined = None;
+        }
+        member.local = voter(i, incarnation, disk_id);
+        member.bootstrap = start(member_count, member.local.clone(), member.disk.clone());
+    }
+
+    fn act(&mut self, i: usize) {
+        self.act_up_to(i, usize::MAX);
+    }
+
+    /// Carries out the first `count` actions that are ready; the others are dropped.
+    fn act_up_to(&mut self, i: usize, count: usize) {
+        for action in self.members[i].bootstrap.ready().into_iter().take(count) {
+            match action {
+                BootstrapAction::PersistAccepted(members) => {
+                    self.members[i].disk = BootstrapState::Accepted(members)
+                }
+                BootstrapAction::Bootstrapped { cluster_id, members } => {
+                    self.initial.insert(cluster_id, members);
+                    self.join(i, cluster_id);
+                }
+                BootstrapAction::Join { cluster_id } => self.join(i, cluster_id),
+                BootstrapAction::Broadcast(message) => self.broadcast(i, &message),
+                BootstrapAction::Failed(error) => self.errors.push(error),
+            }
+        }
+    }
+
+    fn join(&mut self, i: usize, cluster_id: u64) {
+        self.members[i].disk = BootstrapState::Bootstrapped(cluster_id);
+        self.members[i].joined = Some(cluster_id);
+    }
+
+    fn broadcast(&mut self, from: usize, message: &BootstrapMessage) {
+        let incarnation = message.voter.member.id.incarnation;
+        let bytes = message.encode();
+        let receivers = (0..self.members.len()).filter(|to| *to != from);
+        self.network.extend(receivers.map(|to| (Channel { from, incarnation, to }, bytes.clone())));
+    }
+
+    /// One member acts, and messages arrive. Before `calm` there are faults.
+    fn round(&mut self, round: u64, calm: bool) {
+        let i = self.pick(self.members.len());
+        if self.pick(8) == 0 || self.network.is_empty() {
+            self.members[i].bootstrap.tick();
+        }
+        self.act(i);
+        for _ in 0..if calm { 4 } else { 1 } {
+            if self.network.is_empty() {
+                break;
+            }
+            self.deliver(round, calm);
+        }
+        if !calm && self.pick(40) == 0 {
+            // A minority of all disks is lost; what the old incarnation sent may still arrive.
+            let may_lose_disk = self.lost_disks < (self.members.len() - 1) / 2;
+            let disk = if may_lose_disk && self.pick(2) != 0 { Disk::Lost } else { Disk::Kept };
+            self.lost_disks += usize::from(disk == Disk::Lost);
+            self.restart(i, 4 + 2 * round, disk);
+        }
+    }
+
+    /// The messages of one incarnation arrive in order, those of an ended one perhaps after a later one's,
+    /// and some never: a member keeps announcing how far it is.
+    fn deliver(&mut self, round: u64, calm: bool) {
+        let picked = self.pick(self.network.len());
+        let channel = self.network[picked].0;
+        let first = self.network.iter().position(|(other, _)| *other == channel).expect("one");
+        let (Channel { to, .. }, bytes) = self.network.remove(first);
+        if !calm && self.pick(5) == 0 {
+            return;
+        }
+        self.members[to].bootstrap.receive(BootstrapMessage::decode(&bytes).expect("a message"));
+        if calm || self.pick(20) != 0 {
+            return self.act(to);
+        }
+        let count = self.pick(3);
+        self.act_up_to(to, count);
+        self.restart(to, 3 + 2 * round, Disk::Kept);
+    }
+
+    /// Whether a majority of the initial members' disks takes part in this cluster, so that it can commit.
+    fn can_commit(&self, cluster_id: u64, initial: &InitialMembers) -> bool {
+        let is_initial = |local: &Voter| {
+            let same = |voter: &Voter| {
+                voter.member.id.name == local.member.id.name && voter.disk_id == local.disk_id
+            };
+            initial.voters().iter().any(same)
+        };
+        let takes_part = |member: &&Process| member.joined == Some(cluster_id) && is_initial(&member.local);
+        2 * self.members.iter().filter(takes_part).count() > initial.voters().len()
+    }
+
+    fn check_one_cluster(&mut self, seed: u64) {
+        for (cluster_id, initial) in &self.initial {
+            if self.can_commit(*cluster_id, initial) {
+                let decided = self.decided.unwrap_or(*cluster_id);
+                assert_eq!(decided, *cluster_id, "seed {seed}: two clusters");
+                self.decided = Some(decided);
+            }
+        }
+    }
+
+    fn all_joined(&self) -> bool {
+        self.decided.is_some() && self.members.iter().all(|member| member.joined == self.decided)
+    }
+}
+
+#[test]
+fn one_cluster_is_bootstrapped_whichever_members_restart() {
+    let mut lost_disks = 0;
+    for seed in 0..2000u64 {
+        let member_count = 3 + 2 * (seed as usize % 2);
+        let mut play = Play::new(member_count, seed);
+        for round in 0..4000 {
+            let calm = round > 200;
+            play.round(round, calm);
+            play.check_one_cluster(seed);
+            if calm && play.all_joined() {
+                break;
+            }
+        }
+        lost_disks += play.lost_disks;
+        assert!(play.errors.is_empty(), "seed {seed}: {:?}", play.errors);
+        let joined: Vec<_> = play.members.iter().map(|member| member.joined).collect();
+        assert!(play.all_joined(), "seed {seed}: {joined:?}");
+    }
+    println!("{lost_disks} disks lost");
+    assert!(lost_disks > 600, "{lost_disks}");
+}
+
+#[test]
+fn a_lost_majority_and_another_cluster_are_left_to_the_operator() {
+    let names: Vec<Rc<str>> = ["m0", "m1", "m2"].map(Into::into).into();
+    let members = InitialMembers::new((0..3).map(|i| voter(i, 1, i as u64)).collect());
+    let mut left = Bootstrap::new("accra", &names, voter(0, 2, 0), BootstrapState::Accepted(members));
+    for i in 1..3 {
+        left.receive(BootstrapMessage { voter: voter(i, 2, 77), state: BootstrapState::Empty });
+    }
+    let lost = BootstrapError::MajorityLost(vec!["m1".into(), "m2".into()]);
+    assert!(left.ready().contains(&BootstrapAction::Failed(lost)), "both may have gone on without it");
+
+    let mut founded = Bootstrap::new("accra", &names, voter(0, 2, 0), BootstrapState::Bootstrapped(5));
+    founded.receive(BootstrapMessage { voter: voter(1, 1, 1), state: BootstrapState::Bootstrapped(6) });
+    let foreign = BootstrapError::OtherCluster { name: "m1".into(), cluster_id: 6 };
+    assert!(founded.ready().contains(&BootstrapAction::Failed(foreign)));
+    assert_eq!(founded.state(), &BootstrapState::Bootstrapped(5));
+}
+
+#[test]
+fn an_existing_cluster_is_joined_and_a_single_member_bootstraps_alone() {
+    let names: Vec<Rc<str>> = ["m0", "m1"].map(Into::into).into();
+    let mut new = Bootstrap::new("accra", &names, voter(0, 2, 9), BootstrapState::Empty);
+    new.receive(BootstrapMessage { voter: voter(1, 1, 1), state: BootstrapState::Bootstrapped(6) });
+    assert!(new.ready().contains(&BootstrapAction::Join { cluster_id: 6 }));
+    let mut alone = Bootstrap::new("accra", &names[..1], voter(0, 1, 9), BootstrapState::Empty);
+    let acts = alone.ready();
+    let accepted = acts.iter().position(|a| matches!(a, BootstrapAction::PersistAccepted(_)));
+    let started = acts.iter().position(|a| matches!(a, BootstrapAction::Bootstrapped { .. }));
+    assert!(accepted < started && accepted.is_some(), "{acts:?}");
+}
+
+#[test]
+fn a_state_is_durable_before_it_is_announced() {
+    let names: Vec<Rc<str>> = ["m0", "m1"].map(Into::into).into();
+    let mut member = Bootstrap::new("accra", &names, voter(0, 1, 0), BootstrapState::Empty);
+    let members = InitialMembers::new((0..2).map(|i| voter(i, 1, i as u64)).collect());
+    let at = |acts: &[BootstrapAction], what: &BootstrapAction| {
+        acts.iter().position(|a| a == what).expect("an act")
+    };
+    let announce = |state| BootstrapAction::Broadcast(BootstrapMessage { voter: voter(0, 1, 0), state });
+    member.receive(BootstrapMessage { voter: voter(1, 1, 1), state: BootstrapState::Empty });
+    let acts = member.ready();
+    assert!(
+        at(&acts, &BootstrapAction::PersistAccepted(members.clone()))
+            < at(&acts, &announce(BootstrapState::Accepted(members.clone()))),
+        "{acts:?}"
+    );
+    member.receive(BootstrapMessage {
+        voter: voter(1, 1, 1),
+        state: BootstrapState::Accepted(members.clone()),
+    });
+    let acts = member.ready();
+    let cluster = members.cluster_id("accra");
+    assert!(
+        at(&acts, &BootstrapAction::Bootstrapped { cluster_id: cluster, members })
+            < at(&acts, &announce(BootstrapState::Bootstrapped(cluster))),
+        "{acts:?}"
+    );
+}
+
+#[test]
+fn only_a_disk_of_the_accepted_set_releases_it() {
+    let names: Vec<Rc<str>> = ["m0", "m1", "m2"].map(Into::into).into();
+    let members = InitialMembers::new((0..3).map(|i| voter(i, 1, i as u64)).collect());
+    let mut member =
+        Bootstrap::new("accra", &names, voter(0, 1, 0), BootstrapState::Accepted(members.clone()));
+    // The disk that m1 had before may be the one with which the members was founded.
+    member.receive(BootstrapMessage { voter: voter(1, 2, 77), state: BootstrapState::Bootstrapped(6) });
+    assert_eq!(member.state(), &BootstrapState::Accepted(members));
+    member.receive(BootstrapMessage { voter: voter(2, 1, 2), state: BootstrapState::Bootstrapped(6) });
+    assert_eq!(member.state(), &BootstrapState::Bootstrapped(6));
+    assert!(member.ready().contains(&BootstrapAction::Join { cluster_id: 6 }));
+}
--- a/tests/fleet_parts/disk.rs
+++ b/tests/cluster_parts/store_faults.rs
@@ -1,6 +1,6 @@
-//! A voter's disk that fails for a while, or whose process is killed within a write: what was acknowledged is there, and
-//! what was taken on is written once the disk is sound again. The store runs in a process of its own, under the library
-//! that makes system calls fail.
+//! A voter's disk that fails for a while, or whose process is killed within a write: what was acknowledged is
+//! there, and what was taken on is written once the disk is sound again. The store runs in a process of its
+//! own, under the library that makes system calls fail.
 use std::path::{Path, PathBuf};
 use std::process::{Command, Output};
 
@@ -8,21 +8,22 @@
 use marlgap::net::cluster::store::Store;
 
 use crate::common::fault_library;
-use crate::store::{after, batch};
+use crate::voter_store::{after, batch};
 
 const CHILD: &str = "STORE_CHILD";
 const BATCHES: u64 = 40;
 /// Tries to open the store or to write a batch: far more than any run here needs.
 const TRIES: usize = 500;
 
-/// What the process under faults does: open the store, write on from where it is, and say what was acknowledged.
+/// What the process under faults does: open the store, write on from where it is, and say what was
+/// acknowledged.
 fn write_batches(path: &Path) {
     let opened = (0..TRIES).find_map(|_| Store::open(path, 77).ok());
     let (mut store, opened) = opened.expect("opened once the disk is sound");
     let written = opened.stored.entries.last().map_or(0, |(index, _)| *index);
     if written == 0 {
-        let stored = marlgap::cluster::consensus_log::Stored { cluster: 5, ..Default::default() };
-        assert!((0..TRIES).any(|_| store.begin(&stored, b"founded").is_ok()), "begun");
+        let stored = marlgap::cluster::consensus_log::StoredLog { cluster_id: 5, ..Default::default() };
+        assert!((0..TRIES).any(|_| store.initialize_log(&stored, b"founded").is_ok()), "begun");
     }
     for n in written + 1..=BATCHES {
         assert!((0..TRIES).any(|_| store.persist(&batch(n)).is_ok()), "batch {n} is owed");
@@ -51,7 +52,7 @@
 }
 
 #[test]
-fn what_was_taken_on_is_written_once_the_disk_is_sound_again() {
+fn owed_batches_are_written_once_the_disk_works_again() {
     if let Some(file) = std::env::var_os(CHILD) {
         return write_batches(Path::new(&file));
     }
@@ -62,7 +63,7 @@
         let (file, plan) =
             (folder.join("store"), Plan::create(&folder.join("faults"), seed).expect("a plan"));
         plan.arm(fault, 50, UNLIMITED).expect("armed");
-        let output = child("disk::what_was_taken_on_is_written_once_the_disk_is_sound_again", &file, &plan);
+        let output = child("store_faults::owed_batches_are_written_once_the_disk_works_again", &file, &plan);
         let fired = plan.fired(fault).expect("read");
         assert!(fired > 0, "{fault:?} never fired");
         let said = String::from_utf8_lossy(&output.stderr);
@@ -74,18 +75,19 @@
 }
 
 #[test]
-fn what_was_acknowledged_is_there_behind_a_kill_within_any_write() {
+fn acknowledged_batches_survive_a_kill_during_any_write() {
     if let Some(file) = std::env::var_os(CHILD) {
         return write_batches(Path::new(&file));
     }
     let folder = folder("disk_killed");
     let file = folder.join("store");
-    let (mut most, mut killed) = (0, 0);
+    let mut most = 0;
+    let mut killed = 0;
     for round in 0..60 {
         let plan = Plan::create(&folder.join("faults"), round).expect("a plan");
         plan.arm(Fault::KilledInWrite, ALWAYS / 30, 1).expect("armed");
         let output =
-            child("disk::what_was_acknowledged_is_there_behind_a_kill_within_any_write", &file, &plan);
+            child("store_faults::acknowledged_batches_survive_a_kill_during_any_write", &file, &plan);
         killed += plan.fired(Fault::KilledInWrite).expect("read");
         most = most.max(acknowledged(&output));
         let opened = Store::open(&file, 77);
--- a/tests/configuration.rs
+++ b/tests/configuration.rs
@@ -76,13 +76,19 @@
     let cluster = parse(VALID).expect("valid").cluster.expect("there");
     let names: Vec<_> = cluster.members.iter().map(|m| &*m.id.name).collect();
     assert_eq!((names, &*cluster.zone()), (vec!["c1", "c2"], "b"));
-    assert_eq!((cluster.store, cluster.frame), (Some("d/c2.redb".into()), 1 << 20));
-    assert_eq!((cluster.limits.works, cluster.limits.lease, cluster.limits.most_tries), (9, 250_000, 4));
+    assert_eq!((cluster.store, cluster.max_frame_bytes), (Some("d/c2.redb".into()), 1 << 20));
+    assert_eq!(
+        (cluster.limits.max_work_items, cluster.limits.lease, cluster.limits.max_attempts),
+        (9, 250_000, 4)
+    );
     let rules: Vec<_> = cluster.rules.iter().map(Option::is_some).collect();
     assert_eq!(rules, [false, true, false]);
     let rule = cluster.rules[1].clone().expect("protected");
     assert!(
-        rule.repeats && rule.guards == 3 && rule.slack_ms == 2500 && rule.when_full == WhenFull::Unprotected
+        rule.idempotent
+            && rule.group_size == 3
+            && rule.outcome_retention_ms == 2500
+            && rule.when_full == WhenFull::Unprotected
     );
     let plain = include_str!("../deploy/marlgap.json5");
     assert!(
--- a/tests/golden_store/frames.rs
+++ b/tests/golden_store/frames.rs
@@ -1,37 +1,40 @@
-//! Messages between voters: of each kind the first one that three voters send each other, as their connection has it.
+//! Messages between voters: of each kind the first one that three voters send each other, as their connection
+//! has it.
 use std::collections::VecDeque;
 use std::hash::Hasher;
 use std::rc::Rc;
 
-use marlgap::cluster::consensus_log::{voter, Command, Identity, Limits, Log, LogAct, Stored};
+use marlgap::cluster::consensus_log::{
+    voter_id, Command, ConsensusLog, Identity, Limits, LogAction, StoredLog,
+};
 use protobuf::Message as _;
 use raft::eraftpb::{Message, MessageType};
 
 use crate::fixture::{names, record, records, Records};
-use crate::sample::{seat, seats, CLUSTER};
+use crate::sample::{voter, voters, CLUSTER};
 
 /// Version, cluster and check come before the message.
 const HEAD: usize = 1 + 8 + 8;
 
 struct Trio {
-    logs: Vec<Log>,
+    logs: Vec<ConsensusLog>,
     /// Cut from the others.
     apart: Option<usize>,
     sent: Records,
 }
 
 fn name(number: usize) -> Rc<str> {
-    seat(number).member.id.name
+    voter(number).member.id.name
 }
 
 fn number(id: u64) -> usize {
-    (0..3).find(|n| voter(&name(*n), seat(*n).disk) == id).expect("a voter")
+    (0..3).find(|n| voter_id(&name(*n), voter(*n).disk_id) == id).expect("a voter")
 }
 
-fn start(number: usize) -> Log {
-    let stored = Stored::founded(CLUSTER, seats(3)).expect("a founded cluster");
-    let me = Identity { name: name(number), disk: seat(number).disk };
-    Log::new(me, stored, Limits { keep: 2, ..Limits::default() }).expect("a log")
+fn start(number: usize) -> ConsensusLog {
+    let stored = StoredLog::bootstrap(CLUSTER, voters(3)).expect("a founded cluster");
+    let me = Identity { name: name(number), disk_id: voter(number).disk_id };
+    ConsensusLog::new(me, stored, Limits { retained_entries: 2, ..Limits::default() }).expect("a log")
 }
 
 fn message(frame: &[u8]) -> Message {
@@ -46,8 +49,10 @@
             for (from, log) in self.logs.iter_mut().enumerate() {
                 for act in log.ready() {
                     match act {
-                        LogAct::Send { to, bytes } => wire.push_back((from, to, bytes)),
-                        LogAct::Compact => wire.extend(compact(log).into_iter().map(|(to, b)| (from, to, b))),
+                        LogAction::Send { to, bytes } => wire.push_back((from, to, bytes)),
+                        LogAction::Compact => {
+                            wire.extend(compact(log).into_iter().map(|(to, b)| (from, to, b)))
+                        }
                         _ => {}
                     }
                 }
@@ -65,15 +70,15 @@
     }
 
     fn tick(&mut self) {
-        self.logs.iter_mut().for_each(Log::tick);
+        self.logs.iter_mut().for_each(ConsensusLog::tick);
         self.settle();
     }
 }
 
-fn compact(log: &mut Log) -> Vec<(Rc<str>, Vec<u8>)> {
+fn compact(log: &mut ConsensusLog) -> Vec<(Rc<str>, Vec<u8>)> {
     log.compact(b"other parts").expect("a snapshot");
     let sends = |act| match act {
-        LogAct::Send { to, bytes } => Some((to, bytes)),
+        LogAction::Send { to, bytes } => Some((to, bytes)),
         _ => None,
     };
     log.ready().into_iter().filter_map(sends).collect()
@@ -82,11 +87,11 @@
 /// An election, entries, and a voter that was cut off so long that it needs a snapshot.
 fn first_of_each_kind() -> Records {
     let mut trio = Trio { logs: (0..3).map(start).collect(), apart: None, sent: Vec::new() };
-    while !trio.logs.iter().any(Log::leads) {
+    while !trio.logs.iter().any(ConsensusLog::is_leader) {
         trio.tick();
     }
     (0..4).for_each(|_| trio.tick());
-    let leader = trio.logs.iter().position(Log::leads).expect("a leader");
+    let leader = trio.logs.iter().position(ConsensusLog::is_leader).expect("a leader");
     trio.apart = Some((leader + 1) % 3);
     for step in 0..8u8 {
         trio.logs[leader].propose(&Command::Plan([b'p', step].as_slice().into())).expect("taken");
@@ -117,7 +122,7 @@
 }
 
 #[test]
-fn the_head_of_a_frame_is_version_cluster_and_check() {
+fn the_header_of_a_frame_is_version_cluster_and_checksum() {
     for (kind, frame) in records("frames.hex", first_of_each_kind) {
         let mut hasher = fnv::FnvHasher::default();
         hasher.write(&frame[HEAD..]);
@@ -129,7 +134,7 @@
 }
 
 #[test]
-fn a_voter_takes_the_frames_of_an_earlier_build() {
+fn a_voter_accepts_the_frames_of_an_earlier_build() {
     let golden = records("frames.hex", first_of_each_kind);
     for kind in ["MsgRequestPreVote", "MsgRequestVote", "MsgAppend", "MsgSnapshot"] {
         let frame = record(&golden, kind);
@@ -137,14 +142,14 @@
         let mut log = start(number(sent.to));
         log.receive(&name(number(sent.from)), frame).expect(kind);
         let acts = log.ready();
-        let answered = acts.iter().any(|act| matches!(act, LogAct::Send { .. }));
+        let answered = acts.iter().any(|act| matches!(act, LogAction::Send { .. }));
         assert!(answered, "{kind}: {acts:?}");
         if sent.get_msg_type() == MessageType::MsgSnapshot {
-            let restored = |act: &LogAct| match act {
-                LogAct::Restored { index, roster, others } => {
+            let restored = |act: &LogAction| match act {
+                LogAction::Restored { index, membership, application_state } => {
                     *index == sent.get_snapshot().get_metadata().index
-                        && roster.seats().cloned().collect::<Vec<_>>() == seats(3)
-                        && others == b"other parts"
+                        && membership.members().cloned().collect::<Vec<_>>() == voters(3)
+                        && application_state == b"other parts"
                 }
                 _ => false,
             };
@@ -155,7 +160,8 @@
 
 #[test]
 fn the_fields_of_each_message_are_read() {
-    // Term, term of the entry before, its index, where the log is agreed on, and how many entries come with it.
+    // Term, term of the entry before, its index, where the log is agreed on, and how many entries come with
+    // it.
     let fields = |(kind, frame): (String, Vec<u8>)| {
         let m = message(&frame);
         assert_eq!(format!("{:?}", m.get_msg_type()), kind);
--- a/tests/golden_store/store.rs
+++ b/tests/golden_store/store.rs
@@ -1,15 +1,16 @@
-//! A voter's store: the file by `redb`, with its tables, keys and sealed records, and the mark file beside it.
+//! A voter's store: the file by `redb`, with its tables, keys and sealed records, and the mark file beside
+//! it.
 use std::collections::BTreeMap;
 use std::hash::Hasher;
 use std::path::{Path, PathBuf};
 
-use marlgap::cluster::bootstrap::Set;
-use marlgap::cluster::consensus_log::{Batch, Hard, Stored};
-use marlgap::net::cluster::store::{Opened, Store};
+use marlgap::cluster::bootstrap::InitialMembers;
+use marlgap::cluster::consensus_log::{HardState, StoredLog, WriteBatch};
+use marlgap::net::cluster::store::{Store, StoreContents};
 use redb::{Database, ReadableDatabase, ReadableTable, TableDefinition, TableHandle};
 
 use crate::fixture::compressed;
-use crate::sample::{seats, CLUSTER, DISK};
+use crate::sample::{voters, CLUSTER, DISK};
 
 /// A folder that goes with the test.
 struct Folder(PathBuf);
@@ -37,34 +38,47 @@
 }
 
 const SNAPSHOT: &[u8] = b"a later snapshot of the state";
-const HARD: Hard = Hard { term: 0x0a01, vote: 0x0b02_0304_0506_0708, commit: 0x0c03 };
+const HARD: HardState = HardState { term: 0x0a01, vote: 0x0b02_0304_0506_0708, commit: 0x0c03 };
 
 fn entries() -> Vec<(u64, Vec<u8>)> {
     (0x0c02..0x0c06).map(|index| (index, format!("entry {index:x}").into_bytes())).collect()
 }
 
-fn stage() -> Vec<u8> {
-    Set::new(seats(3)).encode()
+fn bootstrap_state() -> Vec<u8> {
+    InitialMembers::new(voters(3)).encode()
 }
 
-fn expected() -> Opened {
-    let stored = Stored { cluster: CLUSTER, hard: HARD, snapshot: Some(SNAPSHOT.into()), entries: entries() };
-    Opened { disk: DISK, stage: stage(), stored }
+fn expected() -> StoreContents {
+    let stored = StoredLog {
+        cluster_id: CLUSTER,
+        hard_state: HARD,
+        snapshot: Some(SNAPSHOT.into()),
+        entries: entries(),
+    };
+    StoreContents { disk_id: DISK, bootstrap_state: bootstrap_state(), stored }
 }
 
 /// The generator: four batches, so that the last is the store's fifth transaction, counted from its making.
 fn write(path: &Path) {
     let (mut store, _) = Store::open(path, DISK).expect("a new store");
-    store.stage(b"an earlier stage").expect("written");
-    let first = Hard { term: 1, vote: 2, commit: 3 };
-    let begun =
-        Stored { cluster: CLUSTER, hard: first, snapshot: Some(b"first".into()), entries: Vec::new() };
-    store.begin(&begun, &stage()).expect("written");
+    store.write_bootstrap_state(b"an earlier stage").expect("written");
+    let first = HardState { term: 1, vote: 2, commit: 3 };
+    let initial = StoredLog {
+        cluster_id: CLUSTER,
+        hard_state: first,
+        snapshot: Some(b"first".into()),
+        entries: Vec::new(),
+    };
+    store.initialize_log(&initial, &bootstrap_state()).expect("written");
     let all = entries();
-    let batch = Batch { hard: first, entries: all[..2].to_vec(), ..Batch::default() };
+    let batch = WriteBatch { hard_state: first, entries: all[..2].to_vec(), ..WriteBatch::default() };
     store.persist(&batch).expect("written");
-    let batch =
-        Batch { hard: HARD, snapshot: Some(SNAPSHOT.into()), entries: all[2..].to_vec(), ..Batch::default() };
+    let batch = WriteBatch {
+        hard_state: HARD,
+        snapshot: Some(SNAPSHOT.into()),
+        entries: all[2..].to_vec(),
+        ..WriteBatch::default()
+    };
     store.persist(&batch).expect("written");
 }
 
@@ -87,13 +101,13 @@
 fn a_store_of_an_earlier_build_is_read() {
     let folder = inflate("read");
     let (store, opened) = Store::open(&folder.store(), 1).expect("opened");
-    assert_eq!(opened.disk, DISK);
-    assert_eq!(opened.stage, stage());
-    assert_eq!(Set::decode(&opened.stage).expect("a set").seats(), seats(3));
-    assert_eq!(opened.stored.cluster, CLUSTER);
-    assert_eq!(opened.stored.hard.term, HARD.term);
-    assert_eq!(opened.stored.hard.vote, HARD.vote);
-    assert_eq!(opened.stored.hard.commit, HARD.commit);
+    assert_eq!(opened.disk_id, DISK);
+    assert_eq!(opened.bootstrap_state, bootstrap_state());
+    assert_eq!(InitialMembers::decode(&opened.bootstrap_state).expect("members").voters(), voters(3));
+    assert_eq!(opened.stored.cluster_id, CLUSTER);
+    assert_eq!(opened.stored.hard_state.term, HARD.term);
+    assert_eq!(opened.stored.hard_state.vote, HARD.vote);
+    assert_eq!(opened.stored.hard_state.commit, HARD.commit);
     assert_eq!(opened.stored.snapshot.as_deref(), Some(SNAPSHOT));
     assert_eq!(opened.stored.entries, entries());
     assert_eq!(opened, expected());
@@ -101,10 +115,10 @@
 
     // It goes on from there, and is read again.
     let (mut store, _) = Store::open(&folder.store(), 1).expect("opened again");
-    store.stage(b"a later stage").expect("written");
+    store.write_bootstrap_state(b"a later stage").expect("written");
     drop(store);
     let (_, opened) = Store::open(&folder.store(), 1).expect("opened a third time");
-    assert_eq!(opened, Opened { stage: b"a later stage".to_vec(), ..expected() });
+    assert_eq!(opened, StoreContents { bootstrap_state: b"a later stage".to_vec(), ..expected() });
 }
 
 const META: TableDefinition<'_, &str, &[u8]> = TableDefinition::new("meta");
@@ -133,11 +147,12 @@
         let (key, value) = record.expect("a record");
         found.insert(key.value().to_string(), value.value().to_vec());
     }
-    let (count, last) = (4, 0x0c05);
+    let count = 4;
+    let last = 0x0c05;
     let head = [5, DISK, CLUSTER, HARD.term, HARD.vote, HARD.commit, count, last, 1];
     let head: Vec<u8> = head.iter().flat_map(|number: &u64| number.to_be_bytes()).collect();
     let mut wanted = BTreeMap::new();
-    for (key, bytes) in [("head", head), ("snapshot", SNAPSHOT.to_vec()), ("stage", stage())] {
+    for (key, bytes) in [("head", head), ("snapshot", SNAPSHOT.to_vec()), ("stage", bootstrap_state())] {
         wanted.insert(key.to_string(), sealed(key.as_bytes(), &bytes));
     }
     assert_eq!(found, wanted);
@@ -153,16 +168,18 @@
 }
 
 #[test]
-fn tables_keys_and_records_are_those_of_the_form() {
+fn tables_keys_and_records_are_those_of_the_format() {
     check_raw(&inflate("raw").store());
 }
 
 #[test]
 fn this_build_writes_the_same_tables_keys_records_and_mark() {
-    let (old, new) = (inflate("old"), Folder::new("new"));
+    let old = inflate("old");
+    let new = Folder::new("new");
     write(&new.store());
     check_raw(&new.store());
-    let (old, new) = (std::fs::read(old.mark()).expect("a mark"), std::fs::read(new.mark()).expect("a mark"));
+    let old = std::fs::read(old.mark()).expect("a mark");
+    let new = std::fs::read(new.mark()).expect("a mark");
     assert_eq!(new, old);
 }
 
