--- a/src/shard_layout/closed_timestamp.rs
+++ b/src/shard_layout/closed_timestamp.rs
@@ -1,190 +1,209 @@
-//! Closed time: up to when no change of the layout can come any more. The log closes times by its entries
-//! ([`Layouts::closed`]); between them the holder of the lease says more by plain messages, so that reads of the last
-//! moments need no entry of the log each.
+//! Closed timestamps: up to which time no change of the layout can come any more (as in CockroachDB). The log closes times
+//! by its entries ([`Layouts::closed`]); between them the holder of the lease promises later ones by plain messages, so
+//! that reads of the last moments need no log entry each.
 //!
-//! Invariant: **no change that is accepted, anywhere and ever, is valid at or before a time that a [`Known`] holds to
-//! be closed.** What is said is a lease's number, a place in the log and a time. A change behind that place and at or
-//! before that time would have to carry
-//! - that lease's number: only its holder gives it ([`Closer::stamp`], for this run of its process alone), and it
-//!   gives none at or before what it has said, and says nothing while an earlier one of its own is under way;
-//! - an earlier number: refused when it is applied, the lease having changed before that place;
-//! - a later number: then another lease was taken, and taking it closed, in the log itself, all up to the end of the
-//!   one before, behind which its holder says nothing. Such a change is refused when it is applied.
+//! Invariant: **no change that is accepted, anywhere and ever, is valid at or before a time that a
+//! [`ClosedTimestampTracker`] holds to be closed.** A promise is a lease's number, an index in the log and a time. A
+//! change behind that index and at or before that time would have to carry
+//! - that lease's number: only its holder gives it out ([`ClosedTimestampPublisher::propose`], for this incarnation
+//!   only), it gives out none at or before what it has promised, and promises nothing while an earlier one is in flight;
+//! - an earlier number: rejected when it is applied, since the lease changed before that index;
+//! - a later number: then another lease was taken, and taking it closed, in the log itself, all times up to the end of
+//!   the previous lease, beyond which its holder promises nothing. Such a change is rejected when it is applied.
 //!
-//! So a holder that is cut off, stopped or far behind may go on: what it says stays true. No clock and no time-out
-//! takes part. A new holder does not wait for a lease to run out; its changes must be valid after it.
+//! So a holder that is partitioned, stopped or far behind may go on: its promises stay true. No clock and no timeout
+//! takes part. A new holder does not wait for a lease to expire; its changes must be valid after it.
 use std::collections::BTreeMap;
 
-use super::change::{Change, Entry, Refused};
-use super::state::{Guard, Layouts};
-use super::Edit;
+use super::change::{Change, Edit, Entry};
+use super::error::ApplyError;
+use super::state::{Layouts, SafetyCheck};
 use crate::cluster::HybridTimestamp;
 
-/// Changes of its own that a holder has under way at most: they are planned by people, or by one plan at a time.
-const MOST_PENDING: usize = 1024;
+/// Changes of its own that a holder has in flight at most: they are planned by people, or by one plan at a time.
+const MAX_PENDING_CHANGES: usize = 1024;
 
-/// What the holder of a lease says to be closed. It holds for whoever has applied the log up to `index`.
+/// A promise by the holder of a lease that a time is closed. It holds for whoever has applied the log up to `index`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub struct Told {
+pub struct ClosedTimestampPromise {
+    /// The lease's number.
     pub lease: u64,
+    /// The log index that the holder had applied.
     pub index: u64,
+    /// The closed time.
     pub closed: HybridTimestamp,
 }
 
-/// The side that says what is closed and lets changes through: whoever leads the log.
+/// The side that promises closed times and lets changes through: the member that leads the log.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub struct Closer {
-    life: u64,
+pub struct ClosedTimestampPublisher {
+    incarnation: u64,
     lag_ms: u64,
-    span_ms: u64,
-    /// All that was ever said, under any lease of this life.
+    lease_ms: u64,
+    /// The latest time that was ever promised, under any lease of this incarnation.
     promised: HybridTimestamp,
-    /// Changes under way, by the time from which they would be valid, and on how many bases.
+    /// Base versions of the changes in flight, by the time from which they would be valid.
     pending: BTreeMap<HybridTimestamp, Vec<u64>>,
-    /// The lease that those were stamped under.
-    number: u64,
-    without: Option<u8>,
+    /// The lease that those were proposed under.
+    lease_number: u64,
+    /// As a number, since this type is hashed by the model checker and the check is not.
+    disabled_check: Option<u8>,
 }
 
-impl Closer {
-    /// `life` is this run of the process: a number that no other run of any member has. What is said lags `lag_ms`
-    /// behind the fleet's time; a lease reaches `span_ms` ahead of it.
-    pub fn new(life: u64, lag_ms: u64, span_ms: u64) -> Closer {
-        let promised = HybridTimestamp::ZERO;
-        Closer { life, lag_ms, span_ms, promised, pending: BTreeMap::new(), number: 0, without: None }
+impl ClosedTimestampPublisher {
+    /// `incarnation` identifies this run of the process: a number that no other run of any member has. Promises lag
+    /// `lag_ms` behind the cluster's time; a lease reaches `lease_ms` ahead of it.
+    pub fn new(incarnation: u64, lag_ms: u64, lease_ms: u64) -> ClosedTimestampPublisher {
+        ClosedTimestampPublisher {
+            incarnation,
+            lag_ms,
+            lease_ms,
+            promised: HybridTimestamp::ZERO,
+            pending: BTreeMap::new(),
+            lease_number: 0,
+            disabled_check: None,
+        }
     }
 
-    /// For finders alone.
+    /// Leaves out a check, for model checks only.
     #[doc(hidden)]
-    pub fn without(mut self, guard: Option<Guard>) -> Closer {
-        self.without = guard.map(|g| g as u8);
+    pub fn without_check(mut self, check: Option<SafetyCheck>) -> ClosedTimestampPublisher {
+        self.disabled_check = check.map(|check| check as u8);
         self
     }
 
-    fn keeps(&self, guard: Guard) -> bool {
-        self.without != Some(guard as u8)
+    fn enforces(&self, check: SafetyCheck) -> bool {
+        self.disabled_check != Some(check as u8)
     }
 
-    /// Whether this run holds the lease, as far as it has applied the log.
-    pub fn holds(&self, layouts: &Layouts) -> bool {
+    /// Whether this incarnation holds the lease, as far as it has applied the log.
+    pub fn holds_lease(&self, layouts: &Layouts) -> bool {
         let lease = layouts.lease();
-        lease.number > 0 && (lease.life == self.life || !self.keeps(Guard::Life))
+        let is_own = lease.incarnation == self.incarnation || !self.enforces(SafetyCheck::Incarnation);
+        lease.number > 0 && is_own
     }
 
-    /// The entry by which whoever leads the log takes the lease.
-    pub fn take(&self, layouts: &Layouts, now: HybridTimestamp) -> Entry {
-        self.entry(layouts.lease().number.saturating_add(1), now)
+    /// The entry by which the member that leads the log takes the lease.
+    pub fn acquire_lease(&self, layouts: &Layouts, now: HybridTimestamp) -> Entry {
+        self.lease_entry(layouts.lease().number.saturating_add(1), now)
     }
 
-    /// The entry that is due now to go on holding it, if one is: a third of its span before its end, so that a lost
-    /// proposal does no harm. A change of its own that is under way for a span may be lost, or may still come: it holds
-    /// closed time up, and the next number bars it.
-    pub fn renew(&self, layouts: &Layouts, now: HybridTimestamp) -> Option<Entry> {
-        if !self.holds(layouts) {
+    /// The entry that is due now to go on holding the lease, if one is: from a third of its span before its end, so
+    /// that a lost proposal does no harm. A change in flight for longer than a span may be lost, or may still come: it
+    /// holds the closed time up, and the next lease number bars it.
+    pub fn renew_lease(&self, layouts: &Layouts, now: HybridTimestamp) -> Option<Entry> {
+        if !self.holds_lease(layouts) {
             return None;
         }
         let lease = layouts.lease();
-        if self.pending.keys().next().is_some_and(|first| first.plus_ms(self.span_ms) < now) {
-            return Some(self.take(layouts, now));
+        let first_pending = self.pending.keys().next();
+        if first_pending.is_some_and(|first| first.plus_ms(self.lease_ms) < now) {
+            return Some(self.acquire_lease(layouts, now));
         }
-        let due = now.ms >= lease.until.ms.saturating_sub(self.span_ms / 3);
-        due.then(|| self.entry(lease.number, now))
+        let is_due = now.ms >= lease.until.ms.saturating_sub(self.lease_ms / 3);
+        is_due.then(|| self.lease_entry(lease.number, now))
     }
 
-    fn entry(&self, number: u64, now: HybridTimestamp) -> Entry {
-        Entry::Lease { number, life: self.life, until: now.plus_ms(self.span_ms), closed: self.promised }
+    fn lease_entry(&self, number: u64, now: HybridTimestamp) -> Entry {
+        let until = now.plus_ms(self.lease_ms);
+        Entry::Lease { number, incarnation: self.incarnation, until, closed: self.promised }
     }
 
-    /// Let a change through, to be proposed at once. `base` is the version that it was planned on. An error is what
-    /// applying it would say now, or that it would break what was said.
-    pub fn stamp(
+    /// Lets a change through: the entry must be proposed to the log at once. `base` is the version that the change was
+    /// planned on.
+    ///
+    /// # Errors
+    /// What applying it would return now, or that this incarnation holds no lease, that the change would break a
+    /// promise, or that too many changes are in flight.
+    pub fn propose(
         &mut self,
         layouts: &Layouts,
         base: u64,
-        valid: HybridTimestamp,
+        valid_from: HybridTimestamp,
         edits: Vec<Edit>,
-    ) -> Result<Entry, Refused> {
+    ) -> Result<Entry, ApplyError> {
         let lease = layouts.lease().number;
-        if !self.holds(layouts) {
-            return Err(Refused::Lease { now: lease });
+        if !self.holds_lease(layouts) {
+            return Err(ApplyError::LeaseMismatch { current: lease });
         }
-        if valid <= self.promised && self.keeps(Guard::Promise) {
-            return Err(Refused::Closed { closed: self.promised });
+        if valid_from <= self.promised && self.enforces(SafetyCheck::Promise) {
+            return Err(ApplyError::AtOrBeforeClosed { closed: self.promised });
         }
-        self.turn(lease);
-        if self.pending.values().map(Vec::len).sum::<usize>() >= MOST_PENDING {
-            return Err(Refused::Full { versions: MOST_PENDING });
+        self.forget_other_leases(lease);
+        if self.pending.values().map(Vec::len).sum::<usize>() >= MAX_PENDING_CHANGES {
+            return Err(ApplyError::TooManyVersions { versions: MAX_PENDING_CHANGES });
         }
-        let change = Change { base, lease, valid, ground: None, edits };
-        layouts.try_out(&change)?;
-        self.pending.entry(valid).or_default().push(base);
+        let change = Change { base, lease, valid_from, total_weight: None, edits };
+        layouts.preview(&change)?;
+        self.pending.entry(valid_from).or_default().push(base);
         Ok(Entry::Change(change))
     }
 
-    /// An entry of the log was applied, whatever came of it.
-    pub fn applied(&mut self, layouts: &Layouts, entry: &Entry) {
-        self.turn(layouts.lease().number);
-        if let Entry::Change(change) = entry {
-            if change.lease != self.number {
-                return;
-            }
-            if let Some(bases) = self.pending.get_mut(&change.valid) {
-                if let Some(place) = bases.iter().position(|b| *b == change.base) {
-                    bases.remove(place);
-                }
-                if bases.is_empty() {
-                    self.pending.remove(&change.valid);
-                }
-            }
+    /// To be called after each entry of the log, whether it was accepted or rejected. `layouts` has it applied.
+    pub fn on_applied(&mut self, layouts: &Layouts, entry: &Entry) {
+        self.forget_other_leases(layouts.lease().number);
+        let Entry::Change(change) = entry else { return };
+        if change.lease != self.lease_number {
+            return;
+        }
+        let Some(bases) = self.pending.get_mut(&change.valid_from) else { return };
+        if let Some(n) = bases.iter().position(|base| *base == change.base) {
+            bases.remove(n);
+        }
+        if bases.is_empty() {
+            self.pending.remove(&change.valid_from);
         }
     }
 
-    /// What was stamped under another lease is refused behind this one.
-    fn turn(&mut self, number: u64) {
-        if number != self.number {
+    /// Changes that were proposed under another lease are rejected behind the present one.
+    fn forget_other_leases(&mut self, number: u64) {
+        if number != self.lease_number {
             self.pending.clear();
-            self.number = number;
+            self.lease_number = number;
         }
     }
 
-    /// What can be said to be closed now; none where this run holds no lease.
-    pub fn tell(&mut self, layouts: &Layouts, now: HybridTimestamp) -> Option<Told> {
-        if !self.holds(layouts) {
+    /// The promise that can be made now; none where this incarnation holds no lease.
+    pub fn publish(&mut self, layouts: &Layouts, now: HybridTimestamp) -> Option<ClosedTimestampPromise> {
+        if !self.holds_lease(layouts) {
             return None;
         }
         let lease = layouts.lease();
-        self.turn(lease.number);
+        self.forget_other_leases(lease.number);
         let mut closed = now.less_ms(self.lag_ms);
-        if self.keeps(Guard::Until) {
+        if self.enforces(SafetyCheck::LeaseLimit) {
             closed = closed.min(lease.until);
         }
-        if let Some(first) = self.pending.keys().next().filter(|_| self.keeps(Guard::Pending)) {
-            closed = closed.min(first.prev());
+        if self.enforces(SafetyCheck::PendingChanges) {
+            if let Some(first) = self.pending.keys().next() {
+                closed = closed.min(first.prev());
+            }
         }
         self.promised = self.promised.max(closed);
-        Some(Told { lease: lease.number, index: layouts.applied(), closed: self.promised })
+        Some(ClosedTimestampPromise { lease: lease.number, index: layouts.applied(), closed: self.promised })
     }
 }
 
-/// What a member knows to be closed. It goes on knowing that while it is cut off.
+/// What a member knows to be closed. It stays true while the member is partitioned.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
-pub struct Known {
+pub struct ClosedTimestampTracker {
     closed: HybridTimestamp,
-    /// Said for places in the log that are not applied yet: the next to become true, and the last that came.
-    next: Option<Told>,
-    last: Option<Told>,
-    careless: bool,
+    /// Promises for indexes of the log that are not applied yet: the next to count, and the last that came.
+    next: Option<ClosedTimestampPromise>,
+    last: Option<ClosedTimestampPromise>,
+    ignores_index: bool,
 }
 
-impl Known {
-    pub fn new() -> Known {
-        Known::default()
+impl ClosedTimestampTracker {
+    /// Nothing is known to be closed.
+    pub fn new() -> ClosedTimestampTracker {
+        ClosedTimestampTracker::default()
     }
 
-    /// For finders alone.
+    /// Leaves out a check, for model checks only.
     #[doc(hidden)]
-    pub fn without(mut self, guard: Option<Guard>) -> Known {
-        self.careless = guard == Some(Guard::Index);
+    pub fn without_check(mut self, check: Option<SafetyCheck>) -> ClosedTimestampTracker {
+        self.ignores_index = check == Some(SafetyCheck::AppliedIndex);
         self
     }
 
@@ -193,23 +212,26 @@
         self.closed
     }
 
-    /// Something was said. What comes late or twice does no harm.
-    pub fn heard(&mut self, layouts: &Layouts, told: Told) {
-        if told.closed <= self.closed {
+    /// A promise came in. One that is late or a duplicate does no harm.
+    pub fn receive(&mut self, layouts: &Layouts, promise: ClosedTimestampPromise) {
+        if promise.closed <= self.closed {
             return;
         }
         match self.next {
-            Some(next) if next.index <= told.index => self.last = Some(told),
-            _ => self.next = Some(told),
+            Some(next) if next.index <= promise.index => self.last = Some(promise),
+            _ => self.next = Some(promise),
         }
-        self.applied(layouts);
+        self.on_applied(layouts);
     }
 
-    /// The log was applied up to where `layouts` is.
-    pub fn applied(&mut self, layouts: &Layouts) {
+    /// To be called after the log was applied up to where `layouts` is.
+    pub fn on_applied(&mut self, layouts: &Layouts) {
         self.closed = self.closed.max(layouts.closed());
-        while let Some(told) = self.next.filter(|t| t.index <= layouts.applied() || self.careless) {
-            self.closed = self.closed.max(told.closed);
+        while let Some(promise) = self.next {
+            if promise.index > layouts.applied() && !self.ignores_index {
+                break;
+            }
+            self.closed = self.closed.max(promise.closed);
             self.next = self.last.take();
         }
     }
--- a/src/shard_layout/route.rs
+++ b/src/shard_layout/route.rs
@@ -1,310 +1,358 @@
-//! Where the parts of a query go: by the layout that was valid at its time, to whoever keeps that history now.
+//! Where the parts of a query go: by the layout that was valid at the query's time, to the servers that retain that
+//! history now.
 //!
-//! Which tiles there were at a time is told by the version valid then; it can't change any more, since the time is
-//! closed. Who keeps their history is told by the version valid now: history moves. Where a tile's own holders are gone
-//! the ground is followed to its children, piece by piece, and pieces that meet again are one.
+//! Which tiles there were at a time is read from the version valid then; it can't change any more, since the time is
+//! closed. Who retains their history is read from the version valid now, since history moves. Where a tile's own holders
+//! are gone its area is followed to its children, piece by piece, and pieces that meet again are joined.
 //!
-//! Invariant: the weights of a part's sources and what is lost of it come to its weight, no more and no less. A source
-//! whose weight is not known (ground that was joined to other ground and then cut anew) counts only together with all
-//! others like it.
-use std::collections::BTreeMap;
-use std::fmt;
+//! Invariant: the weights of a part's sources and what is lost of it add up to its own weight. A source of unknown
+//! weight (area that was merged with other area and then split again) counts only together with all others like it.
+use std::collections::btree_map::{BTreeMap, Entry};
 
 use super::state::Layouts;
 use super::version::{Tile, Version};
-use super::{less, plus, zero, District, TileId, Weight};
+use super::{checked_add, checked_sub, zero, District, TileId, Weight};
 use crate::balancer::interface::ReplicaId;
 use crate::cluster::HybridTimestamp;
 
-/// Sources of one part at most: a finer cut is not followed, and what is left of the part is lost.
-pub const MOST_SOURCES: usize = 1024;
+/// Sources of one part at most: a finer split is not followed, and what is left of the part counts as lost.
+pub const MAX_SOURCES: usize = 1024;
 
-/// The time that a query is about.
+/// The time that a query is about (SQL's AS OF SYSTEM TIME).
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum At {
+pub enum ReadTimestamp {
+    /// The present, whenever the query is executed.
     Now,
-    Past(HybridTimestamp),
+    /// A time that is closed.
+    AsOf(HybridTimestamp),
 }
 
-impl At {
-    fn past(self) -> Option<HybridTimestamp> {
+impl ReadTimestamp {
+    fn as_of(self) -> Option<HybridTimestamp> {
         match self {
-            At::Now => None,
-            At::Past(at) => Some(at),
+            ReadTimestamp::Now => None,
+            ReadTimestamp::AsOf(at) => Some(at),
         }
     }
 }
 
-/// The ground that is asked for.
+/// The area that is asked for.
 #[derive(Clone, Copy, Debug)]
-pub enum Which<'a> {
-    /// By numbers, as they were then; each counts once.
+pub enum AreaSelector<'a> {
+    /// Tiles by their numbers, as they were then; each counts once.
     Tiles(&'a [TileId]),
+    /// All tiles of a district.
     District(District),
-    /// By the name that a district had then.
+    /// All tiles of the district that had this name then.
     Named(&'a str),
+    /// All tiles.
     All,
 }
 
-/// One of those that together answer for a tile.
+/// One of the tiles whose servers together answer for a part.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Source {
-    /// The tile whose servers are asked: the part's own, or one that its ground has come to.
-    pub ask: TileId,
-    /// How much of the part's ground lies there, where that is known.
+    /// The tile whose servers are asked: the part's own, or one that its area has come to.
+    pub target: TileId,
+    /// How much of the part's area lies there, where that is known.
     pub weight: Option<Weight>,
-    /// How much the whole of `ask` weighs.
-    pub size: Weight,
-    /// Which ground of `ask` is meant: all that lay in each tile of one of these chains.
-    pub ground: Vec<Chain>,
-    /// Never empty.
+    /// How much all of `target` weighs.
+    pub target_weight: Weight,
+    /// Which area of `target` is meant: the union of these lineages.
+    pub lineages: Vec<Lineage>,
+    /// The servers that may be asked; never empty.
     pub holders: Vec<ReplicaId>,
 }
 
-/// Ground by the tiles that it lay in: what is in all of them.
-pub type Chain = Vec<TileId>;
+/// Area by the tiles that it was in: what was in all of them.
+pub type Lineage = Vec<TileId>;
 
 impl Source {
-    /// The whole of `ask` is meant: a server needs to leave nothing out.
-    pub fn full(&self) -> bool {
-        self.weight == Some(self.size)
+    /// All of `target` is meant: a server need not leave anything out.
+    pub fn covers_target(&self) -> bool {
+        self.weight == Some(self.target_weight)
     }
 }
 
 /// A tile that was asked for.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Part {
+    /// The tile, as it was at the query's time.
     pub tile: TileId,
+    /// Its weight.
     pub weight: Weight,
+    /// Who together answers for it, in the order of their targets.
     pub sources: Vec<Source>,
-    /// How much of it nobody holds any more.
+    /// How much of it no server retains any more.
     pub lost: Weight,
 }
 
 /// Where a query goes.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Routed {
-    pub at: At,
-    /// The version that told the tiles, and the one that told who holds them.
+pub struct QueryPlan {
+    /// The time that the query is about.
+    pub at: ReadTimestamp,
+    /// The number of the version that says which tiles there were.
     pub version: u64,
-    pub holders: u64,
+    /// The number of the version that says who retains them.
+    pub holder_version: u64,
     /// In the order of the districts and tiles, each once.
     pub parts: Vec<Part>,
 }
 
-impl Routed {
+impl QueryPlan {
     /// The tiles of which something is lost.
-    pub fn missing(&self) -> impl Iterator<Item = TileId> + '_ {
-        self.parts.iter().filter(|p| *p.lost.numer() > 0).map(|p| p.tile)
+    pub fn tiles_with_loss(&self) -> impl Iterator<Item = TileId> + '_ {
+        self.parts.iter().filter(|part| *part.lost.numer() > 0).map(|part| part.tile)
     }
 }
 
 /// Why a query has no plan.
-#[derive(Clone, Debug, PartialEq, Eq)]
+#[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum ReadError {
-    /// What was then is kept no more.
+    /// The layout of that time is not retained any more.
+    #[error("before {horizon}, from when on history is kept")]
     BeforeHorizon {
+        /// The earliest time that can be read.
         horizon: HybridTimestamp,
     },
-    /// Not come yet; it is `now` here.
+    /// The time is still to come.
+    #[error("a time to come: it is {now}")]
     Future {
+        /// This member's time.
         now: HybridTimestamp,
     },
-    /// The layout of then may still change, as far as this member knows; it is when `closed` has passed that time.
-    NotYet {
+    /// The layout of that time may still change, as far as this member knows. The query may be repeated once `closed`
+    /// has passed its time.
+    #[error("the layout may still change from {closed} on; come back in {behind_ms} ms")]
+    NotClosed {
+        /// The latest time that this member knows to be closed.
         closed: HybridTimestamp,
+        /// How far that is behind the query's time, in milliseconds; 1 at least.
         behind_ms: u64,
     },
-    /// No such tile at that time.
-    NoTile {
+    /// There was no such tile at that time.
+    #[error("there was no tile {tile} then")]
+    UnknownTile {
+        /// The tile that was asked for.
         tile: TileId,
     },
-    NoDistrict {
+    /// There was no such district at that time.
+    #[error("there was no district '{name}' then")]
+    UnknownDistrict {
+        /// Its name, or its number where it was asked for by that.
         name: String,
     },
-    /// This member's clock is beyond the bound: it reads nothing of the past.
-    Withdrawn {
-        ahead_ms: i64,
-    },
-}
-
-impl fmt::Display for ReadError {
-    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        match self {
-            ReadError::BeforeHorizon { horizon } => {
-                write!(f, "before {horizon}, from when on history is kept")
-            }
-            ReadError::Future { now } => write!(f, "a time to come: it is {now}"),
-            ReadError::NotYet { closed, behind_ms } => {
-                write!(f, "the layout may still change from {closed} on; come back in {behind_ms} ms")
-            }
-            ReadError::NoTile { tile } => write!(f, "there was no tile {tile} then"),
-            ReadError::NoDistrict { name } => write!(f, "there was no district '{name}' then"),
-            ReadError::Withdrawn { ahead_ms } => {
-                write!(
-                    f,
-                    "this member's clock is {ahead_ms} ms behind the others': no reads in the past here"
-                )
-            }
-        }
-    }
 }
 
-impl std::error::Error for ReadError {}
-
 impl Layouts {
-    /// Plan a query about a time, or about now. `now` is this member's fleet time, `closed` what it knows to be closed
-    /// ([`super::Known::closed`]).
+    /// Plans a query. `now` is this member's time, `closed` what it knows to be closed
+    /// ([`ClosedTimestampTracker::closed`](super::ClosedTimestampTracker::closed)).
+    ///
+    /// # Errors
+    /// A time that can't be read, or an area that did not exist then.
     pub fn route(
         &self,
-        which: Which<'_>,
-        at: At,
+        selector: AreaSelector<'_>,
+        at: ReadTimestamp,
         now: HybridTimestamp,
         closed: HybridTimestamp,
-    ) -> Result<Routed, ReadError> {
-        if let At::Past(at) = at {
-            if at < self.horizon() {
-                return Err(ReadError::BeforeHorizon { horizon: self.horizon() });
-            }
-            if at > now {
-                return Err(ReadError::Future { now });
-            }
-            if at > closed {
-                let behind_ms = (at.ms - closed.ms).max(1);
-                return Err(ReadError::NotYet { closed, behind_ms });
-            }
+    ) -> Result<QueryPlan, ReadError> {
+        if let ReadTimestamp::AsOf(at) = at {
+            self.check_readable(at, now, closed)?;
         }
-        let then = self.version_at(at.past().unwrap_or(now));
-        let held = self.version_at(now);
-        let part = |id: TileId| {
-            let tile = then.alive(id).ok_or(ReadError::NoTile { tile: id })?;
-            Ok(part(held, id, tile.weight, at))
-        };
-        let district = |district: Option<District>, name: &dyn Fn() -> String| {
-            let there = district.filter(|d| then.district(*d).is_some());
-            there.ok_or_else(|| ReadError::NoDistrict { name: name() })
-        };
-        let parts: Result<Vec<Part>, ReadError> = match which {
-            Which::Tiles(tiles) => {
-                let mut tiles = tiles.to_vec();
-                tiles.sort_unstable();
-                tiles.dedup();
-                tiles.into_iter().map(part).collect()
-            }
-            Which::District(d) => then.tiles_of(district(Some(d), &|| d.0.to_string())?).map(part).collect(),
-            Which::Named(name) => {
-                then.tiles_of(district(then.named(name), &|| name.into())?).map(part).collect()
-            }
-            Which::All => then.all().map(part).collect(),
+        let read_version = self.version_at(at.as_of().unwrap_or(now));
+        let holder_version = self.version_at(now);
+        let plan_part = |id: TileId| {
+            let tile = read_version.live_tile(id).ok_or(ReadError::UnknownTile { tile: id })?;
+            Ok(plan_part(holder_version, id, tile.weight, at))
         };
-        Ok(Routed { at, version: then.number, holders: held.number, parts: parts? })
+        let parts = select(read_version, selector)?.into_iter().map(plan_part).collect::<Result<_, _>>()?;
+        Ok(QueryPlan { at, version: read_version.number, holder_version: holder_version.number, parts })
+    }
+
+    fn check_readable(
+        &self,
+        at: HybridTimestamp,
+        now: HybridTimestamp,
+        closed: HybridTimestamp,
+    ) -> Result<(), ReadError> {
+        if at < self.horizon() {
+            return Err(ReadError::BeforeHorizon { horizon: self.horizon() });
+        }
+        if at > now {
+            return Err(ReadError::Future { now });
+        }
+        if at > closed {
+            let behind_ms = (at.ms - closed.ms).max(1);
+            return Err(ReadError::NotClosed { closed, behind_ms });
+        }
+        Ok(())
+    }
+}
+
+/// The tiles that a selector means in a version, in the order of their parts.
+fn select(version: &Version, selector: AreaSelector<'_>) -> Result<Vec<TileId>, ReadError> {
+    match selector {
+        AreaSelector::Tiles(tiles) => {
+            let mut tiles = tiles.to_vec();
+            tiles.sort_unstable();
+            tiles.dedup();
+            Ok(tiles)
+        }
+        AreaSelector::District(district) if version.has_district(district) => {
+            Ok(version.tiles_in(district).collect())
+        }
+        AreaSelector::District(district) => Err(ReadError::UnknownDistrict { name: district.0.to_string() }),
+        AreaSelector::Named(name) => {
+            let district = version.district_named(name).filter(|district| version.has_district(*district));
+            let district = district.ok_or_else(|| ReadError::UnknownDistrict { name: name.into() })?;
+            Ok(version.tiles_in(district).collect())
+        }
+        AreaSelector::All => Ok(version.live_tiles().collect()),
     }
 }
 
-fn part(held: &Version, tile: TileId, weight: Weight, at: At) -> Part {
-    let ground = Ground { weight: Some(weight), chains: vec![vec![tile]] };
-    // Nearly always: its own holders are there.
-    let held_by = held.tile(tile).and_then(|t| holders(t, at));
-    if let Some(holders) = held_by {
-        return Part { tile, weight, sources: vec![ground.source(tile, weight, holders)], lost: zero() };
+fn plan_part(holder_version: &Version, tile: TileId, weight: Weight, at: ReadTimestamp) -> Part {
+    let area = Area { weight: Some(weight), lineages: vec![vec![tile]] };
+    // The common case: its own holders are there.
+    let own_holders = holder_version.tile(tile).and_then(|tile| holders(tile, at));
+    if let Some(holders) = own_holders {
+        let source = area.into_source(tile, weight, holders);
+        return Part { tile, weight, sources: vec![source], lost: zero() };
     }
-    let (sources, lost) = follow(held, BTreeMap::from([(tile, ground)]), weight, at);
-    Part { tile, weight, sources, lost }
+    let followed = follow(holder_version, BTreeMap::from([(tile, area)]), weight, at);
+    Part { tile, weight, sources: followed.sources, lost: followed.lost }
 }
 
-/// Some ground within a tile.
+/// Some area within a tile.
 #[derive(Clone, Debug)]
-pub(super) struct Ground {
+pub(super) struct Area {
+    /// Its weight, where that is known.
     pub weight: Option<Weight>,
-    pub chains: Vec<Chain>,
+    pub lineages: Vec<Lineage>,
 }
 
-impl Ground {
-    fn source(self, ask: TileId, size: Weight, holders: Vec<ReplicaId>) -> Source {
-        Source { ask, weight: self.weight, size, ground: self.chains, holders }
+impl Area {
+    fn into_source(self, target: TileId, target_weight: Weight, holders: Vec<ReplicaId>) -> Source {
+        Source { target, weight: self.weight, target_weight, lineages: self.lineages, holders }
     }
 
-    /// What comes of it in a child of its tile, which weighs `size`.
-    fn in_child(&self, tile: &Tile, child: TileId, size: Option<Weight>) -> Ground {
+    /// What comes of it in a child of its tile.
+    fn in_child(&self, tile: &Tile, child: TileId, child_weight: Option<Weight>) -> Area {
         if tile.children.len() == 1 {
-            // All of it went there, with more.
+            // A merge: all of it went there, with more.
             return self.clone();
         }
         if self.weight == Some(tile.weight) {
-            return Ground { weight: size, chains: vec![vec![child]] };
+            return Area { weight: child_weight, lineages: vec![vec![child]] };
         }
-        // How much of it came here, and how much to the others, nobody has told.
-        let chains = self.chains.iter().map(|c| c.iter().copied().chain([child]).collect()).collect();
-        Ground { weight: None, chains }
+        // How much of it came here, and how much to the other children, is not known.
+        let extended = |lineage: &Lineage| lineage.iter().copied().chain([child]).collect();
+        Area { weight: None, lineages: self.lineages.iter().map(extended).collect() }
     }
 
-    fn join(&mut self, other: Ground) {
-        self.weight = self.weight.zip(other.weight).and_then(|(a, b)| plus(a, b));
-        self.chains.extend(other.chains);
+    fn join(&mut self, other: Area) {
+        self.weight = self.weight.zip(other.weight).and_then(|(a, b)| checked_add(a, b));
+        self.lineages.extend(other.lineages);
     }
 }
 
-fn holders(tile: &Tile, at: At) -> Option<Vec<ReplicaId>> {
-    let holders = match at {
-        At::Now if tile.died.is_some() => return None,
-        at => tile.holders(at.past()),
-    };
+/// The servers that can answer for a tile at a time; `None` where there are none.
+fn holders(tile: &Tile, at: ReadTimestamp) -> Option<Vec<ReplicaId>> {
+    if at == ReadTimestamp::Now && !tile.is_live() {
+        return None;
+    }
+    let holders = tile.holders(at.as_of());
     (!holders.is_empty()).then_some(holders)
 }
 
-/// Follow ground to whoever holds it: through children where a tile's own holders are gone. It comes to `whole`, where
-/// all its weights are known. Also tells how much is lost.
+/// Where some area is now.
+pub(super) struct Followed {
+    /// In the order of their targets.
+    pub sources: Vec<Source>,
+    pub lost: Weight,
+}
+
+/// What is lost while area is followed.
+struct Loss {
+    /// The sum of the known weights; `None` once it does not fit 64 bits.
+    known: Option<Weight>,
+    /// Whether some area of unknown weight is lost.
+    has_unknown: bool,
+}
+
+/// Follows area to whoever retains it: through children where a tile's own holders are gone. `total` is what the area
+/// weighs together, where all its weights are known.
 ///
 /// Tiles are taken in the order in which they were made, so that all that meets in one has met before it is looked at.
 pub(super) fn follow(
-    held: &Version,
-    ground: BTreeMap<TileId, Ground>,
-    whole: Weight,
-    at: At,
-) -> (Vec<Source>, Weight) {
-    let made = |id: TileId| held.tile(id).map_or(0, |t| t.made);
-    let mut open: BTreeMap<(u64, TileId), Ground> =
-        ground.into_iter().map(|(id, g)| ((made(id), id), g)).collect();
+    version: &Version,
+    areas: BTreeMap<TileId, Area>,
+    total: Weight,
+    at: ReadTimestamp,
+) -> Followed {
+    let created_by = |id: TileId| version.tile(id).map_or(0, |tile| tile.created_by);
+    let mut open: BTreeMap<(u64, TileId), Area> =
+        areas.into_iter().map(|(id, area)| ((created_by(id), id), area)).collect();
     let mut sources: Vec<Source> = Vec::new();
-    // What is lost for certain; and whether some ground of a weight that is not known is.
-    let (mut lost, mut unknown_lost) = (Some(zero()), false);
-    while let Some(((_, id), mut ground)) = open.pop_first() {
-        let tile = held.tile(id);
-        if let Some(tile) = tile.filter(|t| ground.weight == Some(t.weight)) {
-            ground = Ground { weight: Some(tile.weight), chains: vec![vec![id]] };
+    let mut loss = Loss { known: Some(zero()), has_unknown: false };
+    while let Some(((_, id), mut area)) = open.pop_first() {
+        let tile = version.tile(id);
+        if tile.is_some_and(|tile| area.weight == Some(tile.weight)) {
+            area.lineages = vec![vec![id]];
         }
-        if let Some((tile, holders)) = tile.and_then(|t| Some((t, holders(t, at)?))) {
-            sources.push(ground.source(id, tile.weight, holders));
+        if let Some((tile, holders)) = tile.and_then(|tile| Some((tile, holders(tile, at)?))) {
+            sources.push(area.into_source(id, tile.weight, holders));
             continue;
         }
-        // A query of now follows the ground itself, one of the past its history.
-        let passes = |t: &&Tile| at.past().is_none_or(|at| t.passed.is_some_and(|from| from <= at));
-        let parted = tile.filter(passes).filter(|t| !t.children.is_empty());
-        let room = open.len() + sources.len() < MOST_SOURCES && ground.chains.len() < MOST_SOURCES;
-        let Some(tile) = parted.filter(|_| room) else {
-            match ground.weight {
-                Some(weight) => lost = lost.and_then(|l| plus(l, weight)),
-                None => unknown_lost = true,
-            }
+        let has_capacity = open.len() + sources.len() < MAX_SOURCES && area.lineages.len() < MAX_SOURCES;
+        let Some(tile) = tile.filter(|tile| has_capacity && passes_to_children(tile, at)) else {
+            loss.add(area.weight);
             continue;
         };
         for child in &tile.children {
-            let piece = ground.in_child(tile, *child, held.tile(*child).map(|c| c.weight));
-            match open.get_mut(&(made(*child), *child)) {
-                Some(there) => there.join(piece),
-                None => drop(open.insert((made(*child), *child), piece)),
+            let piece = area.in_child(tile, *child, version.tile(*child).map(|child| child.weight));
+            match open.entry((created_by(*child), *child)) {
+                Entry::Occupied(mut met) => met.get_mut().join(piece),
+                Entry::Vacant(free) => {
+                    free.insert(piece);
+                }
             }
         }
     }
-    if unknown_lost || lost.is_none() {
-        // Which share of what is not known is lost can't be told: all of it is.
-        sources.retain(|s| s.weight.is_some());
-        let known = sources.iter().try_fold(zero(), |sum, s| plus(sum, s.weight?));
-        lost = known.and_then(|known| less(whole, known));
+    let lost = loss.settle(&mut sources, total);
+    sources.sort_by_key(|source| source.target);
+    Followed { sources, lost }
+}
+
+/// A query of now follows the area itself, one of the past its history.
+fn passes_to_children(tile: &Tile, at: ReadTimestamp) -> bool {
+    let is_passed =
+        at.as_of().is_none_or(|at| tile.history_passed_from.is_some_and(|passed_from| passed_from <= at));
+    is_passed && !tile.children.is_empty()
+}
+
+impl Loss {
+    fn add(&mut self, weight: Option<Weight>) {
+        match weight {
+            Some(weight) => self.known = self.known.and_then(|lost| checked_add(lost, weight)),
+            None => self.has_unknown = true,
+        }
+    }
+
+    /// How much is lost in all. Where that includes area of unknown weight, all sources of unknown weight are given up
+    /// too, since their share of it is not known.
+    fn settle(&self, sources: &mut Vec<Source>, total: Weight) -> Weight {
+        if let (Some(lost), false) = (self.known, self.has_unknown) {
+            return lost;
+        }
+        sources.retain(|source| source.weight.is_some());
+        let known = sources.iter().try_fold(zero(), |sum, source| checked_add(sum, source.weight?));
+        let lost = known.and_then(|known| checked_sub(total, known));
         if lost.is_none() {
             sources.clear();
         }
+        lost.unwrap_or(total)
     }
-    sources.sort_by_key(|s| s.ask);
-    (sources, lost.unwrap_or(whole))
 }
--- a/src/shard_layout/state.rs
+++ b/src/shard_layout/state.rs
@@ -1,77 +1,100 @@
-//! The state machine: versions of the layout, the lease and closed time, as the log's entries make them. Applying one
-//! log gives one state on every member, since nothing else goes in.
+//! The state machine: versions of the layout, the lease and the closed time, as the entries of the log make them.
+//! Applying one log gives one state on every member, since nothing else goes in.
 //!
 //! Invariants:
-//! - versions are sorted by (time from which they are valid, place in the log);
-//! - **no change is accepted at or before `closed`**, and `closed` never falls. Kept here, at apply, everywhere alike:
-//!   who proposed it, and what it believed, does not matter;
-//! - when another life takes the lease, all that the one before may have said to be closed is closed: `until` of a
-//!   lease bounds that, and never falls. No clock takes part in this;
-//! - a refused entry changes nothing but the place in the log.
+//! - versions are sorted by (time from which they are valid, index in the log);
+//! - **no change is accepted at or before `closed`**, and `closed` never goes back. Enforced here, when an entry is
+//!   applied, on every member alike: who proposed it, and what it believed, does not matter;
+//! - when another incarnation takes the lease, all that the previous holder may have promised to be closed is closed:
+//!   `until` of a lease bounds that, and never goes back. No clock takes part in this;
+//! - a rejected entry changes nothing but the applied index.
 use std::fmt;
 use std::sync::Arc;
 
-use super::change::{Change, Entry, Refused};
-use super::limits::Limits;
-use super::version::{add_up, Version};
+use super::change::{Change, Entry};
+use super::error::{ApplyError, PlanError};
+use super::limits::LayoutLimits;
+use super::version::{check_total, AcceptedChange, ApplyMode, Version, VersionPosition};
 use crate::cluster::HybridTimestamp;
 
-/// How far ahead of all that is closed or leased a change may be: a year and a day. One at the end of time would be the last.
-pub const AHEAD_MS: u64 = 366 * 86_400_000;
+/// How far ahead of all that is closed or leased a change may be valid: a year and a day. A change at the end of time
+/// would be the last that could ever be made.
+pub const MAX_AHEAD_MS: u64 = 366 * 86_400_000;
 
-/// Who may propose changes and say what is closed.
+/// Who may propose changes and promise closed times.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
 pub struct Lease {
+    /// Goes up by one with each new lease; 0 before the first.
     pub number: u64,
-    /// A run of a process, by a number that no other run has: one that restarts has forgotten its promises.
-    pub life: u64,
-    /// The latest time that its holder may say to be closed.
+    /// The run of a process that holds it, by a number that no other run has: a process that restarts has forgotten
+    /// its promises.
+    pub incarnation: u64,
+    /// The latest time that its holder may promise to be closed.
     pub until: HybridTimestamp,
 }
 
 /// What an entry did.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Applied {
-    Version { number: u64, valid: HybridTimestamp },
-    Lease { number: u64, closed: HybridTimestamp },
-    Horizon { at: HybridTimestamp, versions: usize },
+pub enum ApplyOutcome {
+    /// A new version of the layout.
+    Version {
+        /// Its number.
+        number: u64,
+        /// From when on it is valid.
+        valid_from: HybridTimestamp,
+    },
+    /// A lease that was taken or renewed.
+    Lease {
+        /// Its number.
+        number: u64,
+        /// The latest closed time.
+        closed: HybridTimestamp,
+    },
+    /// A later horizon.
+    Horizon {
+        /// The horizon.
+        at: HybridTimestamp,
+        /// How many versions are still retained.
+        versions: usize,
+    },
 }
 
-/// A rule that keeps the invariants, by name: finders leave one out and must then find a broken order.
+/// A check that the invariants rest on. Model checks leave out one at a time, and must then find an order of events that
+/// breaks an invariant.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Guard {
-    /// Apply refuses a change at or before closed time.
-    Closed,
-    /// Another life's lease closes all up to the end of the one before.
-    LeaseEnd,
-    /// Apply refuses a change that was proposed under another lease.
+pub enum SafetyCheck {
+    /// A change at or before the closed time is rejected when it is applied.
+    ClosedTimestamp,
+    /// A lease of another incarnation closes all times up to the end of the previous lease.
+    PreviousLeaseEnd,
+    /// A change that was proposed under another lease is rejected when it is applied.
     LeaseNumber,
-    /// Apply refuses a change that was planned on another version.
-    Base,
-    /// The holder proposes nothing at or before what it said to be closed.
+    /// A change that was planned on another version is rejected when it is applied.
+    BaseVersion,
+    /// The holder proposes nothing at or before what it promised to be closed.
     Promise,
-    /// The holder says nothing to be closed at which a change of its own is under way.
-    Pending,
-    /// The holder says nothing to be closed behind its lease's end.
-    Until,
-    /// A run holds only leases that it took itself.
-    Life,
-    /// What was said counts only once the log up to it is applied.
-    Index,
+    /// The holder promises no time at which a change of its own is in flight.
+    PendingChanges,
+    /// The holder promises nothing after the end of its lease.
+    LeaseLimit,
+    /// An incarnation holds only leases that it took itself.
+    Incarnation,
+    /// A promise counts only once the log is applied up to its index.
+    AppliedIndex,
 }
 
-/// All layouts that are kept.
+/// All retained versions of the layout.
 #[derive(Clone)]
 pub struct Layouts {
-    pub(super) limits: Limits,
+    pub(super) limits: LayoutLimits,
     pub(super) applied: u64,
     pub(super) closed: HybridTimestamp,
     pub(super) horizon: HybridTimestamp,
     pub(super) lease: Lease,
     pub(super) versions: Vec<Version>,
-    /// The last of them.
+    /// A copy of the last of `versions`.
     pub(super) newest: Version,
-    without: Option<Guard>,
+    disabled_check: Option<SafetyCheck>,
 }
 
 impl fmt::Debug for Layouts {
@@ -81,7 +104,8 @@
 }
 
 impl Layouts {
-    pub fn new(limits: Limits) -> Layouts {
+    /// The state before the first entry of the log: one empty version, valid since ever.
+    pub fn new(limits: LayoutLimits) -> Layouts {
         Layouts {
             limits,
             applied: 0,
@@ -90,36 +114,43 @@
             lease: Lease::default(),
             versions: vec![Version::empty()],
             newest: Version::empty(),
-            without: None,
+            disabled_check: None,
         }
     }
 
-    /// For finders alone.
+    /// Leaves out a check, for model checks only.
     #[doc(hidden)]
-    pub fn without(mut self, guard: Option<Guard>) -> Layouts {
-        self.without = guard;
+    pub fn without_check(mut self, check: Option<SafetyCheck>) -> Layouts {
+        self.disabled_check = check;
         self
     }
 
-    /// The place in the log up to which all is applied.
+    fn enforces(&self, check: SafetyCheck) -> bool {
+        self.disabled_check != Some(check)
+    }
+
+    /// The log index up to which all entries are applied.
     pub fn applied(&self) -> u64 {
         self.applied
     }
 
-    /// No change valid at or before this comes any more, by the log alone; [`super::Known`] may know of more.
+    /// No change valid at or before this comes any more, by the log alone; a
+    /// [`ClosedTimestampTracker`](super::ClosedTimestampTracker) may know of a later time.
     pub fn closed(&self) -> HybridTimestamp {
         self.closed
     }
 
+    /// The earliest time that can be read: what was replaced by then is not retained.
     pub fn horizon(&self) -> HybridTimestamp {
         self.horizon
     }
 
+    /// The present lease; its number is 0 before the first one.
     pub fn lease(&self) -> Lease {
         self.lease
     }
 
-    /// The versions that are kept, in their order; the first is valid at the horizon.
+    /// The retained versions in their order. The first is valid at the horizon.
     pub fn versions(&self) -> &[Version] {
         &self.versions
     }
@@ -129,114 +160,131 @@
         &self.newest
     }
 
-    /// The version that is valid at a time: the last that is valid from then or before. Within one instant the last in
-    /// the log.
+    /// The version that is valid at a time: the last that is valid from then or before, and within one instant the last
+    /// in the log.
     pub fn version_at(&self, at: HybridTimestamp) -> &Version {
-        let after = self.versions.partition_point(|v| v.valid <= at);
+        let after = self.versions.partition_point(|version| version.valid_from <= at);
         self.versions.get(after.saturating_sub(1)).unwrap_or(&self.newest)
     }
 
-    /// Apply the log's entry at a place. An error says why it changed nothing, the same on each member.
-    pub fn apply(&mut self, index: u64, entry: &Entry) -> Result<Applied, Refused> {
+    /// Applies the entry of the log at `index`.
+    ///
+    /// # Errors
+    /// Why the entry changed nothing, equal on every member. The applied index advances all the same, except for an
+    /// entry that was applied before.
+    pub fn apply(&mut self, index: u64, entry: &Entry) -> Result<ApplyOutcome, ApplyError> {
         if index <= self.applied {
-            return Err(Refused::Replayed { applied: self.applied });
+            return Err(ApplyError::AlreadyApplied { applied: self.applied });
         }
         self.applied = index;
         match entry {
             Entry::Change(change) => {
-                let next = self.plan(index, change)?;
-                let done = Applied::Version { number: next.number, valid: next.valid };
+                let next = self.plan_version(index, change)?;
+                let outcome = ApplyOutcome::Version { number: next.number, valid_from: next.valid_from };
                 self.versions.push(next.clone());
                 self.newest = next;
-                Ok(done)
+                Ok(outcome)
+            }
+            Entry::Lease { number, incarnation, until, closed } => {
+                let lease = Lease { number: *number, incarnation: *incarnation, until: *until };
+                self.grant_lease(lease, *closed)
             }
-            Entry::Lease { number, life, until, closed } => self.grant(*number, *life, *until, *closed),
-            Entry::Horizon { at } => self.forget(*at),
+            Entry::Horizon { at } => self.advance_horizon(*at),
         }
     }
 
-    /// What applying a change would make now, without applying it: for whoever proposes one.
-    pub fn try_out(&self, change: &Change) -> Result<Version, Refused> {
-        self.plan(self.applied.saturating_add(1), change)
+    /// The version that applying a change would make now, without applying it: for whoever proposes one.
+    ///
+    /// # Errors
+    /// Why it would be rejected now.
+    pub fn preview(&self, change: &Change) -> Result<Version, ApplyError> {
+        self.plan_version(self.applied.saturating_add(1), change)
     }
 
-    fn plan(&self, index: u64, change: &Change) -> Result<Version, Refused> {
-        let last = self.newest();
-        let keeps = |guard| self.without != Some(guard);
-        if change.lease != self.lease.number && keeps(Guard::LeaseNumber) {
-            return Err(Refused::Lease { now: self.lease.number });
+    fn plan_version(&self, index: u64, change: &Change) -> Result<Version, ApplyError> {
+        let newest = self.newest();
+        if change.lease != self.lease.number && self.enforces(SafetyCheck::LeaseNumber) {
+            return Err(ApplyError::LeaseMismatch { current: self.lease.number });
         }
-        if change.base != last.number && keeps(Guard::Base) {
-            return Err(Refused::Base { now: last.number });
+        if change.base != newest.number && self.enforces(SafetyCheck::BaseVersion) {
+            return Err(ApplyError::BaseMismatch { current: newest.number });
         }
-        if change.valid <= self.closed && keeps(Guard::Closed) {
-            return Err(Refused::Closed { closed: self.closed });
+        if change.valid_from <= self.closed && self.enforces(SafetyCheck::ClosedTimestamp) {
+            return Err(ApplyError::AtOrBeforeClosed { closed: self.closed });
         }
-        if change.valid < last.valid {
-            return Err(Refused::Order { last: last.valid });
+        if change.valid_from < newest.valid_from {
+            return Err(ApplyError::BeforeLatestVersion { latest: newest.valid_from });
         }
-        let most = self.closed.max(self.lease.until).plus_ms(AHEAD_MS);
-        if change.valid > most && last.number > 0 {
-            return Err(Refused::Far { most });
+        let max = self.closed.max(self.lease.until).plus_ms(MAX_AHEAD_MS);
+        // The first version may be valid from any time: nothing is closed or leased before it.
+        if change.valid_from > max && newest.number > 0 {
+            return Err(ApplyError::TooFarAhead { max });
         }
         if self.versions.len() >= self.limits.versions {
-            return Err(Refused::Full { versions: self.versions.len() });
+            return Err(ApplyError::TooManyVersions { versions: self.versions.len() });
         }
         let edits: Arc<[_]> = change.edits.clone().into();
-        let next = last.next((change.valid, index), &edits, &self.limits, false)?;
-        if let Some(ground) = change.ground {
-            add_up(next.ground, ground)?;
+        let position = VersionPosition { valid_from: change.valid_from, index };
+        let next = newest.next(position, &edits, &self.limits, ApplyMode::New)?;
+        if let Some(total_weight) = change.total_weight {
+            check_total(next.total_weight, total_weight)?;
         }
         Ok(next)
     }
 
-    fn grant(
-        &mut self,
-        number: u64,
-        life: u64,
-        until: HybridTimestamp,
-        closed: HybridTimestamp,
-    ) -> Result<Applied, Refused> {
+    fn grant_lease(&mut self, lease: Lease, closed: HybridTimestamp) -> Result<ApplyOutcome, ApplyError> {
         let before = self.lease;
-        let renewed = number == before.number && life == before.life;
-        let taken = before.number.checked_add(1) == Some(number);
-        if !renewed && !taken {
-            return Err(Refused::Lease { now: before.number });
+        let is_renewal = lease.number == before.number && lease.incarnation == before.incarnation;
+        let is_next = before.number.checked_add(1) == Some(lease.number);
+        if !is_renewal && !is_next {
+            return Err(ApplyError::LeaseMismatch { current: before.number });
         }
-        if life != before.life && self.without != Some(Guard::LeaseEnd) {
+        if lease.incarnation != before.incarnation && self.enforces(SafetyCheck::PreviousLeaseEnd) {
             self.closed = self.closed.max(before.until);
         }
         self.closed = self.closed.max(closed);
-        self.lease = Lease { number, life, until: before.until.max(until).max(self.closed) };
-        Ok(Applied::Lease { number, closed: self.closed })
+        self.lease = Lease { until: before.until.max(lease.until).max(self.closed), ..lease };
+        Ok(ApplyOutcome::Lease { number: lease.number, closed: self.closed })
     }
 
-    /// The versions behind the horizon go; the last of them is the first that is kept, without what was gone by then. Those
-    /// after it are made anew from it, so that they go on sharing.
-    fn forget(&mut self, at: HybridTimestamp) -> Result<Applied, Refused> {
+    /// Drops the versions before the horizon. The last of them is the first that is retained, without what was retired by
+    /// then; those after it are made again from it, so that they go on sharing their maps.
+    fn advance_horizon(&mut self, at: HybridTimestamp) -> Result<ApplyOutcome, ApplyError> {
         if at < self.horizon || at > self.closed {
-            return Err(Refused::Horizon { horizon: self.horizon, closed: self.closed });
+            return Err(ApplyError::HorizonOutOfRange { horizon: self.horizon, closed: self.closed });
         }
-        let first = self.versions.partition_point(|v| v.valid <= at).saturating_sub(1);
-        let base = self.versions.get(first).map(|v| v.pruned(at));
+        let first = self.versions.partition_point(|version| version.valid_from <= at).saturating_sub(1);
+        let base = self.versions.get(first).map(|version| version.pruned(at));
         let base = base.unwrap_or_else(Version::empty);
-        let later = self.versions.iter().skip(first + 1).map(|v| ((v.valid, v.index), v.edits.clone()));
-        (self.versions, self.newest) = replay(base, later, &self.limits)?;
+        let later = self.versions.iter().skip(first + 1);
+        let later = later
+            .map(|version| AcceptedChange { position: version.position(), edits: version.edits.clone() });
+        let replayed = replay(base, later, &self.limits)?;
+        self.versions = replayed.versions;
+        self.newest = replayed.newest;
         self.horizon = at;
-        Ok(Applied::Horizon { at, versions: self.versions.len() })
+        Ok(ApplyOutcome::Horizon { at, versions: self.versions.len() })
     }
 }
 
-/// Versions out of a first one and the changes behind it, and the last of them once more.
+/// Versions that were made again.
+pub(super) struct Replayed {
+    pub versions: Vec<Version>,
+    /// A copy of the last of them.
+    pub newest: Version,
+}
+
+/// Makes versions out of a first one and the changes behind it.
 pub(super) fn replay(
     base: Version,
-    later: impl Iterator<Item = ((HybridTimestamp, u64), Arc<[super::Edit]>)>,
-    limits: &Limits,
-) -> Result<(Vec<Version>, Version), super::PlanError> {
-    let (mut versions, mut last) = (vec![base.clone()], base);
-    for (place, edits) in later {
-        last = last.next(place, &edits, limits, true)?;
-        versions.push(last.clone());
-    }
-    Ok((versions, last))
+    later: impl Iterator<Item = AcceptedChange>,
+    limits: &LayoutLimits,
+) -> Result<Replayed, PlanError> {
+    let mut versions = vec![base.clone()];
+    let mut newest = base;
+    for change in later {
+        newest = newest.next(change.position, &change.edits, limits, ApplyMode::Replay)?;
+        versions.push(newest.clone());
+    }
+    Ok(Replayed { versions, newest })
 }
--- a/src/shard_layout/version/edit.rs
+++ b/src/shard_layout/version/edit.rs
@@ -1,183 +1,272 @@
-//! The steps of a change, made in a version that is not given out before all of them are.
+//! The edits of a change, applied to a copy of a version that is not given out before all of them are applied. An edit
+//! that is rejected may have changed some of the copy, which the caller then discards.
 use std::collections::BTreeSet;
 use std::sync::Arc;
 
-use super::{add_up, Keep, Tile, Version};
+use super::{check_total, Retention, Tile, Version};
 use crate::balancer::interface::ReplicaId;
 use crate::cluster::HybridTimestamp;
-use crate::shard_layout::change::{Edit, History, Piece, PlanError};
-use crate::shard_layout::limits::Limits;
-use crate::shard_layout::{less, plus, zero, District, TileId};
+use crate::shard_layout::change::{Edit, HistoryTransfer, Piece};
+use crate::shard_layout::error::PlanError;
+use crate::shard_layout::limits::LayoutLimits;
+use crate::shard_layout::{checked_add, checked_sub, zero, District, TileId, Weight};
+
+/// A tile that replaces others.
+struct NewTile<'a> {
+    tile: TileId,
+    weight: Weight,
+    district: District,
+    servers: &'a [ReplicaId],
+    parents: Vec<TileId>,
+    /// From when on its servers have its history.
+    history_from: HybridTimestamp,
+}
 
 impl Version {
-    /// Make one step; `touched` are the tiles of the steps before, each of which may change once. A step that is refused may have
-    /// changed some of this version, which is then given up.
-    pub(super) fn edit(
+    /// Applies one edit. `touched` are the tiles of the edits before it, each of which may change once in a change.
+    pub(super) fn apply_edit(
         &mut self,
         edit: &Edit,
-        limits: &Limits,
+        limits: &LayoutLimits,
         touched: &mut BTreeSet<TileId>,
     ) -> Result<(), PlanError> {
-        let mut once = |tile: TileId| match touched.insert(tile) {
-            true => Ok(()),
-            false => Err(PlanError::Twice(tile)),
-        };
         match edit {
             Edit::Add { tile, weight, district, servers } => {
-                once(*tile)?;
-                self.ground = plus(self.ground, *weight).ok_or(PlanError::Overflow(*tile))?;
-                let piece = Piece { tile: *tile, weight: *weight, servers: servers.clone() };
-                self.make(&piece, *district, Vec::new(), self.valid, limits)
+                touch(touched, *tile)?;
+                self.add(*tile, *weight, *district, servers, limits)
             }
             Edit::Split { tile, into, history } => {
-                once(*tile)?;
-                let old = self.alive(*tile).ok_or(PlanError::Unknown(*tile))?.clone();
-                if into.len() < 2 {
-                    return Err(PlanError::Few(*tile));
-                }
-                let sum = into.iter().try_fold(zero(), |sum, p| plus(sum, p.weight));
-                add_up(sum.ok_or(PlanError::Overflow(*tile))?, old.weight)?;
-                let from = self.end(*tile, *history, into.iter().map(|p| p.tile).collect())?;
-                for piece in into {
-                    once(piece.tile)?;
-                    self.make(piece, old.district, vec![*tile], from, limits)?;
-                }
-                Ok(())
+                touch(touched, *tile)?;
+                self.split(*tile, into, *history, limits, touched)
             }
             Edit::Merge { tiles, into, district, servers, history } => {
-                once(*into)?;
-                if tiles.len() < 2 {
-                    return Err(PlanError::Few(*into));
-                }
-                let (mut weight, mut from) = (zero(), self.valid);
-                for tile in tiles {
-                    once(*tile)?;
-                    let old = self.alive(*tile).ok_or(PlanError::Unknown(*tile))?;
-                    weight = plus(weight, old.weight).ok_or(PlanError::Overflow(*tile))?;
-                    // What one of them lacks of this is told by its own `passed`.
-                    from = from.min(self.end(*tile, *history, vec![*into])?);
-                }
-                let piece = Piece { tile: *into, weight, servers: servers.clone() };
-                self.make(&piece, *district, tiles.clone(), from, limits)
+                touch(touched, *into)?;
+                let merged = NewTile {
+                    tile: *into,
+                    weight: zero(),
+                    district: *district,
+                    servers,
+                    parents: tiles.clone(),
+                    history_from: self.valid_from,
+                };
+                self.merge(merged, *history, limits, touched)
             }
             Edit::Move { tile, servers, history } => {
-                once(*tile)?;
-                check_servers(*tile, servers, limits)?;
-                let valid = self.valid;
-                let held = self.change(*tile).filter(|t| t.died.is_none());
-                let held = held.ok_or(PlanError::Unknown(*tile))?;
-                let from = if *history == History::Stays { valid } else { held.reach(valid) };
-                held.leave(valid, *history, servers);
-                for server in servers {
-                    match held.keeps.iter_mut().find(|k| k.server == *server && k.until.is_none()) {
-                        Some(keep) => keep.from = keep.from.min(from),
-                        None => held.keeps.push(Keep { server: *server, from, until: None }),
-                    }
-                }
-                fits(*tile, held, limits)
+                touch(touched, *tile)?;
+                self.move_tile(*tile, servers, *history, limits)
             }
-            Edit::Retire { tile, keeps } => {
-                once(*tile)?;
-                let weight = self.alive(*tile).ok_or(PlanError::Unknown(*tile))?.weight;
-                self.ground = less(self.ground, weight).ok_or(PlanError::Overflow(*tile))?;
-                let history = if *keeps { History::Stays } else { History::Moves };
-                self.end(*tile, history, Vec::new()).map(|_| ())
+            Edit::Retire { tile, keep_history } => {
+                touch(touched, *tile)?;
+                let history =
+                    if *keep_history { HistoryTransfer::StayWithOld } else { HistoryTransfer::MoveToNew };
+                self.retire(*tile, history)
             }
-            Edit::Assign { tile, district } => {
-                let held = self.change(*tile).filter(|t| t.died.is_none());
-                let held = held.ok_or(PlanError::Unknown(*tile))?;
-                let before = std::mem::replace(&mut held.district, *district);
-                self.part(*tile, before);
-                self.place(*district).tiles.insert(*tile);
-                Ok(())
-            }
-            Edit::Name { district, name } => self.name(*district, name.clone()),
-            Edit::Keep { tile, server, from, until } => {
-                let valid = self.valid;
-                let held = self.change(*tile).ok_or(PlanError::Unknown(*tile))?;
-                let end = until.unwrap_or(valid);
-                if *from > end || end > held.died.unwrap_or(valid) || (held.died.is_some() && until.is_none())
-                {
-                    return Err(PlanError::Span(*tile));
-                }
-                held.keeps.retain(|k| k.server != *server);
-                if until.is_none_or(|until| *from < until) {
-                    held.keeps.push(Keep { server: *server, from: *from, until: *until });
-                }
-                fits(*tile, held, limits)
+            Edit::AssignDistrict { tile, district } => self.assign_district(*tile, *district),
+            Edit::NameDistrict { district, name } => self.name_district(*district, name.clone()),
+            Edit::SetRetention { tile, server, from, until } => {
+                let retention = Retention { server: *server, from: *from, until: *until };
+                self.set_retention(*tile, retention, limits)
             }
         }
     }
 
-    /// A new tile, with what history comes to it.
-    fn make(
+    fn add(
         &mut self,
-        piece: &Piece,
+        tile: TileId,
+        weight: Weight,
         district: District,
-        parents: Vec<TileId>,
-        from: HybridTimestamp,
-        limits: &Limits,
+        servers: &[ReplicaId],
+        limits: &LayoutLimits,
+    ) -> Result<(), PlanError> {
+        self.total_weight = checked_add(self.total_weight, weight).ok_or(PlanError::WeightOverflow(tile))?;
+        let history_from = self.valid_from;
+        let added = NewTile { tile, weight, district, servers, parents: Vec::new(), history_from };
+        self.insert_new(added, limits)
+    }
+
+    fn split(
+        &mut self,
+        tile: TileId,
+        into: &[Piece],
+        history: HistoryTransfer,
+        limits: &LayoutLimits,
+        touched: &mut BTreeSet<TileId>,
     ) -> Result<(), PlanError> {
-        let Piece { tile, weight, servers } = piece;
-        check_servers(*tile, servers, limits)?;
-        if *weight.numer() == 0 {
-            return Err(PlanError::Weightless(*tile));
+        let old = self.live_tile(tile).ok_or(PlanError::UnknownTile(tile))?;
+        let old_weight = old.weight;
+        let district = old.district;
+        if into.len() < 2 {
+            return Err(PlanError::TooFewTiles(tile));
         }
-        if self.tiles.contains_key(tile) {
-            return Err(PlanError::Taken(*tile));
+        let sum = into.iter().try_fold(zero(), |sum, piece| checked_add(sum, piece.weight));
+        check_total(sum.ok_or(PlanError::WeightOverflow(tile))?, old_weight)?;
+        let children = into.iter().map(|piece| piece.tile).collect();
+        let history_from = self.end_tile(tile, history, children)?;
+        for piece in into {
+            touch(touched, piece.tile)?;
+            let new = NewTile {
+                tile: piece.tile,
+                weight: piece.weight,
+                district,
+                servers: &piece.servers,
+                parents: vec![tile],
+                history_from,
+            };
+            self.insert_new(new, limits)?;
         }
-        let made = Tile {
-            born: self.valid,
-            died: None,
-            made: self.number,
-            weight: *weight,
-            district,
-            parents,
+        Ok(())
+    }
+
+    /// `merged` comes without weight and history; its parents say what it is made of.
+    fn merge(
+        &mut self,
+        mut merged: NewTile<'_>,
+        history: HistoryTransfer,
+        limits: &LayoutLimits,
+        touched: &mut BTreeSet<TileId>,
+    ) -> Result<(), PlanError> {
+        if merged.parents.len() < 2 {
+            return Err(PlanError::TooFewTiles(merged.tile));
+        }
+        for parent in &merged.parents {
+            touch(touched, *parent)?;
+            let old = self.live_tile(*parent).ok_or(PlanError::UnknownTile(*parent))?;
+            merged.weight =
+                checked_add(merged.weight, old.weight).ok_or(PlanError::WeightOverflow(*parent))?;
+            // A parent that has less history than the others says so by its own `history_passed_from`.
+            let passed_from = self.end_tile(*parent, history, vec![merged.tile])?;
+            merged.history_from = merged.history_from.min(passed_from);
+        }
+        self.insert_new(merged, limits)
+    }
+
+    fn move_tile(
+        &mut self,
+        id: TileId,
+        servers: &[ReplicaId],
+        history: HistoryTransfer,
+        limits: &LayoutLimits,
+    ) -> Result<(), PlanError> {
+        check_servers(id, servers, limits)?;
+        let moved_at = self.valid_from;
+        let tile = self.tile_mut(id).filter(|tile| tile.is_live()).ok_or(PlanError::UnknownTile(id))?;
+        let from = tile.transferred_from(history, moved_at);
+        tile.end_service(moved_at, history, servers);
+        for server in servers {
+            let serving = tile.retentions.iter_mut().find(|r| r.server == *server && r.is_serving());
+            match serving {
+                Some(retention) => retention.from = retention.from.min(from),
+                None => tile.retentions.push(Retention { server: *server, from, until: None }),
+            }
+        }
+        check_retentions(tile, limits)
+    }
+
+    fn retire(&mut self, tile: TileId, history: HistoryTransfer) -> Result<(), PlanError> {
+        let weight = self.live_tile(tile).ok_or(PlanError::UnknownTile(tile))?.weight;
+        self.total_weight = checked_sub(self.total_weight, weight).ok_or(PlanError::WeightOverflow(tile))?;
+        self.end_tile(tile, history, Vec::new())?;
+        Ok(())
+    }
+
+    fn assign_district(&mut self, id: TileId, district: District) -> Result<(), PlanError> {
+        let tile = self.tile_mut(id).filter(|tile| tile.is_live()).ok_or(PlanError::UnknownTile(id))?;
+        let before = std::mem::replace(&mut tile.district, district);
+        self.remove_from_district(id, before);
+        self.district_mut(district).tiles.insert(id);
+        Ok(())
+    }
+
+    fn set_retention(
+        &mut self,
+        id: TileId,
+        retention: Retention,
+        limits: &LayoutLimits,
+    ) -> Result<(), PlanError> {
+        let change_at = self.valid_from;
+        let tile = self.tile_mut(id).ok_or(PlanError::UnknownTile(id))?;
+        let end = retention.until.unwrap_or(change_at);
+        let last_end = tile.valid_until.unwrap_or(change_at);
+        let serves_retired = !tile.is_live() && retention.is_serving();
+        if retention.from > end || end > last_end || serves_retired {
+            return Err(PlanError::InvalidSpan(id));
+        }
+        tile.retentions.retain(|other| other.server != retention.server);
+        if retention.until.is_none_or(|until| retention.from < until) {
+            tile.retentions.push(retention);
+        }
+        check_retentions(tile, limits)
+    }
+
+    fn insert_new(&mut self, new: NewTile<'_>, limits: &LayoutLimits) -> Result<(), PlanError> {
+        check_servers(new.tile, new.servers, limits)?;
+        if *new.weight.numer() == 0 {
+            return Err(PlanError::ZeroWeight(new.tile));
+        }
+        if self.tiles.contains_key(&new.tile) {
+            return Err(PlanError::TileExists(new.tile));
+        }
+        let serving = |server: &ReplicaId| Retention { server: *server, from: new.history_from, until: None };
+        let tile = Tile {
+            valid_from: self.valid_from,
+            valid_until: None,
+            created_by: self.number,
+            weight: new.weight,
+            district: new.district,
+            parents: new.parents,
             children: Vec::new(),
-            passed: None,
-            keeps: servers.iter().map(|s| Keep { server: *s, from, until: None }).collect(),
+            history_passed_from: None,
+            retentions: new.servers.iter().map(serving).collect(),
         };
-        self.living += 1;
-        self.tiles.insert(*tile, Arc::new(made));
-        self.place(district).tiles.insert(*tile);
+        self.live_count += 1;
+        self.tiles.insert(new.tile, Arc::new(tile));
+        self.district_mut(new.district).tiles.insert(new.tile);
         Ok(())
     }
 
-    /// A tile's end: from when on its children's servers have its history.
-    fn end(
+    /// Ends a tile's validity. Returns from when on its children's servers have its history.
+    fn end_tile(
         &mut self,
-        tile: TileId,
-        history: History,
+        id: TileId,
+        history: HistoryTransfer,
         children: Vec<TileId>,
     ) -> Result<HybridTimestamp, PlanError> {
-        let valid = self.valid;
-        let held = self.change(tile).ok_or(PlanError::Unknown(tile))?;
-        let from = if history == History::Stays { valid } else { held.reach(valid) };
-        held.passed = (history != History::Stays && !children.is_empty()).then_some(from);
-        (held.died, held.children) = (Some(valid), children);
-        held.leave(valid, history, &[]);
-        let district = held.district;
-        self.part(tile, district);
-        self.living -= 1;
+        let ended_at = self.valid_from;
+        let tile = self.tile_mut(id).ok_or(PlanError::UnknownTile(id))?;
+        let from = tile.transferred_from(history, ended_at);
+        let is_passed = history != HistoryTransfer::StayWithOld && !children.is_empty();
+        tile.history_passed_from = is_passed.then_some(from);
+        tile.valid_until = Some(ended_at);
+        tile.children = children;
+        tile.end_service(ended_at, history, &[]);
+        let district = tile.district;
+        self.remove_from_district(id, district);
+        self.live_count -= 1;
         Ok(from)
     }
 }
 
-fn check_servers(tile: TileId, servers: &[ReplicaId], limits: &Limits) -> Result<(), PlanError> {
+fn touch(touched: &mut BTreeSet<TileId>, tile: TileId) -> Result<(), PlanError> {
+    if !touched.insert(tile) {
+        return Err(PlanError::ChangedTwice(tile));
+    }
+    Ok(())
+}
+
+fn check_servers(tile: TileId, servers: &[ReplicaId], limits: &LayoutLimits) -> Result<(), PlanError> {
     if servers.len() > limits.servers {
-        return Err(PlanError::Long { what: "servers of a tile", most: limits.servers });
+        return Err(PlanError::TooLong { what: "servers of a tile", max: limits.servers });
     }
-    let different: BTreeSet<_> = servers.iter().collect();
-    match servers.is_empty() || different.len() != servers.len() {
-        true => Err(PlanError::Servers(tile)),
-        false => Ok(()),
+    let distinct: BTreeSet<_> = servers.iter().collect();
+    if servers.is_empty() || distinct.len() != servers.len() {
+        return Err(PlanError::InvalidServers(tile));
     }
+    Ok(())
 }
 
-/// Spans of history that a tile has; a later horizon lets go of old ones.
-fn fits(_: TileId, held: &Tile, limits: &Limits) -> Result<(), PlanError> {
-    match held.keeps.len() > limits.servers * 4 {
-        true => Err(PlanError::Long { what: "spans of a tile's history", most: limits.servers * 4 }),
-        false => Ok(()),
+fn check_retentions(tile: &Tile, limits: &LayoutLimits) -> Result<(), PlanError> {
+    if tile.retentions.len() > limits.retentions() {
+        return Err(PlanError::TooLong { what: "spans of a tile's history", max: limits.retentions() });
     }
+    Ok(())
 }
--- a/src/shard_layout/wire/convert.rs
+++ b/src/shard_layout/wire/convert.rs
@@ -1,201 +1,247 @@
-//! Between what is decided on and what is written.
-use super::change::{Change, Entry, History, Piece};
-use super::version::{Keep, Tile};
-use super::*;
+//! Conversion between the types that decisions use and the Protocol Buffers messages. Everything that a peer or a file
+//! may have wrong is checked here or by the state machine, never assumed.
+use super::messages::{self, EditKind, EntryKind, HistoryKind};
+use super::WireError;
+use crate::balancer::interface::ReplicaId;
+use crate::cluster::HybridTimestamp;
+use crate::shard_layout::change::{Change, Edit, Entry, HistoryTransfer, Piece};
+use crate::shard_layout::version::{Retention, Tile};
+use crate::shard_layout::{District, TileId, Weight};
 
-pub fn to_time(t: HybridTimestamp) -> Time {
-    Time { ms: t.ms, logical: t.logical }
+pub fn encode_timestamp(time: HybridTimestamp) -> messages::Timestamp {
+    messages::Timestamp { ms: time.ms, logical: time.logical }
 }
 
-/// Nothing is the first point in time, as with every number in this encoding.
-pub fn time_of(t: Option<Time>) -> HybridTimestamp {
-    t.map_or(HybridTimestamp::ZERO, |t| HybridTimestamp { ms: t.ms, logical: t.logical })
+/// A timestamp that is absent is the first one, as absent numbers are 0 in this encoding.
+pub fn decode_timestamp(time: Option<messages::Timestamp>) -> HybridTimestamp {
+    decode_optional_timestamp(time).unwrap_or(HybridTimestamp::ZERO)
 }
 
-fn some_time(t: Option<Time>) -> Option<HybridTimestamp> {
-    t.map(|t| HybridTimestamp { ms: t.ms, logical: t.logical })
+fn decode_optional_timestamp(time: Option<messages::Timestamp>) -> Option<HybridTimestamp> {
+    time.map(|time| HybridTimestamp { ms: time.ms, logical: time.logical })
 }
 
-pub fn to_amount(w: Weight) -> Option<Amount> {
-    Some(Amount { numer: *w.numer(), denom: *w.denom() })
+pub fn encode_weight(weight: Weight) -> Option<messages::Weight> {
+    Some(messages::Weight { numer: *weight.numer(), denom: *weight.denom() })
 }
 
-pub fn amount(w: Option<Amount>) -> Result<Weight, WireError> {
-    let w = w.filter(|w| w.denom > 0).ok_or(WireError::Bad("a weight without a denominator"))?;
-    Ok(Weight::new(w.numer, w.denom))
+pub fn decode_weight(weight: Option<messages::Weight>) -> Result<Weight, WireError> {
+    let weight = weight.filter(|weight| weight.denom > 0);
+    let weight = weight.ok_or(WireError::Invalid("a weight without a denominator"))?;
+    Ok(Weight::new(weight.numer, weight.denom))
 }
 
-fn numbers(servers: &[ReplicaId]) -> Vec<u64> {
-    servers.iter().map(|s| s.0).collect()
+fn encode_servers(servers: &[ReplicaId]) -> Vec<u64> {
+    servers.iter().map(|server| server.0).collect()
 }
 
-fn servers(numbers: Vec<u64>) -> Vec<ReplicaId> {
+fn decode_servers(numbers: Vec<u64>) -> Vec<ReplicaId> {
     numbers.into_iter().map(ReplicaId).collect()
 }
 
-fn past(history: History) -> i32 {
-    let past = match history {
-        History::Moves => Past::Moves,
-        History::Stays => Past::Stays,
-        History::Both => Past::Both,
+fn encode_history(history: HistoryTransfer) -> i32 {
+    let kind = match history {
+        HistoryTransfer::MoveToNew => HistoryKind::MoveToNew,
+        HistoryTransfer::StayWithOld => HistoryKind::StayWithOld,
+        HistoryTransfer::CopyToNew => HistoryKind::CopyToNew,
     };
-    past.into()
+    kind.into()
 }
 
-fn history(past: i32) -> Result<History, WireError> {
-    match Past::try_from(past) {
-        Ok(Past::Moves) => Ok(History::Moves),
-        Ok(Past::Stays) => Ok(History::Stays),
-        Ok(Past::Both) => Ok(History::Both),
-        Ok(Past::None) | Err(_) => Err(WireError::Bad("a change that does not say what becomes of history")),
+fn decode_history(kind: i32) -> Result<HistoryTransfer, WireError> {
+    match HistoryKind::try_from(kind) {
+        Ok(HistoryKind::MoveToNew) => Ok(HistoryTransfer::MoveToNew),
+        Ok(HistoryKind::StayWithOld) => Ok(HistoryTransfer::StayWithOld),
+        Ok(HistoryKind::CopyToNew) => Ok(HistoryTransfer::CopyToNew),
+        Ok(HistoryKind::Unspecified) | Err(_) => {
+            Err(WireError::Invalid("a change that does not say what becomes of history"))
+        }
+    }
+}
+
+fn encode_piece(piece: &Piece) -> messages::Piece {
+    messages::Piece {
+        tile: piece.tile,
+        weight: encode_weight(piece.weight),
+        servers: encode_servers(&piece.servers),
     }
 }
 
-pub fn from_edit(edit: &change::Edit) -> Edit {
-    use change::Edit as E;
-    let plain = |kind: Kind, tile: TileId| Edit { kind: kind.into(), tile, ..Edit::default() };
+fn decode_piece(piece: messages::Piece) -> Result<Piece, WireError> {
+    let weight = decode_weight(piece.weight)?;
+    Ok(Piece { tile: piece.tile, weight, servers: decode_servers(piece.servers) })
+}
+
+pub fn encode_edit(edit: &Edit) -> messages::Edit {
+    let with_kind =
+        |kind: EditKind, tile: TileId| messages::Edit { kind: kind.into(), tile, ..Default::default() };
     match edit {
-        E::Add { tile, weight, district, servers } => Edit {
-            weight: to_amount(*weight),
+        Edit::Add { tile, weight, district, servers } => messages::Edit {
+            weight: encode_weight(*weight),
             district: district.0,
-            servers: numbers(servers),
-            ..plain(Kind::Add, *tile)
+            servers: encode_servers(servers),
+            ..with_kind(EditKind::Add, *tile)
         },
-        E::Split { tile, into, history } => {
-            let piece = |p: &Piece| super::Piece {
-                tile: p.tile,
-                weight: to_amount(p.weight),
-                servers: numbers(&p.servers),
-            };
-            let into = into.iter().map(piece).collect();
-            Edit { into, history: past(*history), ..plain(Kind::Split, *tile) }
-        }
-        E::Merge { tiles, into, district, servers, history } => Edit {
+        Edit::Split { tile, into, history } => messages::Edit {
+            into: into.iter().map(encode_piece).collect(),
+            history: encode_history(*history),
+            ..with_kind(EditKind::Split, *tile)
+        },
+        Edit::Merge { tiles, into, district, servers, history } => messages::Edit {
             tiles: tiles.clone(),
             district: district.0,
-            servers: numbers(servers),
-            history: past(*history),
-            ..plain(Kind::Merge, *into)
+            servers: encode_servers(servers),
+            history: encode_history(*history),
+            ..with_kind(EditKind::Merge, *into)
+        },
+        Edit::Move { tile, servers, history } => messages::Edit {
+            servers: encode_servers(servers),
+            history: encode_history(*history),
+            ..with_kind(EditKind::Move, *tile)
         },
-        E::Move { tile, servers, history } => {
-            Edit { servers: numbers(servers), history: past(*history), ..plain(Kind::Move, *tile) }
+        Edit::Retire { tile, keep_history } => {
+            messages::Edit { keep_history: *keep_history, ..with_kind(EditKind::Retire, *tile) }
         }
-        E::Retire { tile, keeps } => Edit { keeps: *keeps, ..plain(Kind::Retire, *tile) },
-        E::Assign { tile, district } => Edit { district: district.0, ..plain(Kind::Assign, *tile) },
-        E::Name { district, name } => {
-            Edit { district: district.0, name: name.to_string(), ..plain(Kind::Name, 0) }
+        Edit::AssignDistrict { tile, district } => {
+            messages::Edit { district: district.0, ..with_kind(EditKind::AssignDistrict, *tile) }
         }
-        E::Keep { tile, server, from, until } => Edit {
+        Edit::NameDistrict { district, name } => messages::Edit {
+            district: district.0,
+            name: name.to_string(),
+            ..with_kind(EditKind::NameDistrict, 0)
+        },
+        Edit::SetRetention { tile, server, from, until } => messages::Edit {
             servers: vec![server.0],
-            from: Some(to_time(*from)),
-            until: until.map(to_time),
-            ..plain(Kind::Keep, *tile)
+            from: Some(encode_timestamp(*from)),
+            until: until.map(encode_timestamp),
+            ..with_kind(EditKind::SetRetention, *tile)
         },
     }
 }
 
-pub fn edit(e: Edit) -> Result<change::Edit, WireError> {
-    use change::Edit as E;
-    let (tile, district) = (e.tile, District(e.district));
-    Ok(match Kind::try_from(e.kind) {
-        Ok(Kind::Add) => E::Add { tile, weight: amount(e.weight)?, district, servers: servers(e.servers) },
-        Ok(Kind::Split) => {
-            let piece = |p: super::Piece| {
-                Ok(Piece { tile: p.tile, weight: amount(p.weight)?, servers: servers(p.servers) })
-            };
-            let into: Result<_, WireError> = e.into.into_iter().map(piece).collect();
-            E::Split { tile, into: into?, history: history(e.history)? }
+pub fn decode_edit(edit: messages::Edit) -> Result<Edit, WireError> {
+    let tile = edit.tile;
+    let district = District(edit.district);
+    Ok(match EditKind::try_from(edit.kind) {
+        Ok(EditKind::Add) => {
+            let weight = decode_weight(edit.weight)?;
+            Edit::Add { tile, weight, district, servers: decode_servers(edit.servers) }
+        }
+        Ok(EditKind::Split) => {
+            let into = edit.into.into_iter().map(decode_piece).collect::<Result<_, _>>()?;
+            Edit::Split { tile, into, history: decode_history(edit.history)? }
         }
-        Ok(Kind::Merge) => E::Merge {
-            tiles: e.tiles,
+        Ok(EditKind::Merge) => Edit::Merge {
+            tiles: edit.tiles,
             into: tile,
             district,
-            servers: servers(e.servers),
-            history: history(e.history)?,
+            servers: decode_servers(edit.servers),
+            history: decode_history(edit.history)?,
         },
-        Ok(Kind::Move) => E::Move { tile, servers: servers(e.servers), history: history(e.history)? },
-        Ok(Kind::Retire) => E::Retire { tile, keeps: e.keeps },
-        Ok(Kind::Assign) => E::Assign { tile, district },
-        Ok(Kind::Name) => E::Name { district, name: e.name.into() },
-        Ok(Kind::Keep) => {
-            let server = e.servers.first().ok_or(WireError::Bad("history without its keeper"))?;
-            E::Keep { tile, server: ReplicaId(*server), from: time_of(e.from), until: some_time(e.until) }
+        Ok(EditKind::Move) => {
+            let servers = decode_servers(edit.servers);
+            Edit::Move { tile, servers, history: decode_history(edit.history)? }
         }
-        Ok(Kind::None) | Err(_) => return Err(WireError::Bad("a step of an unknown kind")),
+        Ok(EditKind::Retire) => Edit::Retire { tile, keep_history: edit.keep_history },
+        Ok(EditKind::AssignDistrict) => Edit::AssignDistrict { tile, district },
+        Ok(EditKind::NameDistrict) => Edit::NameDistrict { district, name: edit.name.into() },
+        Ok(EditKind::SetRetention) => {
+            let server = edit.servers.first().ok_or(WireError::Invalid("history without its keeper"))?;
+            Edit::SetRetention {
+                tile,
+                server: ReplicaId(*server),
+                from: decode_timestamp(edit.from),
+                until: decode_optional_timestamp(edit.until),
+            }
+        }
+        Ok(EditKind::Unspecified) | Err(_) => return Err(WireError::Invalid("a step of an unknown kind")),
     })
 }
 
-pub fn step(entry: &Entry) -> Step {
+pub fn encode_entry(entry: &Entry) -> EntryKind {
     match entry {
-        Entry::Change(c) => Step::Change(super::Change {
-            base: c.base,
-            lease: c.lease,
-            valid: Some(to_time(c.valid)),
-            ground: c.ground.and_then(to_amount),
-            edits: c.edits.iter().map(from_edit).collect(),
+        Entry::Change(change) => EntryKind::Change(messages::Change {
+            base: change.base,
+            lease: change.lease,
+            valid_from: Some(encode_timestamp(change.valid_from)),
+            total_weight: change.total_weight.and_then(encode_weight),
+            edits: change.edits.iter().map(encode_edit).collect(),
         }),
-        Entry::Lease { number, life, until, closed } => {
-            let (until, closed) = (Some(to_time(*until)), Some(to_time(*closed)));
-            Step::Lease(Grant { number: *number, life: *life, until, closed })
-        }
-        Entry::Horizon { at } => Step::Horizon(to_time(*at)),
+        Entry::Lease { number, incarnation, until, closed } => EntryKind::Lease(messages::Lease {
+            number: *number,
+            incarnation: *incarnation,
+            until: Some(encode_timestamp(*until)),
+            closed: Some(encode_timestamp(*closed)),
+        }),
+        Entry::Horizon { at } => EntryKind::Horizon(encode_timestamp(*at)),
     }
 }
 
-pub fn entry(step: Step) -> Result<Entry, WireError> {
-    Ok(match step {
-        Step::Change(c) => {
-            let edits: Result<_, _> = c.edits.into_iter().map(edit).collect();
-            let ground = c.ground.map(|g| amount(Some(g))).transpose()?;
-            let valid = time_of(c.valid);
-            Entry::Change(Change { base: c.base, lease: c.lease, valid, ground, edits: edits? })
+pub fn decode_entry(entry: EntryKind) -> Result<Entry, WireError> {
+    Ok(match entry {
+        EntryKind::Change(change) => {
+            let edits = change.edits.into_iter().map(decode_edit).collect::<Result<_, _>>()?;
+            let total_weight = change.total_weight.map(|weight| decode_weight(Some(weight))).transpose()?;
+            Entry::Change(Change {
+                base: change.base,
+                lease: change.lease,
+                valid_from: decode_timestamp(change.valid_from),
+                total_weight,
+                edits,
+            })
         }
-        Step::Lease(g) => Entry::Lease {
-            number: g.number,
-            life: g.life,
-            until: time_of(g.until),
-            closed: time_of(g.closed),
+        EntryKind::Lease(lease) => Entry::Lease {
+            number: lease.number,
+            incarnation: lease.incarnation,
+            until: decode_timestamp(lease.until),
+            closed: decode_timestamp(lease.closed),
         },
-        Step::Horizon(at) => Entry::Horizon { at: time_of(Some(at)) },
+        EntryKind::Horizon(at) => Entry::Horizon { at: decode_timestamp(Some(at)) },
     })
 }
 
-pub fn from_tile(id: TileId, tile: &version::Tile) -> super::Tile {
-    let keep = |k: &Keep| super::Keep {
-        server: k.server.0,
-        from: Some(to_time(k.from)),
-        until: k.until.map(to_time),
-    };
-    super::Tile {
+fn encode_retention(retention: &Retention) -> messages::Retention {
+    messages::Retention {
+        server: retention.server.0,
+        from: Some(encode_timestamp(retention.from)),
+        until: retention.until.map(encode_timestamp),
+    }
+}
+
+fn decode_retention(retention: messages::Retention) -> Retention {
+    Retention {
+        server: ReplicaId(retention.server),
+        from: decode_timestamp(retention.from),
+        until: decode_optional_timestamp(retention.until),
+    }
+}
+
+pub fn encode_tile(id: TileId, tile: &Tile) -> messages::Tile {
+    messages::Tile {
         tile: id,
-        born: Some(to_time(tile.born)),
-        died: tile.died.map(to_time),
-        made: tile.made,
-        weight: to_amount(tile.weight),
+        valid_from: Some(encode_timestamp(tile.valid_from)),
+        valid_until: tile.valid_until.map(encode_timestamp),
+        created_by: tile.created_by,
+        weight: encode_weight(tile.weight),
         district: tile.district.0,
         parents: tile.parents.clone(),
         children: tile.children.clone(),
-        passed: tile.passed.map(to_time),
-        keeps: tile.keeps.iter().map(keep).collect(),
+        history_passed_from: tile.history_passed_from.map(encode_timestamp),
+        retentions: tile.retentions.iter().map(encode_retention).collect(),
     }
 }
 
-pub fn tile(tile: super::Tile) -> Result<(TileId, Tile), WireError> {
-    let keep = |k: super::Keep| Keep {
-        server: ReplicaId(k.server),
-        from: time_of(k.from),
-        until: some_time(k.until),
-    };
-    let made = Tile {
-        born: time_of(tile.born),
-        died: some_time(tile.died),
-        made: tile.made,
-        weight: amount(tile.weight)?,
+pub fn decode_tile(tile: messages::Tile) -> Result<(TileId, Tile), WireError> {
+    let decoded = Tile {
+        valid_from: decode_timestamp(tile.valid_from),
+        valid_until: decode_optional_timestamp(tile.valid_until),
+        created_by: tile.created_by,
+        weight: decode_weight(tile.weight)?,
         district: District(tile.district),
         parents: tile.parents,
         children: tile.children,
-        passed: some_time(tile.passed),
-        keeps: tile.keeps.into_iter().map(keep).collect(),
+        history_passed_from: decode_optional_timestamp(tile.history_passed_from),
+        retentions: tile.retentions.into_iter().map(decode_retention).collect(),
     };
-    Ok((tile.tile, made))
+    Ok((tile.tile, decoded))
 }
--- a/tests/golden_wire/main.rs
+++ b/tests/golden_wire/main.rs
@@ -3,14 +3,14 @@
 //!
 //! The fixtures in `data/` are written anew only where `WRITE_GOLDEN` is set: that is for a change of a form that is
 //! meant, and for nothing else.
-mod closed;
+mod closed_timestamp;
 #[path = "../common/mod.rs"]
 mod common;
 mod data_nodes;
 mod data_nodes_lines;
 mod fixtures;
 mod forecast;
-mod layout;
 mod links;
 mod report;
+mod shard_layout;
 mod work;
