--- a/benches/foresight.rs
+++ b/benches/topology_forecast.rs
@@ -1,16 +1,17 @@
 //! What foresight costs: a forecast by tiles and members, a member's report, and a merge.
 //!
 //! ```sh
-//! cargo bench --bench foresight
+//! cargo bench --bench topology_forecast
 //! ```
 use std::rc::Rc;
 use std::time::Instant;
 
 use marlgap::balancer::interface::{Class, Idempotency, ReplicaId, ZoneId};
 use marlgap::cluster::MemberId;
-use marlgap::topology_forecast::forecast::Given;
+use marlgap::topology_forecast::forecast::ForecastInputs;
 use marlgap::topology_forecast::{
-    forecast, Asked, Asks, Gathered, Keeper, Limits, Report, Sent, Server, Tile, Topology,
+    forecast, AttemptKind, DemandCollection, DemandLimits, DemandRecorder, QueryArrival, Report,
+    RequestedTiles, Server, Tile, Topology,
 };
 use num_rational::Ratio;
 use rand_core::{RngCore, SeedableRng};
@@ -20,7 +21,7 @@
 const QUERIES: u32 = 20_000;
 
 fn topology(tiles: u32, servers: u64, every: Option<u32>, chance: &mut Pcg64Mcg) -> Topology {
-    let list = (0..servers).map(|n| Server { id: ReplicaId(n), room: ZoneId((n % 3) as u8), capacity: 1.0 });
+    let list = (0..servers).map(|n| Server { id: ReplicaId(n), zone: ZoneId((n % 3) as u8), capacity: 1.0 });
     let tile = |tile: u32| {
         let first = chance.next_u64() % servers;
         let cut = every.is_some_and(|e| tile.is_multiple_of(e));
@@ -37,31 +38,31 @@
 }
 
 fn report(member: usize, tiles: u32, servers: u64, chance: &mut Pcg64Mcg) -> Report {
-    let mut keeper = Keeper::new(MemberId::new(&format!("c{member}"), 1), Limits::default());
+    let mut recorder = DemandRecorder::new(MemberId::new(&format!("c{member}"), 1), DemandLimits::default());
     for n in 0..QUERIES {
         let unit = (chance.next_u64() >> 11) as f64 / (1u64 << 53) as f64;
         let first = (unit * unit * f64::from(tiles)) as u32;
         let set: Vec<u32> = (0..4).map(|i| (first / 100) * 100 + (first + i * 13) % 100).collect();
         let class = (n % 4) as u16;
         let client = Some(chance.next_u64() % 10_000);
-        keeper.asked(
+        recorder.record_query(
             0,
-            &Asked {
+            &QueryArrival {
                 class,
                 district: first / 100,
-                asks: Asks::Tiles(&set),
+                asks: RequestedTiles::Tiles(&set),
                 client,
                 bytes: 200,
                 again: false,
             },
         );
         for _ in &set {
-            keeper.sent(0, class, ReplicaId(chance.next_u64() % servers), Sent::First);
-            keeper.served(0, class, 1000 + chance.next_u64() % 50_000, Some(1000));
+            recorder.record_attempt(0, class, ReplicaId(chance.next_u64() % servers), AttemptKind::First);
+            recorder.record_part(0, class, 1000 + chance.next_u64() % 50_000, Some(1000));
         }
-        keeper.answered(0, class, 20_000 + chance.next_u64() % 80_000, 500);
+        recorder.record_answer(0, class, 20_000 + chance.next_u64() % 80_000, 500);
     }
-    keeper.reports(WINDOW).remove(0)
+    recorder.take_reports(WINDOW).remove(0)
 }
 
 fn main() {
@@ -96,7 +97,7 @@
                 bytes.iter().map(|b| Rc::new(Report::decode(b).expect("a report"))).collect();
             let decode = begun.elapsed().as_secs_f64() * 1e3;
             let begun = Instant::now();
-            let mut halves = [Gathered::new(4096, WINDOW), Gathered::new(4096, WINDOW)];
+            let mut halves = [DemandCollection::new(4096, WINDOW), DemandCollection::new(4096, WINDOW)];
             for (n, r) in decoded.iter().enumerate() {
                 halves[n % 2].insert(r.clone(), WINDOW).expect("of now");
             }
@@ -109,7 +110,7 @@
             let fold = begun.elapsed().as_secs_f64() * 1e3;
             let base = topology(tiles, servers, None, &mut chance);
             let to = topology(tiles, servers, Some(10), &mut chance);
-            let given = Given {
+            let given = ForecastInputs {
                 classes: vec![class; 4],
                 cold: None,
                 cold_now: Default::default(),
--- a/src/topology_forecast/demand.rs
+++ b/src/topology_forecast/demand.rs
@@ -2,48 +2,48 @@
 use std::collections::{BTreeMap, VecDeque};
 use std::rc::Rc;
 
-use super::report::{Class, Report, Row, SetKey, MOST_CLASSES, MOST_IN_SET, MOST_SERVERS};
-use super::sketch::{Distinct, Heavy};
+use super::report::{Class, Report, Row, SetKey, MAX_CLASSES, MAX_SERVERS, MAX_TILES_IN_SET};
+use super::sketch::{DistinctCounter, HeavyHitters};
 use crate::balancer::interface::ReplicaId;
 use crate::cluster::MemberId;
 
 /// Bounds of one window's tables.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Limits {
+pub struct DemandLimits {
     /// Length of a window.
     pub window_ms: u64,
     /// Pairs of class and district. What comes after them counts in its class alone.
     pub rows: usize,
     /// Districts whose clients are counted apart: 256 bytes each.
     pub clients: usize,
-    /// Pairs of class and tile kept by [`Heavy`].
+    /// Pairs of class and tile kept by [`HeavyHitters`].
     pub tiles: usize,
-    /// Sets of tiles kept by [`Heavy`].
+    /// Sets of tiles kept by [`HeavyHitters`].
     pub sets: usize,
     /// Reports not yet fetched; the oldest goes first.
     pub reports: usize,
 }
 
-impl Default for Limits {
+impl Default for DemandLimits {
     fn default() -> Self {
-        Limits { window_ms: 60_000, rows: 1024, clients: 256, tiles: 4096, sets: 512, reports: 16 }
+        DemandLimits { window_ms: 60_000, rows: 1024, clients: 256, tiles: 4096, sets: 512, reports: 16 }
     }
 }
 
 /// What a query asks for.
 #[derive(Clone, Copy, Debug)]
-pub enum Asks<'a> {
+pub enum RequestedTiles<'a> {
     /// Its whole district, whatever that is cut into.
-    Whole,
+    WholeDistrict,
     Tiles(&'a [u32]),
 }
 
 /// A query as it comes in.
 #[derive(Clone, Copy, Debug)]
-pub struct Asked<'a> {
+pub struct QueryArrival<'a> {
     pub class: u16,
     pub district: u32,
-    pub asks: Asks<'a>,
+    pub asks: RequestedTiles<'a>,
     /// A number that identifies the client, where a route names one.
     pub client: Option<u64>,
     pub bytes: u64,
@@ -54,40 +54,40 @@
 
 /// Why an attempt was sent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Sent {
+pub enum AttemptKind {
     First,
-    Again,
-    Copy,
+    Retry,
+    Hedge,
 }
 
-struct Open {
+struct OpenWindow {
     window: u64,
     seen: u64,
     classes: BTreeMap<u16, Class>,
     rows: BTreeMap<(u16, u32), Row>,
-    clients: BTreeMap<u32, Distinct>,
-    tiles: Heavy<(u16, u32)>,
-    sets: Heavy<SetKey>,
+    clients: BTreeMap<u32, DistinctCounter>,
+    tiles: HeavyHitters<(u16, u32)>,
+    sets: HeavyHitters<SetKey>,
     servers: BTreeMap<u64, u64>,
 }
 
-impl Open {
-    fn new(window: u64, limits: &Limits) -> Open {
-        Open {
+impl OpenWindow {
+    fn new(window: u64, limits: &DemandLimits) -> OpenWindow {
+        OpenWindow {
             window,
             seen: 0,
             classes: BTreeMap::new(),
             rows: BTreeMap::new(),
             clients: BTreeMap::new(),
-            tiles: Heavy::new(limits.tiles),
-            sets: Heavy::new(limits.sets),
+            tiles: HeavyHitters::new(limits.tiles),
+            sets: HeavyHitters::new(limits.sets),
             servers: BTreeMap::new(),
         }
     }
 
     fn class(&mut self, class: u16) -> Option<&mut Class> {
         self.seen += 1;
-        within(&mut self.classes, class, MOST_CLASSES)
+        within(&mut self.classes, class, MAX_CLASSES)
     }
 }
 
@@ -101,23 +101,24 @@
 
 /// The demand of one coordinator. Times are fleet time, Unix milliseconds; one that goes back counts in the window
 /// that is open, so that a window is never opened twice.
-pub struct Keeper {
+pub struct DemandRecorder {
     me: MemberId,
-    limits: Limits,
-    open: Option<Open>,
+    limits: DemandLimits,
+    open: Option<OpenWindow>,
     over: VecDeque<Report>,
     /// Reports that nobody fetched in time.
     pub lost: u64,
 }
 
-impl Keeper {
-    pub fn new(me: MemberId, limits: Limits) -> Keeper {
-        let limits = Limits { window_ms: limits.window_ms.max(1), reports: limits.reports.max(1), ..limits };
-        Keeper { me, limits, open: None, over: VecDeque::new(), lost: 0 }
+impl DemandRecorder {
+    pub fn new(me: MemberId, limits: DemandLimits) -> DemandRecorder {
+        let limits =
+            DemandLimits { window_ms: limits.window_ms.max(1), reports: limits.reports.max(1), ..limits };
+        DemandRecorder { me, limits, open: None, over: VecDeque::new(), lost: 0 }
     }
 
     /// A query came in.
-    pub fn asked(&mut self, now_ms: u64, asked: &Asked<'_>) {
+    pub fn record_query(&mut self, now_ms: u64, asked: &QueryArrival<'_>) {
         let limits = self.limits.clone();
         let open = self.at(now_ms);
         let Some(class) = open.class(asked.class) else { return };
@@ -135,7 +136,7 @@
         let Some(row) = within(&mut open.rows, (asked.class, asked.district), limits.rows) else { return };
         row.queries += 1;
         row.bytes = row.bytes.saturating_add(asked.bytes);
-        let Asks::Tiles(tiles) = asked.asks else {
+        let RequestedTiles::Tiles(tiles) = asked.asks else {
             row.whole += 1;
             return;
         };
@@ -144,27 +145,27 @@
         set.dedup();
         row.parts += set.len() as u64;
         set.iter().for_each(|t| open.tiles.add((asked.class, *t)));
-        if (1..=MOST_IN_SET).contains(&set.len()) {
+        if (1..=MAX_TILES_IN_SET).contains(&set.len()) {
             open.sets.add(SetKey { class: asked.class, district: asked.district, tiles: Rc::from(set) });
         }
     }
 
     /// An attempt of a part was sent.
-    pub fn sent(&mut self, now_ms: u64, class: u16, server: ReplicaId, why: Sent) {
+    pub fn record_attempt(&mut self, now_ms: u64, class: u16, server: ReplicaId, why: AttemptKind) {
         let open = self.at(now_ms);
-        if let Some(n) = within(&mut open.servers, server.0, MOST_SERVERS) {
+        if let Some(n) = within(&mut open.servers, server.0, MAX_SERVERS) {
             *n += 1;
         }
         let Some(class) = open.class(class) else { return };
         match why {
-            Sent::First => class.first += 1,
-            Sent::Again => class.again += 1,
-            Sent::Copy => class.copies += 1,
+            AttemptKind::First => class.first += 1,
+            AttemptKind::Retry => class.again += 1,
+            AttemptKind::Hedge => class.copies += 1,
         }
     }
 
     /// A part was served: from its send, and the server's own work on it where that is told. Microseconds.
-    pub fn served(&mut self, now_ms: u64, class: u16, took_us: u64, work_us: Option<u64>) {
+    pub fn record_part(&mut self, now_ms: u64, class: u16, took_us: u64, work_us: Option<u64>) {
         let Some(class) = self.at(now_ms).class(class) else { return };
         class.took.add(took_us, 1);
         if let Some(us) = work_us {
@@ -174,7 +175,7 @@
     }
 
     /// A query was answered, so long after it was first sent, in microseconds.
-    pub fn answered(&mut self, now_ms: u64, class: u16, took_us: u64, bytes: u64) {
+    pub fn record_answer(&mut self, now_ms: u64, class: u16, took_us: u64, bytes: u64) {
         let Some(class) = self.at(now_ms).class(class) else { return };
         class.answers.add(took_us, 1);
         class.bytes_out = class.bytes_out.saturating_add(bytes);
@@ -182,18 +183,18 @@
 
     /// Reports of windows that are over. To be called once a window at least: a window without a call or an event has
     /// no report, and counts as missing.
-    pub fn reports(&mut self, now_ms: u64) -> Vec<Report> {
+    pub fn take_reports(&mut self, now_ms: u64) -> Vec<Report> {
         self.at(now_ms);
         self.over.drain(..).collect()
     }
 
-    fn at(&mut self, now_ms: u64) -> &mut Open {
+    fn at(&mut self, now_ms: u64) -> &mut OpenWindow {
         let window = now_ms / self.limits.window_ms;
         if self.open.as_ref().is_some_and(|o| o.window < window) {
             self.close();
         }
         let limits = &self.limits;
-        self.open.get_or_insert_with(|| Open::new(window, limits))
+        self.open.get_or_insert_with(|| OpenWindow::new(window, limits))
     }
 
     fn close(&mut self) {
--- a/src/topology_forecast/demand_collection.rs
+++ b/src/topology_forecast/demand_collection.rs
@@ -1,56 +1,52 @@
-//! Reports of the whole fleet, each (member, incarnation, window) once, and the demand that they add up to.
+//! The reports of all coordinators, each (member, incarnation, window) once, and the demand that they add up to.
 use std::collections::{BTreeMap, BTreeSet};
-use std::fmt;
 use std::rc::Rc;
 
 use serde::Serialize;
 
 use super::report::{Class, Report, Row, SetKey};
-use super::sketch::Distinct;
+use super::sketch::DistinctCounter;
 use super::Range;
 
-/// Window, name and incarnation.
-pub type Of = (u64, Rc<str>, u64);
+/// Window, name and incarnation of the member.
+pub type ReportKey = (u64, Rc<str>, u64);
 
 /// A set of reports.
 ///
 /// Invariant: of each (member, incarnation, window) one report at most is held, the one that saw most, and of all keys
-/// ever put in the greatest `most` alone. Both are greatest elements, so that [`Gathered::merge`] is idempotent,
+/// ever put in the greatest `most` alone. Both are greatest elements, so that [`DemandCollection::merge`] is idempotent,
 /// commutative and associative: what comes twice, late or in another order changes nothing.
 ///
 /// Invariant: none is more than one window ahead of the time at which it was put in. Else a clock that runs off, with
 /// windows that nobody reaches, would drive all others out for good.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Gathered {
+pub struct DemandCollection {
     most: usize,
     window_ms: u64,
-    reports: BTreeMap<Of, Rc<Report>>,
+    reports: BTreeMap<ReportKey, Rc<Report>>,
 }
 
-/// Why a report is not taken; nothing has changed.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum GatherError {
-    /// Windows of another length, in milliseconds.
-    Length { told: u64, held: u64 },
-    /// A window more than one after that which is open.
-    Ahead { window: u64, open: u64 },
+/// Why a report is rejected; nothing has changed.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
+pub enum CollectionError {
+    /// Its window has another length than those of the collection.
+    #[error("report of demand over windows of {reported_ms} ms, those held are of {collected_ms} ms")]
+    WindowLength {
+        /// The length of its window, in milliseconds.
+        reported_ms: u64,
+        /// The length of the collection's windows, in milliseconds.
+        collected_ms: u64,
+    },
+    /// Its window is more than one after the open one.
+    #[error("report of demand on window {window}, which is ahead: window {open} is open")]
+    WindowAhead {
+        /// The number of its window.
+        window: u64,
+        /// The number of the open window.
+        open: u64,
+    },
 }
 
-impl fmt::Display for GatherError {
-    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        match self {
-            GatherError::Length { told, held } => {
-                write!(f, "report of demand over windows of {told} ms, those held are of {held} ms")
-            }
-            GatherError::Ahead { window, open } => {
-                write!(f, "report of demand on window {window}, which is ahead: window {open} is open")
-            }
-        }
-    }
-}
-
-impl std::error::Error for GatherError {}
-
 /// What a demand rests on.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct Coverage {
@@ -75,7 +71,7 @@
     pub coverage: Coverage,
     pub classes: BTreeMap<u16, Class>,
     pub rows: BTreeMap<(u16, u32), Row>,
-    pub clients: BTreeMap<u32, Distinct>,
+    pub clients: BTreeMap<u32, DistinctCounter>,
     /// Least and most of each heavy hitter, and the most of one that is not among them.
     pub tiles: BTreeMap<(u16, u32), (u64, u64)>,
     pub tiles_least: u64,
@@ -124,20 +120,23 @@
     }
 }
 
-impl Gathered {
+impl DemandCollection {
     /// At most `most` reports of windows of `window_ms`; those of other lengths are not comparable.
-    pub fn new(most: usize, window_ms: u64) -> Gathered {
-        Gathered { most: most.max(1), window_ms, reports: BTreeMap::new() }
+    pub fn new(most: usize, window_ms: u64) -> DemandCollection {
+        DemandCollection { most: most.max(1), window_ms, reports: BTreeMap::new() }
     }
 
     /// Whether it changed anything. One window ahead of `now_ms`, fleet time, is room for the clocks' bound.
-    pub fn insert(&mut self, report: Rc<Report>, now_ms: u64) -> Result<bool, GatherError> {
+    pub fn insert(&mut self, report: Rc<Report>, now_ms: u64) -> Result<bool, CollectionError> {
         if report.window_ms != self.window_ms {
-            return Err(GatherError::Length { told: report.window_ms, held: self.window_ms });
+            return Err(CollectionError::WindowLength {
+                reported_ms: report.window_ms,
+                collected_ms: self.window_ms,
+            });
         }
         let open = now_ms / self.window_ms.max(1);
         if report.window > open.saturating_add(1) {
-            return Err(GatherError::Ahead { window: report.window, open });
+            return Err(CollectionError::WindowAhead { window: report.window, open });
         }
         let key = (report.window, report.member.name.clone(), report.member.incarnation);
         if self.reports.get(&key).is_some_and(|held| !report.newer_than(held)) {
@@ -150,8 +149,8 @@
         Ok(true)
     }
 
-    /// Take all that the other holds; those that [`Gathered::insert`] would not take are counted.
-    pub fn merge(&mut self, other: &Gathered, now_ms: u64) -> usize {
+    /// Take all that the other holds; those that [`DemandCollection::insert`] would not take are counted.
+    pub fn merge(&mut self, other: &DemandCollection, now_ms: u64) -> usize {
         let reports = other.reports.values();
         reports.filter(|report| self.insert((*report).clone(), now_ms).is_err()).count()
     }
--- a/src/topology_forecast/forecast/change.rs
+++ b/src/topology_forecast/forecast/change.rs
@@ -3,7 +3,7 @@
 
 use serde::Serialize;
 
-use super::{Given, Range, ServerLoad};
+use super::{ForecastInputs, Range, ServerLoad};
 use crate::balancer::interface::ReplicaId;
 use crate::topology_forecast::Topology;
 
@@ -39,7 +39,7 @@
     }
 }
 
-pub fn change(base: &Topology, to: &Topology, given: &Given, servers: &[ServerLoad]) -> Change {
+pub fn change(base: &Topology, to: &Topology, given: &ForecastInputs, servers: &[ServerLoad]) -> Change {
     let mut out = Change::default();
     let mut gained: BTreeSet<ReplicaId> = BTreeSet::new();
     for tile in to.tiles() {
@@ -64,7 +64,7 @@
         let (Some(rule), Some(busy), true) = (given.cold, server.busy, cold) else { continue };
         out.cold.push(Cold {
             server: server.server,
-            times: busy.times(1.0 / rule.initial_capacity.max(f64::MIN_POSITIVE)),
+            times: busy.scale_by(1.0 / rule.initial_capacity.max(f64::MIN_POSITIVE)),
             multiple: rule.overload_factor,
             after: rule.overload_window,
             ramp: rule.ramp,
--- a/src/topology_forecast/forecast/draw.rs
+++ b/src/topology_forecast/forecast/draw.rs
@@ -11,11 +11,11 @@
 const LEVELS: usize = 32;
 /// The iteration has converged when loads move by less than this share; rounds at most.
 const CONVERGED: f64 = 1e-3;
-const MOST_ROUNDS: usize = 60;
+const MAX_ROUNDS: usize = 60;
 
 /// Parts a second by what they may be drawn from.
 #[derive(Clone, Debug, Default)]
-pub struct Draws {
+pub struct ReplicaDraws {
     alone: BTreeMap<u32, f64>,
     pairs: BTreeMap<(u32, u32), f64>,
 }
@@ -27,7 +27,7 @@
     pub present: f64,
 }
 
-impl Draws {
+impl ReplicaDraws {
     /// `rate` parts a second for a tile with these holders.
     pub fn add(&mut self, holders: &[u32], rate: f64) {
         if rate <= 0.0 {
@@ -57,7 +57,7 @@
             ((_, one), (_, other)) => 0.5 + 0.5 * (one - other),
         };
         let ties: Vec<f64> = self.pairs.keys().map(|(a, b)| tie(*a, *b)).collect();
-        for _ in 0..MOST_ROUNDS {
+        for _ in 0..MAX_ROUNDS {
             arrivals.iter_mut().for_each(|a| *a = [0.0; LEVELS]);
             for (server, rate) in &self.alone {
                 if let Some(of) = arrivals.get_mut(*server as usize) {
--- a/src/topology_forecast/forecast/fanout.rs
+++ b/src/topology_forecast/forecast/fanout.rs
@@ -3,7 +3,7 @@
 
 use serde::Serialize;
 
-use super::asked::{rate, Districts};
+use super::tile_demand::{rate, Districts};
 use super::Range;
 use crate::topology_forecast::report::Key;
 use crate::topology_forecast::{Demand, Topology};
@@ -118,7 +118,7 @@
     attempts: &BTreeMap<u16, f64>,
 ) -> Vec<FanOut> {
     let holders = to.holders();
-    let places = Places { holders: &holders, zones: to.servers().iter().map(|s| s.room.0).collect() };
+    let places = Places { holders: &holders, zones: to.servers().iter().map(|s| s.zone.0).collect() };
     let before = base.districts();
     let grown = |n: usize| successors.get(n).map_or(0, |s| s.len()) as f64;
     let mut sets: BTreeMap<Key, Vec<Count<'_>>> = BTreeMap::new();
@@ -157,10 +157,9 @@
             |of: fn(&(f64, f64, f64)) -> f64| Spread::of(queries.iter().map(|(n, q)| (of(q), *n)).collect());
         let mean = |growth: f64| (new_parts + growth * rest_parts) / all.max(1.0);
         let mean_parts = Range { low: mean(least), mid: mean(growth), high: mean(most) };
-        let clients = demand
-            .clients
-            .get(district)
-            .map(|d| Range::exact(d.estimate()).give(2.0 * crate::topology_forecast::sketch::DISTINCT_ERROR));
+        let clients = demand.clients.get(district).map(|d| {
+            Range::exact(d.estimate()).widen(2.0 * crate::topology_forecast::sketch::DISTINCT_ERROR)
+        });
         out.push(FanOut {
             class: *class,
             district: *district,
@@ -168,7 +167,7 @@
             clients,
             parts: spread(|q| q.0),
             mean_parts,
-            attempts: mean_parts.times(attempts.get(class).copied().unwrap_or(1.0)),
+            attempts: mean_parts.scale_by(attempts.get(class).copied().unwrap_or(1.0)),
             servers: spread(|q| q.1),
             zones: spread(|q| q.2),
             parts_before: (row.parts as f64 + row.whole as f64 * old.len() as f64) / all.max(1.0),
--- a/src/topology_forecast/forecast/fit.rs
+++ b/src/topology_forecast/forecast/fit.rs
@@ -1,7 +1,7 @@
 //! What is said of the base is held against what was seen there, and the difference carried over.
 use super::draw::Load;
-use super::load::{Loads, ENOUGH};
-use super::{Fit, Range, MODEL, MODEL_UNSEEN};
+use super::load::{Loads, MIN_ATTEMPTS};
+use super::{Fit, Range, MIN_MODEL_ERROR, UNOBSERVED_MODEL_ERROR};
 use crate::topology_forecast::{Server, Topology};
 
 impl Loads<'_> {
@@ -18,7 +18,7 @@
         let each = || {
             let of = |((s, load), even): ((&Server, &Load), &Range)| {
                 let seen = self.demand.servers.get(&s.id.0).copied().unwrap_or(0);
-                (seen >= ENOUGH).then_some((seen as f64 * scale, load.rate, even.mid))
+                (seen >= MIN_ATTEMPTS).then_some((seen as f64 * scale, load.rate, even.mid))
             };
             self.to.servers().iter().zip(&self.loads).zip(&self.even).filter_map(of)
         };
@@ -33,8 +33,8 @@
             (seen - said).abs() / said.max(f64::MIN_POSITIVE)
         };
         match each().count() {
-            0 => Fit { toward: 1.0, off: MODEL_UNSEEN },
-            _ => Fit { toward, off: each().map(off).fold(MODEL, f64::max) },
+            0 => Fit { toward: 1.0, off: UNOBSERVED_MODEL_ERROR },
+            _ => Fit { toward, off: each().map(off).fold(MIN_MODEL_ERROR, f64::max) },
         }
     }
 
@@ -70,7 +70,7 @@
         {
             let seen = base.demand.servers.get(&server.id.0).copied().unwrap_or(0);
             let said = base.to.server(server.id).and_then(|n| base.loads.get(n)).map_or(0.0, |l| l.rate);
-            if seen >= ENOUGH && said > 0.0 {
+            if seen >= MIN_ATTEMPTS && said > 0.0 {
                 let share = kept / even.mid.max(f64::MIN_POSITIVE);
                 load.rate *= (1.0 + share * (seen as f64 * scale / said - 1.0)).max(0.0);
             }
--- a/src/topology_forecast/forecast/load.rs
+++ b/src/topology_forecast/forecast/load.rs
@@ -3,9 +3,9 @@
 
 use serde::Serialize;
 
-use super::asked::{rate, ByTile, Districts};
-use super::draw::{Draws, Load, Placement};
-use super::{Given, Range, Unknown};
+use super::draw::{Load, Placement, ReplicaDraws};
+use super::tile_demand::{rate, ByTile, Districts};
+use super::{ForecastInputs, Range, Unknown};
 use crate::topology_forecast::{Demand, Topology};
 
 #[derive(Clone, Debug, PartialEq, Serialize)]
@@ -43,7 +43,7 @@
 
 /// What was seen after adoption, held against a forecast.
 #[derive(Clone, Debug, PartialEq, Serialize)]
-pub struct Seen {
+pub struct Observation {
     /// Greatest difference of a server's share of attempts from the one said, over the latter; of servers with 400
     /// attempts or more, whose count's standard error is under 5 in 100.
     pub load_off: f64,
@@ -53,17 +53,17 @@
 }
 
 /// Attempts under which a server's share says nothing.
-pub(super) const ENOUGH: u64 = 400;
+pub(super) const MIN_ATTEMPTS: u64 = 400;
 
 impl super::Forecast {
     /// Hold `demand`, seen on this topology, against what was said.
-    pub fn seen(&self, demand: &Demand, given: &Given) -> Seen {
+    pub fn seen(&self, demand: &Demand, given: &ForecastInputs) -> Observation {
         let all: u64 = demand.servers.values().sum();
         let mut load_off: f64 = 0.0;
         for s in &self.servers {
             let got = demand.servers.get(&s.server).copied().unwrap_or(0);
             let said = s.share * all as f64;
-            if got >= ENOUGH || said >= ENOUGH as f64 {
+            if got >= MIN_ATTEMPTS || said >= MIN_ATTEMPTS as f64 {
                 load_off = load_off.max((got as f64 - said).abs() / said.max(1.0));
             }
         }
@@ -76,7 +76,7 @@
             });
             late_over = late_over.max(late - said.late.high);
         }
-        Seen { load_off, late_over, coverage: demand.coverage.share.mid }
+        Observation { load_off, late_over, coverage: demand.coverage.share.mid }
     }
 }
 
@@ -121,12 +121,12 @@
 pub struct Loads<'a> {
     pub(super) to: &'a Topology,
     pub(super) demand: &'a Demand,
-    given: &'a Given,
+    given: &'a ForecastInputs,
     pub(super) holders: Vec<Vec<u32>>,
     /// Attempts a second and their work on each tile.
     pub(super) parts: Vec<Range>,
     placement: Placement,
-    draws: Draws,
+    draws: ReplicaDraws,
     pub(super) loads: Vec<Load>,
     /// Work, in seconds a second, and attempts of each server were its tiles split evenly.
     even_work: Vec<Range>,
@@ -144,7 +144,7 @@
         attempts: &BTreeMap<u16, f64>,
         work: &Work,
         demand: &'a Demand,
-        given: &'a Given,
+        given: &'a ForecastInputs,
     ) -> Loads<'a> {
         let holders = to.holders();
         let cut = cut(to, base);
@@ -155,9 +155,9 @@
         for (class, rates) in rates {
             let (tries, each) = (attempts.get(class).copied().unwrap_or(1.0), work.of(*class).unwrap_or(0.0));
             for (((part, work), rate), cut) in parts.iter_mut().zip(&mut works).zip(rates).zip(&cut) {
-                let sent = rate.times(tries);
+                let sent = rate.scale_by(tries);
                 *part = part.plus(sent);
-                let takes = cut.times(each);
+                let takes = cut.scale_by(each);
                 let sum = Range {
                     low: sent.low * takes.low,
                     mid: sent.mid * takes.mid,
@@ -168,15 +168,15 @@
         }
         let (mut even, mut even_work) = (vec![Range::default(); to.servers().len()], Vec::new());
         even_work.clone_from(&even);
-        let mut draws = Draws::default();
+        let mut draws = ReplicaDraws::default();
         for ((holders, part), work) in holders.iter().zip(&parts).zip(&works) {
             draws.add(holders, part.mid);
             let each = 1.0 / holders.len().max(1) as f64;
             for h in holders {
                 if let Some((even, even_work)) = even.get_mut(*h as usize).zip(even_work.get_mut(*h as usize))
                 {
-                    *even = even.plus(part.times(each));
-                    *even_work = even_work.plus(work.times(each));
+                    *even = even.plus(part.scale_by(each));
+                    *even_work = even_work.plus(work.scale_by(each));
                 }
             }
         }
@@ -190,7 +190,7 @@
         };
         let placement = Placement {
             capacity: to.servers().iter().zip(even.iter().zip(&even_work)).map(capacity).collect(),
-            zones: to.servers().iter().map(|s| (s.room.0, coordinators_in(s.room.0) / all)).collect(),
+            zones: to.servers().iter().map(|s| (s.zone.0, coordinators_in(s.zone.0) / all)).collect(),
             deciders: match given.queues_told {
                 true => 1,
                 false => u32::try_from(given.coordinators.len()).unwrap_or(u32::MAX),
@@ -222,10 +222,10 @@
             let before = old.to.server(s.id).and_then(|n| old.loads.get(n)).map_or(0.0, |l| l.rate);
             ServerLoad {
                 server: s.id.0,
-                zone: s.room.0,
-                parts_s: even.times(scale).give(off),
+                zone: s.zone.0,
+                parts_s: even.scale_by(scale).widen(off),
                 share: load.rate / all.max(f64::MIN_POSITIVE),
-                busy: self.told.then(|| work.times(scale / s.capacity).give(off)),
+                busy: self.told.then(|| work.scale_by(scale / s.capacity).widen(off)),
                 before,
             }
         })
@@ -295,7 +295,7 @@
                     let only = if n == holders.len() { 1.0 } else { 0.0 };
                     let share = Range { low: only, mid: n as f64 / holders.len() as f64, high: 1.0 };
                     let sum = here.entry(zone).or_default();
-                    *sum = sum.plus(share.times(1.0 / tiles.len().max(1) as f64));
+                    *sum = sum.plus(share.scale_by(1.0 / tiles.len().max(1) as f64));
                 }
             }
             reach.insert(district, set);
@@ -319,7 +319,7 @@
                 if let Some(zone) = self.given.coordinators.get(name) {
                     let own = zones.get(district).and_then(|r| r.get(&zone.0)).copied().unwrap_or_default();
                     let out = Range { low: 1.0 - own.high, mid: 1.0 - own.mid, high: 1.0 - own.low };
-                    away = away.plus(out.times(count));
+                    away = away.plus(out.scale_by(count));
                     all += count;
                 }
             }
@@ -333,6 +333,6 @@
                 connections,
             });
         }
-        (out, away.times(1.0 / f64::max(all, 1.0)))
+        (out, away.scale_by(1.0 / f64::max(all, 1.0)))
     }
 }
--- a/src/topology_forecast/forecast/mod.rs
+++ b/src/topology_forecast/forecast/mod.rs
@@ -1,36 +1,35 @@
 //! The forecast: a demand played on a proposed topology. Every figure is a [`Range`]; what can't be known is listed.
-mod asked;
 mod change;
 mod draw;
 mod fanout;
 mod fit;
 mod load;
+mod tile_demand;
 
 use std::collections::{BTreeMap, BTreeSet};
-use std::fmt;
 use std::rc::Rc;
 
 use serde::Serialize;
 
 pub use change::{Change, Cold};
-pub use draw::{Draws, Load, Placement};
+pub use draw::{Load, Placement, ReplicaDraws};
 pub use fanout::{FanOut, Spread};
-pub use load::{CoordinatorLoad, Seen, ServerLoad, ZoneLoad};
+pub use load::{CoordinatorLoad, Observation, ServerLoad, ZoneLoad};
 
 use super::{Coverage, Demand, Range, Topology};
 use crate::balancer::interface::{Class, ReplicaId, SlowStart, ZoneId};
 use crate::balancer::stretch;
 
 /// Unknowns of one kind that are named one by one.
-pub const MOST_NAMED: usize = 1024;
+pub const MAX_NAMED: usize = 1024;
 
 /// What the model may be off by for one server, at least, and where nothing was seen that it could be held against.
-pub const MODEL: f64 = 0.05;
-pub const MODEL_UNSEEN: f64 = 0.25;
+pub const MIN_MODEL_ERROR: f64 = 0.05;
+pub const UNOBSERVED_MODEL_ERROR: f64 = 0.25;
 
 /// What a forecast goes by beside demand and topologies.
 #[derive(Clone, Debug)]
-pub struct Given {
+pub struct ForecastInputs {
     pub classes: Vec<Class>,
     pub cold: Option<SlowStart>,
     /// Servers of the base that are cold now; those that the base does not have are cold in any case.
@@ -114,25 +113,19 @@
 }
 
 /// Why there is no forecast.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+#[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum ForecastError {
+    /// The base or the new topology has no tiles.
+    #[error("a topology without tiles")]
     NoTiles,
+    /// The base or the new topology has no servers.
+    #[error("a topology without servers")]
     NoServers,
+    /// The demand has no queries.
+    #[error("no demand was seen")]
     NoDemand,
 }
 
-impl fmt::Display for ForecastError {
-    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        f.write_str(match self {
-            ForecastError::NoTiles => "a topology without tiles",
-            ForecastError::NoServers => "a topology without servers",
-            ForecastError::NoDemand => "no demand was seen",
-        })
-    }
-}
-
-impl std::error::Error for ForecastError {}
-
 /// The module's rule on a query's stretch, for a mean number of parts: it lies between those of the whole numbers
 /// beside it.
 fn mean_stretch(parts: f64, steps: u32) -> f64 {
@@ -146,7 +139,7 @@
     demand: &Demand,
     base: &Topology,
     to: &Topology,
-    given: &Given,
+    given: &ForecastInputs,
 ) -> Result<Forecast, ForecastError> {
     if base.tiles().is_empty() || to.tiles().is_empty() {
         return Err(ForecastError::NoTiles);
@@ -160,11 +153,11 @@
     let mut unknowns = Vec::new();
     let same = base.successors(base);
     let successors = to.successors(base);
-    let districts = asked::Districts::new(base, to, &successors);
-    let base_districts = asked::Districts::new(base, base, &same);
+    let districts = tile_demand::Districts::new(base, to, &successors);
+    let base_districts = tile_demand::Districts::new(base, base, &same);
     let attempts = attempts(demand, &base_districts, &mut unknowns);
-    let rates = asked::rates(demand, base, to, &successors, &districts, &mut unknowns);
-    let was = asked::rates(demand, base, base, &same, &base_districts, &mut Vec::new());
+    let rates = tile_demand::rates(demand, base, to, &successors, &districts, &mut unknowns);
+    let was = tile_demand::rates(demand, base, base, &same, &base_districts, &mut Vec::new());
     let work = load::Work::new(demand, &mut unknowns);
     let mut new = load::Loads::new(to, base, &rates, &attempts, &work, demand, given);
     let mut old = load::Loads::new(base, base, &was, &attempts, &work, demand, given);
@@ -177,7 +170,7 @@
     let (coordinators, across) = new.coordinators(&districts, &attempts);
     let servers = new.servers(&old, fit.off);
     let change = change::change(base, to, given, &servers);
-    unknowns.extend(districts.gone().take(MOST_NAMED).map(|d| Unknown::DistrictGone { district: *d }));
+    unknowns.extend(districts.gone().take(MAX_NAMED).map(|d| Unknown::DistrictGone { district: *d }));
     if to.tiles().iter().any(|t| !t.from.is_empty()) {
         unknowns.push(Unknown::WorkOfCutTiles);
     }
@@ -216,7 +209,7 @@
 /// no query names when it comes in, count in it too.
 fn attempts(
     demand: &Demand,
-    districts: &asked::Districts,
+    districts: &tile_demand::Districts,
     unknowns: &mut Vec<Unknown>,
 ) -> BTreeMap<u16, f64> {
     let mut parts: BTreeMap<u16, f64> = BTreeMap::new();
@@ -240,7 +233,7 @@
 /// part makes a query's time; and queries that meet a tile that was merged take as much longer as its weight grew.
 fn lateness(
     demand: &Demand,
-    given: &Given,
+    given: &ForecastInputs,
     fan_out: &[FanOut],
     new: &load::Loads<'_>,
     old: &load::Loads<'_>,
--- a/src/topology_forecast/forecast/asked.rs
+++ b/src/topology_forecast/forecast/tile_demand.rs
@@ -19,7 +19,7 @@
     let low = (count.low - SIGMAS * count.low.sqrt()).max(0.0) * ebb / share.high.max(f64::MIN_POSITIVE);
     let high = (count.high + SIGMAS * count.high.max(1.0).sqrt()) * flood / share.low.max(1e-3);
     let mid = count.mid / share.mid.max(1e-3);
-    Range { low: low.min(mid), mid, high: high.max(mid) }.times(1.0 / demand.seconds.max(1e-3))
+    Range { low: low.min(mid), mid, high: high.max(mid) }.scale_by(1.0 / demand.seconds.max(1e-3))
 }
 
 /// Counts by class on the base's tiles. A tile's own count lies between what its reports guarantee and what they leave
@@ -133,6 +133,6 @@
             }
         }
     }
-    unknowns.extend(lost.into_iter().take(super::MOST_NAMED).map(|tile| Unknown::Retired { tile }));
+    unknowns.extend(lost.into_iter().take(super::MAX_NAMED).map(|tile| Unknown::Retired { tile }));
     out
 }
--- a/src/topology_forecast/plan/verdict.rs
+++ b/src/topology_forecast/plan/verdict.rs
@@ -1,24 +1,25 @@
-//! The limits of a verdict, and what it goes by.
+//! The limits of the verdict on a plan, and the figures that it goes by.
 use std::collections::BTreeSet;
-use std::fmt;
 use std::rc::Rc;
 
 use serde::Serialize;
 
-use crate::topology_forecast::forecast::{Forecast, Seen, ServerLoad};
+use crate::topology_forecast::forecast::{Forecast, Observation, ServerLoad};
 
-/// Who must be ready before T is set.
+/// Which members must hold a topology before it is adopted.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Need {
+pub enum Readiness {
+    /// All members.
     All,
     /// This share of the members, rounded up.
     Share(f64),
+    /// These members, by name.
     Names(BTreeSet<Rc<str>>),
 }
 
 /// Limits of the verdict, as the settings give them.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Rules {
+pub struct VerdictLimits {
     /// Least share of the traffic that a demand rests on, at the low end.
     pub share_least: f64,
     /// Oldest demand, from its end to T.
@@ -31,15 +32,17 @@
     pub grown_most: f64,
     /// Cold servers that may fall over.
     pub falls_most: usize,
-    /// What is seen may be off by so much: a server's share of attempts, and a class's late share.
+    /// How far a server's observed share of attempts may be off, as a share of the forecast one.
     pub load_off_most: f64,
+    /// How far a class's observed share of late answers may be over the high end of the forecast one.
     pub late_over_most: f64,
-    pub ready: Need,
+    /// Which members must hold the topology.
+    pub ready: Readiness,
 }
 
-impl Default for Rules {
+impl Default for VerdictLimits {
     fn default() -> Self {
-        Rules {
+        VerdictLimits {
             share_least: 0.9,
             age_most_ms: 3_600_000,
             busy_most: 0.8,
@@ -48,30 +51,35 @@
             falls_most: 0,
             load_off_most: 0.25,
             late_over_most: 0.05,
-            ready: Need::All,
+            ready: Readiness::All,
         }
     }
 }
 
-/// What the verdict goes by of a forecast.
+/// The figures of a forecast that the verdict goes by.
 #[derive(Clone, Debug, PartialEq, Serialize)]
-pub struct Said {
+pub struct ForecastSummary {
+    /// Share of the traffic that the demand rests on, at the low end.
     pub share: f64,
-    /// End of the demand's newest window, fleet time.
+    /// End of the demand's newest window, cluster time in Unix milliseconds.
     pub newest_ms: u64,
+    /// Load of the busiest server, at the high end.
     pub busiest: f64,
+    /// Share of late answers of the class with most, at the high end.
     pub late: f64,
+    /// All attempts over those before.
     pub grown: f64,
+    /// Cold servers that may be overloaded.
     pub falls: usize,
 }
 
-impl Said {
-    /// `now_ms` is the time at which the demand was taken.
-    pub fn of(forecast: &Forecast, now_ms: u64) -> Said {
+impl ForecastSummary {
+    /// The summary of a forecast. `now_ms` is the time at which its demand was taken.
+    pub fn of(forecast: &Forecast, now_ms: u64) -> ForecastSummary {
         let most = |all: &mut dyn Iterator<Item = f64>| all.fold(0.0, f64::max);
         let sum = |of: fn(&ServerLoad) -> f64| forecast.servers.iter().map(of).sum::<f64>();
         let before: f64 = forecast.before;
-        Said {
+        ForecastSummary {
             share: forecast.coverage.share.low * (1.0 - forecast.coverage.unplaced),
             newest_ms: now_ms.saturating_sub(forecast.coverage.age_ms),
             busiest: most(&mut forecast.servers.iter().filter_map(|s| s.busy).map(|b| b.high)),
@@ -82,49 +90,54 @@
     }
 }
 
-/// Why a plan is refused.
-#[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
+/// Why a plan is rejected. The names are keys of the JSON document, the texts stand in log lines.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, thiserror::Error)]
 #[serde(rename_all = "snake_case")]
-pub enum Why {
+pub enum RejectionReason {
+    /// The demand rests on too little of the traffic.
+    #[error("too little of the traffic was seen")]
     Coverage,
+    /// The demand is older than the limit.
+    #[error("the demand is too old")]
     DemandOld,
+    /// A server's load is over the limit.
+    #[error("a server would be too busy")]
     Busy,
+    /// A class's share of late answers is over the limit.
+    #[error("too many answers would be late")]
     Late,
+    /// All attempts together grow over the limit.
+    #[error("too many more attempts")]
     Grown,
+    /// Servers that are cold at the start may be overloaded.
+    #[error("cold servers might fall over")]
     ColdFall,
+    /// The version that it was planned on is not the newest any more.
+    #[error("its base has changed")]
     BaseChanged,
 }
 
-impl fmt::Display for Why {
-    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        f.write_str(match self {
-            Why::Coverage => "too little of the traffic was seen",
-            Why::DemandOld => "the demand is too old",
-            Why::Busy => "a server would be too busy",
-            Why::Late => "too many answers would be late",
-            Why::Grown => "too many more attempts",
-            Why::ColdFall => "cold servers might fall over",
-            Why::BaseChanged => "its base has changed",
-        })
-    }
-}
-
-impl Rules {
-    /// A number that is none is over every limit.
-    pub fn verdict(&self, said: &Said, at_ms: u64) -> Result<(), Why> {
+impl VerdictLimits {
+    /// Whether a forecast is within all limits at a time. NaN is over every limit.
+    ///
+    /// # Errors
+    /// The first limit that it is over.
+    pub fn verdict(&self, summary: &ForecastSummary, at_ms: u64) -> Result<(), RejectionReason> {
         let within = |n: f64, most: f64| n <= most;
-        let held = [
-            (said.share >= self.share_least, Why::Coverage),
-            (at_ms.saturating_sub(said.newest_ms) <= self.age_most_ms, Why::DemandOld),
-            (within(said.busiest, self.busy_most), Why::Busy),
-            (within(said.late, self.late_most), Why::Late),
-            (within(said.grown, self.grown_most), Why::Grown),
-            (said.falls <= self.falls_most, Why::ColdFall),
+        let checks = [
+            (summary.share >= self.share_least, RejectionReason::Coverage),
+            (at_ms.saturating_sub(summary.newest_ms) <= self.age_most_ms, RejectionReason::DemandOld),
+            (within(summary.busiest, self.busy_most), RejectionReason::Busy),
+            (within(summary.late, self.late_most), RejectionReason::Late),
+            (within(summary.grown, self.grown_most), RejectionReason::Grown),
+            (summary.falls <= self.falls_most, RejectionReason::ColdFall),
         ];
-        held.iter().find(|(held, _)| !held).map_or(Ok(()), |(_, why)| Err(*why))
+        let failed = checks.iter().find(|(within, _)| !within);
+        failed.map_or(Ok(()), |(_, reason)| Err(*reason))
     }
 
-    pub fn holds(&self, seen: &Seen) -> bool {
-        seen.load_off <= self.load_off_most && seen.late_over <= self.late_over_most
+    /// Whether what was observed is within the limits. NaN is not.
+    pub fn accepts(&self, observation: &Observation) -> bool {
+        observation.load_off <= self.load_off_most && observation.late_over <= self.late_over_most
     }
 }
--- /dev/null
+++ b/src/topology_forecast/plan_file.rs
@@ -0,0 +1,241 @@
+//! The file of a plan: JSON5, only what changes against its base. It is read and checked completely; an error names its
+//! path and place in the text, as for the operators' file.
+//!
+//! Owns the text and what it says; never a topology. [`PlanFile::apply`] makes one out of a base.
+use std::collections::BTreeSet;
+use std::rc::Rc;
+
+use num_rational::Ratio;
+use serde::Deserialize;
+
+use super::topology::{MAX_HOLDERS, MAX_SERVERS, MAX_TILES};
+use crate::config::operator::{locate, shown, Seg};
+
+mod apply;
+
+/// The longest text that is read: a hundred thousand tiles of three holders are 10 MB.
+pub const MAX_BYTES: usize = 64 << 20;
+/// The longest name of a plan.
+const MAX_NAME_BYTES: usize = 64;
+/// The end of the year 9999: a later time is one in other units than Unix milliseconds.
+const MAX_TIME_MS: u64 = 253_402_300_799_999;
+/// The greatest numerator and denominator of a weight: sums stay exact.
+const MAX_WEIGHT_NUMBER: u64 = 1 << 32;
+
+/// What is wrong with a plan, and where.
+#[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
+#[error("{}", self.line())]
+pub struct PlanFileError {
+    /// The path of the value at fault, as `cuts[0].to`; empty for the text as a whole.
+    pub path: String,
+    /// Line and column of that value, from 1, where they are known.
+    pub place: Option<(usize, usize)>,
+    /// What is wrong with it.
+    pub what: String,
+}
+
+impl PlanFileError {
+    fn of_text(what: impl Into<String>) -> PlanFileError {
+        PlanFileError { path: String::new(), place: None, what: what.into() }
+    }
+
+    /// All of it on one line.
+    fn line(&self) -> String {
+        let place = self.place.map(|(line, column)| format!("{line}:{column}: ")).unwrap_or_default();
+        let path = if self.path.is_empty() { String::new() } else { format!("{}: ", self.path) };
+        let words: Vec<&str> = self.what.split_whitespace().collect();
+        format!("{place}{path}{}", words.join(" "))
+    }
+}
+
+// The names of these types show in the reader's messages.
+#[derive(Clone, Debug, Deserialize)]
+#[serde(deny_unknown_fields)]
+struct File {
+    plan: String,
+    base: u64,
+    at_ms: u64,
+    #[serde(default)]
+    servers: Vec<ServerFile>,
+    #[serde(default)]
+    cuts: Vec<CutFile>,
+    #[serde(default)]
+    moves: Vec<MoveFile>,
+}
+
+#[derive(Clone, Debug, Deserialize)]
+#[serde(deny_unknown_fields)]
+struct ServerFile {
+    id: u64,
+    #[serde(rename = "room")]
+    zone: u8,
+    #[serde(default = "default_capacity")]
+    capacity: f64,
+}
+
+fn default_capacity() -> f64 {
+    1.0
+}
+
+/// Tiles that are removed, and what comes in their place.
+#[derive(Clone, Debug, Deserialize)]
+#[serde(deny_unknown_fields)]
+struct CutFile {
+    from: Vec<u32>,
+    to: Vec<TileFile>,
+    /// Nothing comes in their place.
+    #[serde(default)]
+    retire: bool,
+}
+
+#[derive(Clone, Debug, Deserialize)]
+#[serde(deny_unknown_fields)]
+struct TileFile {
+    tile: u32,
+    district: u32,
+    weight: WeightFile,
+    holders: Vec<u64>,
+}
+
+#[derive(Clone, Debug, Deserialize)]
+#[serde(untagged)]
+enum WeightFile {
+    Whole(u64),
+    /// As "2/3".
+    Text(String),
+}
+
+#[derive(Clone, Debug, Deserialize)]
+#[serde(deny_unknown_fields)]
+struct MoveFile {
+    tile: u32,
+    district: Option<u32>,
+    holders: Option<Vec<u64>>,
+}
+
+/// A plan as its file describes it, not yet compared with its base.
+#[derive(Clone, Debug)]
+pub struct PlanFile {
+    /// The plan's name: 1 to 64 letters, digits, `-`, `_` or `.`.
+    pub name: Rc<str>,
+    /// The number of the version that it changes.
+    pub base: u64,
+    /// Not adopted before this, cluster time in Unix milliseconds.
+    pub at_ms: u64,
+    text: Rc<str>,
+    file: Rc<File>,
+}
+
+/// The path of a value: keys, each with an index where its value is a list.
+type Path<'a> = [(&'a str, Option<usize>)];
+
+fn error_at(text: &str, path: &Path<'_>, what: impl Into<String>) -> PlanFileError {
+    let segments = path.iter().flat_map(|(key, n)| [Some(Seg::Key((*key).into())), n.map(Seg::Index)]);
+    let segments: Vec<Seg> = segments.flatten().collect();
+    PlanFileError { path: shown(&segments), place: locate(text, &segments), what: what.into() }
+}
+
+fn parse_weight(weight: &WeightFile) -> Result<Ratio<u64>, String> {
+    let (numer, denom) = match weight {
+        WeightFile::Whole(n) => (*n, 1),
+        WeightFile::Text(text) => {
+            let (numer, denom) = text.split_once('/').unwrap_or((text, "1"));
+            match (numer.trim().parse(), denom.trim().parse()) {
+                (Ok(numer), Ok(denom)) => (numer, denom),
+                _ => return Err(format!("'{text}' is no weight: a number, or two as \"2/3\"")),
+            }
+        }
+    };
+    let range = 1..=MAX_WEIGHT_NUMBER;
+    if !range.contains(&numer) || !range.contains(&denom) {
+        return Err(format!("numbers of a weight are 1 to {MAX_WEIGHT_NUMBER}"));
+    }
+    Ok(Ratio::new(numer, denom))
+}
+
+/// Reads and checks a text. What needs the base is checked by [`PlanFile::apply`].
+///
+/// # Errors
+/// The first thing that is wrong with it, and where.
+pub fn parse(text: &str) -> Result<PlanFile, PlanFileError> {
+    if text.len() > MAX_BYTES {
+        let what = format!("a plan of {} bytes, {MAX_BYTES} at most", text.len());
+        return Err(PlanFileError::of_text(what));
+    }
+    let file = deserialize(text)?;
+    check_header(text, &file)?;
+    for (n, server) in file.servers.iter().enumerate() {
+        if !(server.capacity > 0.0 && server.capacity.is_finite()) {
+            return Err(error_at(text, &[("servers", Some(n)), ("capacity", None)], "must be over 0"));
+        }
+    }
+    for (n, cut) in file.cuts.iter().enumerate() {
+        check_cut(text, n, cut)?;
+    }
+    for (n, moved) in file.moves.iter().enumerate() {
+        if moved.holders.is_none() && moved.district.is_none() {
+            let what = "changes nothing: needs `holders` or `district`";
+            return Err(error_at(text, &[("moves", Some(n))], what));
+        }
+        if let Some(holders) = &moved.holders {
+            check_holders(text, &[("moves", Some(n)), ("holders", None)], holders)?;
+        }
+    }
+    let name = Rc::from(&file.plan[..]);
+    Ok(PlanFile { name, base: file.base, at_ms: file.at_ms, text: text.into(), file: Rc::new(file) })
+}
+
+fn deserialize(text: &str) -> Result<File, PlanFileError> {
+    let mut json5 = json5::Deserializer::from_str(text);
+    serde_path_to_error::deserialize(&mut json5).map_err(|error| {
+        let place = error.inner().position().map(|p| (p.line + 1, p.column + 1));
+        let path = Some(error.path().to_string()).filter(|path| path != ".").unwrap_or_default();
+        let what = error.inner().to_string();
+        // The place is given apart.
+        let what = what.split(" at line ").next().unwrap_or(&what).to_owned();
+        PlanFileError { path, place, what }
+    })
+}
+
+fn check_header(text: &str, file: &File) -> Result<(), PlanFileError> {
+    let is_plain = |c: char| c.is_ascii_alphanumeric() || "-_.".contains(c);
+    if file.plan.is_empty() || file.plan.len() > MAX_NAME_BYTES || !file.plan.chars().all(is_plain) {
+        let what = "must be 1 to 64 letters, digits, '-', '_' or '.'";
+        return Err(error_at(text, &[("plan", None)], what));
+    }
+    if !(1..=MAX_TIME_MS).contains(&file.at_ms) {
+        return Err(error_at(text, &[("at_ms", None)], "is no time in Unix milliseconds"));
+    }
+    if file.servers.len() > MAX_SERVERS || file.cuts.len() + file.moves.len() > MAX_TILES {
+        return Err(PlanFileError::of_text("too many servers, cuts or moves"));
+    }
+    if file.servers.is_empty() && file.cuts.is_empty() && file.moves.is_empty() {
+        return Err(PlanFileError::of_text("changes nothing"));
+    }
+    Ok(())
+}
+
+fn check_cut(text: &str, n: usize, cut: &CutFile) -> Result<(), PlanFileError> {
+    if cut.from.is_empty() {
+        return Err(error_at(text, &[("cuts", Some(n)), ("from", None)], "names no tile"));
+    }
+    if cut.to.is_empty() != cut.retire {
+        let what =
+            "a hole: tiles go with nothing in their place; with `retire: true` that is meant, and `to` empty";
+        return Err(error_at(text, &[("cuts", Some(n)), ("to", None)], what));
+    }
+    for (m, tile) in cut.to.iter().enumerate() {
+        let path = |key| [("cuts", Some(n)), ("to", Some(m)), (key, None)];
+        parse_weight(&tile.weight).map_err(|what| error_at(text, &path("weight"), what))?;
+        check_holders(text, &path("holders"), &tile.holders)?;
+    }
+    Ok(())
+}
+
+fn check_holders(text: &str, path: &Path<'_>, holders: &[u64]) -> Result<(), PlanFileError> {
+    let distinct: BTreeSet<_> = holders.iter().collect();
+    if holders.is_empty() || holders.len() > MAX_HOLDERS || distinct.len() < holders.len() {
+        return Err(error_at(text, path, format!("needs 1 to {MAX_HOLDERS} servers, none twice")));
+    }
+    Ok(())
+}
--- a/src/topology_forecast/report.rs
+++ b/src/topology_forecast/report.rs
@@ -1,40 +1,52 @@
-//! The report of one coordinator on one window.
+//! The report of one coordinator on the demand of one window: bounded counts, so that its size is bounded too.
+//!
+//! Owns the counts and their wire form; never decides what they mean.
 pub mod json;
 mod wire;
 
 use std::collections::BTreeMap;
-use std::fmt;
 use std::rc::Rc;
 
-use super::sketch::{Distinct, Times};
+use super::sketch::{DistinctCounter, TimeHistogram};
 use crate::cluster::MemberId;
 
-/// Longest report that is decoded: the default bounds of [`Keeper`](super::Keeper) come to under half of it.
-pub const MOST_BYTES: usize = 1 << 20;
-/// Most tiles of one set that is kept, and classes and servers that are counted: a class needs two tables of times, and
-/// a longer set is all but a whole district.
-pub const MOST_IN_SET: usize = 64;
-pub const MOST_CLASSES: usize = 64;
-pub const MOST_SERVERS: usize = 4096;
+/// The longest report that is decoded: the default bounds of [`DemandRecorder`](super::DemandRecorder) come to under half
+/// of it.
+pub const MAX_BYTES: usize = 1 << 20;
+/// The most tiles of one set that is counted: a longer one is nearly a whole district.
+pub const MAX_TILES_IN_SET: usize = 64;
+/// The most classes that are counted: each needs two histograms.
+pub const MAX_CLASSES: usize = 64;
+/// The most servers that are counted.
+pub const MAX_SERVERS: usize = 4096;
+/// The version of the wire form that is written and read.
 const VERSION: u32 = 1;
 
-/// What one class came to.
+/// The counts of one class.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Class {
+    /// Queries that came in for the first time.
     pub queries: u64,
+    /// Queries that had come in before.
     pub repeats: u64,
+    /// Bytes of the queries.
     pub bytes_in: u64,
+    /// Bytes of the answers.
     pub bytes_out: u64,
-    /// Attempts by why they were sent.
+    /// First attempts of parts.
     pub first: u64,
+    /// Retries.
     pub again: u64,
+    /// Hedged requests.
     pub copies: u64,
-    /// Parts whose work was told, and that work in microseconds.
+    /// Parts whose server reported its own work on them.
     pub worked: u64,
+    /// That work, in microseconds.
     pub work_us: u64,
-    /// From a part's send to its answer, and from a query's first send to its answer.
-    pub took: Times,
-    pub answers: Times,
+    /// From the sending of a part to its answer.
+    pub took: TimeHistogram,
+    /// From the first sending of a query to its answer.
+    pub answers: TimeHistogram,
 }
 
 /// Class, and district or tile.
@@ -43,69 +55,77 @@
 /// What one class asked of one district.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Row {
+    /// Queries for the district.
     pub queries: u64,
     /// Those of them that asked for the whole district.
     pub whole: u64,
     /// Tiles that the others asked for.
     pub parts: u64,
+    /// Bytes of the queries.
     pub bytes: u64,
 }
 
-/// Tiles asked for together, in order and none twice.
+/// Tiles that a query asks for together.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct SetKey {
+    /// The query's class.
     pub class: u16,
+    /// The query's district.
     pub district: u32,
+    /// The tiles, sorted, none twice.
     pub tiles: Rc<[u32]>,
 }
 
-/// One coordinator's window. Heavy hitters have their count and its error, as [`Heavy`](super::sketch::Heavy) states it.
+/// One coordinator's window. Heavy hitters have their count and its error, as
+/// [`HeavyHitters`](super::sketch::HeavyHitters) defines them.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Report {
+    /// The coordinator, by name and incarnation.
     pub member: MemberId,
-    /// Number of the window: its start over its length.
+    /// The number of the window: its start over its length.
     pub window: u64,
+    /// The length of the window, in milliseconds.
     pub window_ms: u64,
-    /// Events counted so far: of two reports on one window the one that saw more holds the other.
+    /// Events counted so far: of two reports on one window the one with more includes the other.
     pub seen: u64,
+    /// Counts by class.
     pub classes: BTreeMap<u16, Class>,
+    /// Counts by class and district.
     pub rows: BTreeMap<Key, Row>,
-    pub clients: BTreeMap<u32, Distinct>,
+    /// Distinct clients by district.
+    pub clients: BTreeMap<u32, DistinctCounter>,
+    /// Heavy hitters among the tiles, by class.
     pub tiles: BTreeMap<Key, (u64, u64)>,
+    /// How often a tile that is not among them may have been asked for at most.
     pub tiles_least: u64,
+    /// Heavy hitters among the sets of tiles.
     pub sets: BTreeMap<SetKey, (u64, u64)>,
+    /// How often a set that is not among them may have been asked for at most.
     pub sets_least: u64,
     /// Attempts sent to each server.
     pub servers: BTreeMap<u64, u64>,
 }
 
-/// Bytes that are no report.
-#[derive(Clone, Debug, PartialEq, Eq)]
+/// Why bytes are no report.
+#[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum ReportError {
+    /// Longer than [`MAX_BYTES`]; with their length.
+    #[error("report of demand of {0} bytes, {MAX_BYTES} at most")]
     TooLong(usize),
-    /// No such message.
-    Spoilt,
+    /// No such Protocol Buffers message.
+    #[error("report of demand cannot be decoded")]
+    Malformed,
+    /// A version of the wire form that is not read here.
+    #[error("report of demand of version {0}, {VERSION} is known")]
     Version(u32),
-    /// A list with a hole, out of order or out of bounds.
+    /// A field with a gap, out of order or out of bounds.
+    #[error("report of demand: bad {0}")]
     Field(&'static str),
 }
 
-impl fmt::Display for ReportError {
-    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        match self {
-            ReportError::TooLong(n) => write!(f, "report of demand of {n} bytes, {MOST_BYTES} at most"),
-            ReportError::Spoilt => f.write_str("report of demand cannot be decoded"),
-            ReportError::Version(v) => write!(f, "report of demand of version {v}, {VERSION} is known"),
-            ReportError::Field(field) => write!(f, "report of demand: bad {field}"),
-        }
-    }
-}
-
-impl std::error::Error for ReportError {}
-
 impl Report {
-    /// Another report on the same window of the same life: whichever saw more, and of two that saw as much always the
-    /// same one. So any order of coming in ends with one.
+    /// Whether this report on a window replaces another one on the same window of the same incarnation: the one that saw
+    /// more does, and of two that saw as much always the same one. So any order of arrival ends with one.
     pub fn newer_than(&self, other: &Report) -> bool {
         self.seen.cmp(&other.seen).then_with(|| self.encode().cmp(&other.encode())).is_gt()
     }
--- a/src/topology_forecast/report/json.rs
+++ b/src/topology_forecast/report/json.rs
@@ -2,25 +2,25 @@
 use serde::Serialize;
 
 use crate::topology_forecast::forecast::Forecast;
-use crate::topology_forecast::plan::{Said, Why};
+use crate::topology_forecast::plan::{ForecastSummary, RejectionReason};
 
 /// The result of a plan.
 #[derive(Serialize)]
 pub struct Result<'a> {
     pub plan: &'a str,
     /// Why it was refused; empty for one that may be adopted.
-    pub refused: Option<Why>,
+    pub refused: Option<RejectionReason>,
     pub forecast: &'a Forecast,
 }
 
 /// The document. Fails for no value of ours: numbers that are none become `null`.
-pub fn json(plan: &str, refused: Option<Why>, forecast: &Forecast) -> serde_json::Result<String> {
+pub fn json(plan: &str, refused: Option<RejectionReason>, forecast: &Forecast) -> serde_json::Result<String> {
     serde_json::to_string_pretty(&Result { plan, refused, forecast })
 }
 
 /// One line, without its end.
-pub fn line(plan: &str, refused: Option<Why>, forecast: &Forecast) -> String {
-    let said = Said::of(forecast, 0);
+pub fn line(plan: &str, refused: Option<RejectionReason>, forecast: &Forecast) -> String {
+    let said = ForecastSummary::of(forecast, 0);
     let coverage = &forecast.coverage;
     let verdict = refused.map_or("may be adopted".to_owned(), |why| format!("refused, {why}"));
     format!(
--- a/src/topology_forecast/report/wire.rs
+++ b/src/topology_forecast/report/wire.rs
@@ -1,17 +1,22 @@
-//! How a report is sent: a prost message with a version.
+//! The wire form of a report: a versioned Protocol Buffers message. Its tags and types never change
+//! (`tests/golden_wire/report.rs` holds its bytes). A decoded report is checked completely: sizes, order and counts.
 use std::collections::BTreeMap;
+use std::rc::Rc;
 
 use prost::Message;
 
 use super::{
-    Class, Key, Report, ReportError, Row, SetKey, MOST_BYTES, MOST_CLASSES, MOST_IN_SET, MOST_SERVERS,
+    Class, Key, Report, ReportError, Row, SetKey, MAX_BYTES, MAX_CLASSES, MAX_SERVERS, MAX_TILES_IN_SET,
     VERSION,
 };
 use crate::cluster::MemberId;
-use crate::topology_forecast::sketch::{Distinct, Times};
+use crate::topology_forecast::sketch::{DistinctCounter, TimeHistogram};
 
-/// Most that one counter of a window may say: sums over all rows of all reports that are kept stay within 64 bits.
-const MOST_COUNT: u64 = 1 << 32;
+/// The greatest value of one counter: sums over all rows of all retained reports stay within 64 bits.
+const MAX_COUNT: u64 = 1 << 32;
+
+/// The longest name of a member.
+const MAX_NAME_BYTES: usize = 64;
 
 #[derive(Clone, PartialEq, Message)]
 struct ClassWire {
@@ -134,54 +139,140 @@
     list.clone().zip(list.skip(1)).all(|(a, b)| a < b)
 }
 
-/// Whether no counter says more than can be.
-fn sound<'a>(counts: impl IntoIterator<Item = &'a u64>) -> bool {
-    counts.into_iter().all(|n| *n <= MOST_COUNT)
+/// Whether no counter is over [`MAX_COUNT`].
+fn within_bounds<'a>(counts: impl IntoIterator<Item = &'a u64>) -> bool {
+    counts.into_iter().all(|n| *n <= MAX_COUNT)
 }
 
-/// A heavy hitter's count can't be under its error, nor that over what may be left out.
-fn counted(count: u64, error: u64, least: u64) -> bool {
-    count > error && error <= least && sound(&[count, least])
+/// A heavy hitter's count can't be under its error, nor its error over what a key that is not counted may have.
+fn is_heavy_hitter(count: u64, error: u64, least: u64) -> bool {
+    count > error && error <= least && within_bounds(&[count, least])
 }
 
-fn times(at: &[u64], n: &[u64]) -> Result<Times, ReportError> {
-    if at.len() != n.len() || !ascending(at.iter()) || n.contains(&0) || !sound(n) {
+fn times(at: &[u64], n: &[u64]) -> Result<TimeHistogram, ReportError> {
+    if at.len() != n.len() || !ascending(at.iter()) || n.contains(&0) || !within_bounds(n) {
         return Err(ReportError::Field("times"));
     }
-    let mut out = Times::default();
+    let mut out = TimeHistogram::default();
     at.iter().zip(n).for_each(|(at, n)| out.add(*at, *n));
     Ok(out)
 }
 
+fn encode_class(class: u16, counts: &Class) -> ClassWire {
+    let (took, took_n) = counts.took.buckets().into_iter().unzip();
+    let (answers, answers_n) = counts.answers.buckets().into_iter().unzip();
+    let sums = vec![
+        counts.queries,
+        counts.repeats,
+        counts.bytes_in,
+        counts.bytes_out,
+        counts.first,
+        counts.again,
+        counts.copies,
+        counts.worked,
+        counts.work_us,
+    ];
+    ClassWire { class: class.into(), sums, took, took_n, answers, answers_n }
+}
+
+fn decode_class(wire: &ClassWire) -> Result<(u16, Class), ReportError> {
+    let error = ReportError::Field("classes");
+    let sums = <[u64; 9]>::try_from(&wire.sums[..]).map_err(|_| error.clone())?;
+    let [queries, repeats, bytes_in, bytes_out, first, again, copies, worked, work_us] = sums;
+    if !within_bounds(&[queries, repeats, first, again, copies, worked]) {
+        return Err(error);
+    }
+    let took = times(&wire.took, &wire.took_n)?;
+    let answers = times(&wire.answers, &wire.answers_n)?;
+    let class = u16::try_from(wire.class).map_err(|_| error)?;
+    let counts =
+        Class { queries, repeats, bytes_in, bytes_out, first, again, copies, worked, work_us, took, answers };
+    Ok((class, counts))
+}
+
+fn decode_classes(wire: &[ClassWire]) -> Result<BTreeMap<u16, Class>, ReportError> {
+    if wire.len() > MAX_CLASSES || !ascending(wire.iter().map(|class| class.class)) {
+        return Err(ReportError::Field("classes"));
+    }
+    wire.iter().map(decode_class).collect()
+}
+
+fn decode_rows(wire: Option<TableWire>) -> Result<BTreeMap<Key, Row>, ReportError> {
+    let mut decoded = BTreeMap::new();
+    for (key, [queries, whole, parts, bytes]) in rows(wire, "rows")? {
+        if whole > queries || !within_bounds(&[queries, parts]) {
+            return Err(ReportError::Field("rows"));
+        }
+        decoded.insert(key, Row { queries, whole, parts, bytes });
+    }
+    Ok(decoded)
+}
+
+fn encode_clients(district: u32, counter: &DistinctCounter) -> ClientsWire {
+    let (at, value) = counter.set().unzip();
+    ClientsWire { district, at, value }
+}
+
+/// The districts ascend: the caller has checked that.
+fn decode_clients(wire: &[ClientsWire]) -> Result<BTreeMap<u32, DistinctCounter>, ReportError> {
+    let error = ReportError::Field("clients");
+    let mut decoded = BTreeMap::new();
+    for clients in wire {
+        if clients.at.len() != clients.value.len() || !ascending(clients.at.iter()) {
+            return Err(error);
+        }
+        let registers = clients.at.iter().copied().zip(clients.value.iter().copied());
+        let counter = DistinctCounter::from_set(registers).ok_or_else(|| error.clone())?;
+        decoded.insert(clients.district, counter);
+    }
+    Ok(decoded)
+}
+
+fn decode_tiles(wire: Option<TableWire>, least: u64) -> Result<BTreeMap<Key, (u64, u64)>, ReportError> {
+    let mut decoded = BTreeMap::new();
+    for (key, [count, error]) in rows(wire, "tiles")? {
+        if !is_heavy_hitter(count, error, least) {
+            return Err(ReportError::Field("tiles"));
+        }
+        decoded.insert(key, (count, error));
+    }
+    Ok(decoded)
+}
+
+fn encode_set(key: &SetKey, count: u64, error: u64) -> SetWire {
+    let tiles = key.tiles.to_vec();
+    SetWire { class: key.class.into(), district: key.district, tiles, count, error }
+}
+
+fn decode_sets(wire: Vec<SetWire>, least: u64) -> Result<BTreeMap<SetKey, (u64, u64)>, ReportError> {
+    let error = ReportError::Field("sets");
+    let mut decoded: Vec<(SetKey, (u64, u64))> = Vec::with_capacity(wire.len());
+    for set in wire {
+        let is_set = (1..=MAX_TILES_IN_SET).contains(&set.tiles.len()) && ascending(set.tiles.iter());
+        if !is_set || !is_heavy_hitter(set.count, set.error, least) {
+            return Err(error);
+        }
+        let class = u16::try_from(set.class).map_err(|_| error.clone())?;
+        let key = SetKey { class, district: set.district, tiles: Rc::from(set.tiles) };
+        if decoded.last().is_some_and(|(last, _)| *last >= key) {
+            return Err(error);
+        }
+        decoded.push((key, (set.count, set.error)));
+    }
+    Ok(decoded.into_iter().collect())
+}
+
+fn decode_servers(servers: Vec<u64>, counts: Vec<u64>) -> Result<BTreeMap<u64, u64>, ReportError> {
+    let is_table = servers.len() == counts.len() && servers.len() <= MAX_SERVERS;
+    if !is_table || !ascending(servers.iter()) || !within_bounds(&counts) {
+        return Err(ReportError::Field("servers"));
+    }
+    Ok(servers.into_iter().zip(counts).collect())
+}
+
 impl Report {
+    /// The report as bytes. Equal reports give equal bytes.
     pub fn encode(&self) -> Vec<u8> {
-        let class = |(class, c): (&u16, &Class)| {
-            let (took, took_n) = c.took.buckets().into_iter().unzip();
-            let (answers, answers_n) = c.answers.buckets().into_iter().unzip();
-            let sums = [
-                c.queries,
-                c.repeats,
-                c.bytes_in,
-                c.bytes_out,
-                c.first,
-                c.again,
-                c.copies,
-                c.worked,
-                c.work_us,
-            ];
-            ClassWire { class: (*class).into(), sums: sums.into(), took, took_n, answers, answers_n }
-        };
-        let clients = |(district, d): (&u32, &Distinct)| {
-            let (at, value) = d.set().unzip();
-            ClientsWire { district: *district, at, value }
-        };
-        let set = |(k, (count, error)): (&SetKey, &(u64, u64))| SetWire {
-            class: k.class.into(),
-            district: k.district,
-            tiles: k.tiles.to_vec(),
-            count: *count,
-            error: *error,
-        };
         Wire {
             version: VERSION,
             name: self.member.name.to_string(),
@@ -189,12 +280,12 @@
             window: self.window,
             window_ms: self.window_ms,
             seen: self.seen,
-            classes: self.classes.iter().map(class).collect(),
-            rows: table(self.rows.iter().map(|(k, r)| (k, [r.queries, r.whole, r.parts, r.bytes]))),
-            clients: self.clients.iter().map(clients).collect(),
-            tiles: table(self.tiles.iter().map(|(k, (n, e))| (k, [*n, *e]))),
+            classes: self.classes.iter().map(|(class, counts)| encode_class(*class, counts)).collect(),
+            rows: table(self.rows.iter().map(|(key, r)| (key, [r.queries, r.whole, r.parts, r.bytes]))),
+            clients: self.clients.iter().map(|(district, c)| encode_clients(*district, c)).collect(),
+            tiles: table(self.tiles.iter().map(|(key, (count, error))| (key, [*count, *error]))),
             tiles_least: self.tiles_least,
-            sets: self.sets.iter().map(set).collect(),
+            sets: self.sets.iter().map(|(key, (count, error))| encode_set(key, *count, *error)).collect(),
             sets_least: self.sets_least,
             servers: self.servers.keys().copied().collect(),
             servers_n: self.servers.values().copied().collect(),
@@ -202,103 +293,43 @@
         .encode_to_vec()
     }
 
-    /// Bounded before it is decoded. Errors change nothing.
+    /// Reads a report. Its length is checked before it is decoded, its content after.
+    ///
+    /// # Errors
+    /// Bytes that are too long, malformed, of another version, or with a field that no coordinator writes.
     pub fn decode(bytes: &[u8]) -> Result<Report, ReportError> {
-        use ReportError::Field;
-        if bytes.len() > MOST_BYTES {
+        if bytes.len() > MAX_BYTES {
             return Err(ReportError::TooLong(bytes.len()));
         }
-        let wire = Wire::decode(bytes).map_err(|_| ReportError::Spoilt)?;
+        let wire = Wire::decode(bytes).map_err(|_| ReportError::Malformed)?;
         if wire.version != VERSION {
             return Err(ReportError::Version(wire.version));
         }
-        if wire.name.is_empty() || wire.name.len() > 64 {
-            return Err(Field("member"));
+        if wire.name.is_empty() || wire.name.len() > MAX_NAME_BYTES {
+            return Err(ReportError::Field("member"));
         }
         if wire.window_ms == 0 || wire.window.checked_mul(wire.window_ms).is_none() {
-            return Err(Field("window"));
-        }
-        if wire.classes.len() > MOST_CLASSES || !ascending(wire.classes.iter().map(|c| c.class)) {
-            return Err(Field("classes"));
-        }
-        let mut classes = BTreeMap::new();
-        for c in &wire.classes {
-            let sums = <[u64; 9]>::try_from(&c.sums[..]).map_err(|_| Field("classes"))?;
-            let [queries, repeats, bytes_in, bytes_out, first, again, copies, worked, work_us] = sums;
-            if !sound(&[queries, repeats, first, again, copies, worked]) {
-                return Err(Field("classes"));
-            }
-            let (took, answers) = (times(&c.took, &c.took_n)?, times(&c.answers, &c.answers_n)?);
-            let class = u16::try_from(c.class).map_err(|_| Field("classes"))?;
-            let c = Class {
-                queries,
-                repeats,
-                bytes_in,
-                bytes_out,
-                first,
-                again,
-                copies,
-                worked,
-                work_us,
-                took,
-                answers,
-            };
-            classes.insert(class, c);
-        }
-        let row = |(k, [queries, whole, parts, bytes]): (Key, [u64; 4])| match whole <= queries
-            && sound(&[queries, parts])
-        {
-            true => Ok((k, Row { queries, whole, parts, bytes })),
-            false => Err(Field("rows")),
-        };
-        if !ascending(wire.clients.iter().map(|c| c.district)) {
-            return Err(Field("clients"));
-        }
-        let clients = wire.clients.iter().map(|c| {
-            let pairs = c.at.iter().copied().zip(c.value.iter().copied());
-            let whole = c.at.len() == c.value.len() && ascending(c.at.iter());
-            let all = Distinct::from_set(pairs).filter(|_| whole);
-            all.map(|d| (c.district, d)).ok_or(Field("clients"))
-        });
-        let tile = |(k, [n, e]): (Key, [u64; 2])| match counted(n, e, wire.tiles_least) {
-            true => Ok((k, (n, e))),
-            false => Err(Field("tiles")),
-        };
-        let set = |s: SetWire| {
-            let whole = (1..=MOST_IN_SET).contains(&s.tiles.len()) && ascending(s.tiles.iter());
-            let class =
-                u16::try_from(s.class).ok().filter(|_| whole && counted(s.count, s.error, wire.sets_least));
-            let class = class.ok_or(Field("sets"))?;
-            let key = SetKey { class, district: s.district, tiles: s.tiles.into() };
-            Ok((key, (s.count, s.error)))
-        };
-        let sets: Vec<_> = wire.sets.into_iter().map(set).collect::<Result<_, _>>()?;
-        if !ascending(sets.iter().map(|(k, _)| k)) {
-            return Err(Field("sets"));
-        }
-        let servers = (&wire.servers, &wire.servers_n);
-        if !sound(servers.1) {
-            return Err(Field("servers"));
+            return Err(ReportError::Field("window"));
         }
-        if servers.0.len() != servers.1.len()
-            || servers.0.len() > MOST_SERVERS
-            || !ascending(servers.0.iter())
-        {
-            return Err(Field("servers"));
+        let classes = decode_classes(&wire.classes)?;
+        if !ascending(wire.clients.iter().map(|clients| clients.district)) {
+            return Err(ReportError::Field("clients"));
         }
+        let sets = decode_sets(wire.sets, wire.sets_least)?;
+        let servers = decode_servers(wire.servers, wire.servers_n)?;
         Ok(Report {
             member: MemberId::new(&wire.name, wire.incarnation),
             window: wire.window,
             window_ms: wire.window_ms,
             seen: wire.seen,
             classes,
-            rows: rows(wire.rows, "rows")?.into_iter().map(row).collect::<Result<_, _>>()?,
-            clients: clients.collect::<Result<_, _>>()?,
-            tiles: rows(wire.tiles, "tiles")?.into_iter().map(tile).collect::<Result<_, _>>()?,
+            rows: decode_rows(wire.rows)?,
+            clients: decode_clients(&wire.clients)?,
+            tiles: decode_tiles(wire.tiles, wire.tiles_least)?,
             tiles_least: wire.tiles_least,
-            sets: sets.into_iter().collect(),
+            sets,
             sets_least: wire.sets_least,
-            servers: wire.servers.into_iter().zip(wire.servers_n).collect(),
+            servers,
         })
     }
 }
--- a/src/topology_forecast/sketch.rs
+++ b/src/topology_forecast/sketch.rs
@@ -6,17 +6,17 @@
 /// Heavy hitters by space-saving (Metwally, Agrawal, El Abbadi 2005). At most `most` keys are kept.
 ///
 /// Invariant: the counts add up to all that was added; a key's true count lies in `count - error ..= count`; one that
-/// is not kept was added at most [`Heavy::least`] times, which is at most all over `most`.
+/// is not kept was added at most [`HeavyHitters::least`] times, which is at most all over `most`.
 #[derive(Clone, Debug)]
-pub struct Heavy<K> {
+pub struct HeavyHitters<K> {
     most: usize,
     kept: BTreeMap<K, (u64, u64)>,
     order: BTreeSet<(u64, K)>,
 }
 
-impl<K: Ord + Clone> Heavy<K> {
-    pub fn new(most: usize) -> Heavy<K> {
-        Heavy { most: most.max(1), kept: BTreeMap::new(), order: BTreeSet::new() }
+impl<K: Ord + Clone> HeavyHitters<K> {
+    pub fn new(most: usize) -> HeavyHitters<K> {
+        HeavyHitters { most: most.max(1), kept: BTreeMap::new(), order: BTreeSet::new() }
     }
 
     pub fn add(&mut self, key: K) {
@@ -50,22 +50,22 @@
     }
 }
 
-/// Registers of a [`Distinct`]: 1.04 / sqrt(256) is a standard error of 6.5 in 100.
+/// Registers of a [`DistinctCounter`]: 1.04 / sqrt(256) is a standard error of 6.5 in 100.
 pub const REGISTERS: usize = 256;
 pub const DISTINCT_ERROR: f64 = 0.065;
 
 /// How many different ones there were, by HyperLogLog (Flajolet et al. 2007). Own, and not the crate `hyperloglogplus`:
 /// its registers cannot be read, and what its serde form accepts may panic later, so that it can't be sent to others.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Distinct(Vec<u8>);
+pub struct DistinctCounter(Vec<u8>);
 
-impl Default for Distinct {
+impl Default for DistinctCounter {
     fn default() -> Self {
-        Distinct(vec![0; REGISTERS])
+        DistinctCounter(vec![0; REGISTERS])
     }
 }
 
-impl Distinct {
+impl DistinctCounter {
     /// `hash` is any number that identifies one client.
     pub fn add(&mut self, hash: u64) {
         // The finisher of SplitMix64: numbers that were never hashed would else fill one register.
@@ -79,7 +79,7 @@
         }
     }
 
-    pub fn merge(&mut self, other: &Distinct) {
+    pub fn merge(&mut self, other: &DistinctCounter) {
         self.0.iter_mut().zip(&other.0).for_each(|(a, b)| *a = (*a).max(*b));
     }
 
@@ -101,8 +101,8 @@
     }
 
     /// `None` for a value that no hash gives.
-    pub fn from_set(set: impl Iterator<Item = (u8, u8)>) -> Option<Distinct> {
-        let mut all = Distinct::default();
+    pub fn from_set(set: impl Iterator<Item = (u8, u8)>) -> Option<DistinctCounter> {
+        let mut all = DistinctCounter::default();
         for (at, value) in set {
             *all.0.get_mut(usize::from(at)).filter(|_| (1..=57).contains(&value))? = value;
         }
@@ -111,13 +111,13 @@
 }
 
 /// Times over this count as this: no attempt lives as long.
-pub const LONGEST_US: u64 = 600_000_000;
+pub const MAX_TIME_US: u64 = 600_000_000;
 
 /// Times in microseconds, within 1 in 100 of their value. At most 3,100 buckets, by [`LONGEST_US`].
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Times(Option<Histogram<u64>>);
+pub struct TimeHistogram(Option<Histogram<u64>>);
 
-impl Times {
+impl TimeHistogram {
     pub fn add(&mut self, us: u64, n: u64) {
         if self.0.is_none() {
             // Two digits are a number that it takes: it fails for more than five alone.
@@ -125,7 +125,7 @@
         }
         if let Some(all) = &mut self.0 {
             // It grows by itself, and the value is bounded.
-            let _ = all.record_n(us.clamp(1, LONGEST_US), n);
+            let _ = all.record_n(us.clamp(1, MAX_TIME_US), n);
         }
     }
 
@@ -144,7 +144,7 @@
 
     /// Share of them over `us`.
     pub fn over(&self, us: f64) -> f64 {
-        let at = (us.max(0.0) as u64).min(LONGEST_US);
+        let at = (us.max(0.0) as u64).min(MAX_TIME_US);
         let within = self.0.as_ref().map_or(0, |h| h.count_between(0, at));
         1.0 - within as f64 / self.count().max(1) as f64
     }
--- a/src/topology_forecast/topology.rs
+++ b/src/topology_forecast/topology.rs
@@ -1,32 +1,39 @@
 //! A topology as the forecast reads it: tiles, the districts that they make up, and the servers that hold them.
 use std::collections::{BTreeMap, BTreeSet};
-use std::fmt;
 use std::rc::Rc;
 
 use num_rational::Ratio;
 
 use crate::balancer::interface::{ReplicaId, ZoneId};
 
-/// Most tiles and servers of a topology, and holders of a tile: more is taken for a spoilt list.
-pub const MOST_TILES: usize = 1 << 20;
-pub const MOST_SERVERS: usize = 1 << 16;
-pub const MOST_HOLDERS: usize = 64;
+/// The most tiles of a topology: a longer list is taken for a corrupt one.
+pub const MAX_TILES: usize = 1 << 20;
+/// The most servers of a topology.
+pub const MAX_SERVERS: usize = 1 << 16;
+/// The most holders of a tile.
+pub const MAX_HOLDERS: usize = 64;
 
-/// A server and the room it stands in.
+/// A server and its zone.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Server {
+    /// Its number.
     pub id: ReplicaId,
-    pub room: ZoneId,
-    /// Parts that it works on at once: what it gets done in a second over what one unit of it does.
+    /// The zone that it is in.
+    pub zone: ZoneId,
+    /// Parts that it works on at once: what it gets done in a second over what one unit does.
     pub capacity: f64,
 }
 
-/// A tile, exact weight included.
+/// A tile.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Tile {
+    /// Its number.
     pub tile: u32,
+    /// The district that it belongs to.
     pub district: u32,
+    /// Its exact weight, over 0.
     pub weight: Ratio<u64>,
+    /// The servers that hold it.
     pub holders: Rc<[ReplicaId]>,
     /// The tiles of the base that it was cut from; empty for one that the base has under the same number.
     pub from: Rc<[u32]>,
@@ -43,50 +50,51 @@
     tiles: Rc<[Tile]>,
 }
 
-/// Lists that are no topology.
-#[derive(Clone, Debug, PartialEq, Eq)]
+/// Why lists are no topology.
+#[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum TopologyError {
+    /// A list that is longer than its bound; with its name.
+    #[error("too many {0}")]
     TooMany(&'static str),
+    /// Two tiles of one number.
+    #[error("tile {0} stands twice")]
     TileTwice(u32),
+    /// Two servers of one number.
+    #[error("server {0} stands twice")]
     ServerTwice(u64),
-    /// Not over 0, or not a number.
+    /// A capacity that is not over 0, or not finite.
+    #[error("server {0} has a capacity that is not over 0")]
     Capacity(u64),
+    /// A weight of 0.
+    #[error("tile {0} has a weight of 0")]
     Weight(u32),
-    /// None, too many, or one twice.
+    /// No holders, too many, or one of them twice.
+    #[error("tile {0} needs 1 to {MAX_HOLDERS} holders, none twice")]
     Holders(u32),
+    /// A holder that is none of the servers.
+    #[error("tile {tile} is held by unknown server {server}")]
     UnknownServer {
+        /// The tile.
         tile: u32,
+        /// Its holder.
         server: u64,
     },
 }
 
-impl fmt::Display for TopologyError {
-    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        use TopologyError::*;
-        match self {
-            TooMany(what) => write!(f, "too many {what}"),
-            TileTwice(t) => write!(f, "tile {t} stands twice"),
-            ServerTwice(s) => write!(f, "server {s} stands twice"),
-            Capacity(s) => write!(f, "server {s} has a capacity that is not over 0"),
-            Weight(t) => write!(f, "tile {t} has a weight of 0"),
-            Holders(t) => write!(f, "tile {t} needs 1 to {MOST_HOLDERS} holders, none twice"),
-            UnknownServer { tile, server } => write!(f, "tile {tile} is held by unknown server {server}"),
-        }
-    }
-}
-
-impl std::error::Error for TopologyError {}
-
 impl Topology {
+    /// A topology of these lists, in any order.
+    ///
+    /// # Errors
+    /// The first thing in them that breaks the invariant or a bound.
     pub fn new(
         version: u64,
         mut servers: Vec<Server>,
         mut tiles: Vec<Tile>,
     ) -> Result<Topology, TopologyError> {
-        if servers.len() > MOST_SERVERS {
+        if servers.len() > MAX_SERVERS {
             return Err(TopologyError::TooMany("servers"));
         }
-        if tiles.len() > MOST_TILES {
+        if tiles.len() > MAX_TILES {
             return Err(TopologyError::TooMany("tiles"));
         }
         servers.sort_by_key(|s| s.id);
@@ -105,7 +113,7 @@
                 return Err(TopologyError::Weight(t.tile));
             }
             let distinct: BTreeSet<_> = t.holders.iter().collect();
-            if t.holders.is_empty() || t.holders.len() > MOST_HOLDERS || distinct.len() < t.holders.len() {
+            if t.holders.is_empty() || t.holders.len() > MAX_HOLDERS || distinct.len() < t.holders.len() {
                 return Err(TopologyError::Holders(t.tile));
             }
             let unknown = |h: &&ReplicaId| servers.binary_search_by_key(*h, |s| s.id).is_err();
@@ -116,38 +124,43 @@
         Ok(Topology { version, servers: servers.into(), tiles: tiles.into() })
     }
 
+    /// The number of the version.
     pub fn version(&self) -> u64 {
         self.version
     }
 
+    /// All servers, in the order of their numbers.
     pub fn servers(&self) -> &[Server] {
         &self.servers
     }
 
+    /// All tiles, in the order of their numbers.
     pub fn tiles(&self) -> &[Tile] {
         &self.tiles
     }
 
+    /// The tile with a number.
     pub fn tile(&self, tile: u32) -> Option<&Tile> {
         self.index(tile).and_then(|n| self.tiles.get(n))
     }
 
-    /// Its place in [`Topology::tiles`].
+    /// The index of a tile in [`Topology::tiles`].
     pub fn index(&self, tile: u32) -> Option<usize> {
         self.tiles.binary_search_by_key(&tile, |t| t.tile).ok()
     }
 
+    /// The index of a server in [`Topology::servers`].
     pub fn server(&self, id: ReplicaId) -> Option<usize> {
         self.servers.binary_search_by_key(&id, |s| s.id).ok()
     }
 
-    /// The places of each tile's holders in [`Topology::servers`].
+    /// The indexes of each tile's holders in [`Topology::servers`].
     pub fn holders(&self) -> Vec<Vec<u32>> {
         let place = |h: &ReplicaId| self.server(*h).and_then(|n| u32::try_from(n).ok());
         self.tiles.iter().map(|t| t.holders.iter().filter_map(place).collect()).collect()
     }
 
-    /// The places of the tiles of each district.
+    /// The indexes of the tiles of each district.
     pub fn districts(&self) -> BTreeMap<u32, Vec<usize>> {
         let mut all: BTreeMap<u32, Vec<usize>> = BTreeMap::new();
         for (n, t) in self.tiles.iter().enumerate() {
@@ -156,7 +169,7 @@
         all
     }
 
-    /// What a tile of `base` became here: places of tiles. Empty for one that was retired.
+    /// What each tile of `base` became here: indexes of tiles. Empty for one that was retired.
     pub fn successors(&self, base: &Topology) -> Vec<Vec<u32>> {
         let mut all = vec![Vec::new(); base.tiles.len()];
         for (n, t) in (0u32..).zip(self.tiles.iter()) {
@@ -171,12 +184,12 @@
         all
     }
 
-    /// Equal for equal content, whatever the version: what a reverted plan's base is known by.
+    /// A hash of the content, equal whatever the version: a reverted plan's base is identified by it.
     pub fn digest(&self) -> u64 {
         use std::hash::{Hash, Hasher};
         let mut h = fnv::FnvHasher::default();
         for s in self.servers.iter() {
-            (s.id.0, s.room.0, s.capacity.to_bits()).hash(&mut h);
+            (s.id.0, s.zone.0, s.capacity.to_bits()).hash(&mut h);
         }
         for t in self.tiles.iter() {
             (t.tile, t.district, t.weight.numer(), t.weight.denom()).hash(&mut h);
--- a/tests/golden_wire/forecast.rs
+++ b/tests/golden_wire/forecast.rs
@@ -2,7 +2,7 @@
 use marlgap::topology_forecast::forecast::{
     Change, Cold, CoordinatorLoad, FanOut, Fit, Forecast, Lateness, ServerLoad, Spread, Unknown, ZoneLoad,
 };
-use marlgap::topology_forecast::plan::Why;
+use marlgap::topology_forecast::plan::RejectionReason;
 use marlgap::topology_forecast::report::json::json;
 use marlgap::topology_forecast::{Coverage, Range};
 
@@ -91,7 +91,7 @@
 
 #[test]
 fn the_document_of_a_forecast_is_written_as_stored() {
-    let now = json("plan-name", Some(Why::ColdFall), &forecast()).expect("JSON");
+    let now = json("plan-name", Some(RejectionReason::ColdFall), &forecast()).expect("JSON");
     assert_eq!(now, text("forecast.json", &now), "written now (left) and stored (right)");
     let unrefused = json("plan-name", None, &forecast()).expect("JSON");
     let unrefused: serde_json::Value = serde_json::from_str(&unrefused).expect("JSON");
@@ -100,8 +100,15 @@
 
 #[test]
 fn the_words_for_a_refusal_are_as_stored() {
-    let reasons =
-        [Why::Coverage, Why::DemandOld, Why::Busy, Why::Late, Why::Grown, Why::ColdFall, Why::BaseChanged];
+    let reasons = [
+        RejectionReason::Coverage,
+        RejectionReason::DemandOld,
+        RejectionReason::Busy,
+        RejectionReason::Late,
+        RejectionReason::Grown,
+        RejectionReason::ColdFall,
+        RejectionReason::BaseChanged,
+    ];
     let now = serde_json::to_string_pretty(&reasons).expect("JSON");
     assert_eq!(now, text("refusals.json", &now), "written now (left) and stored (right)");
 }
--- a/tests/golden_wire/report.rs
+++ b/tests/golden_wire/report.rs
@@ -3,18 +3,18 @@
 
 use marlgap::cluster::MemberId;
 use marlgap::topology_forecast::report::{Class, Report, Row, SetKey};
-use marlgap::topology_forecast::sketch::{Distinct, Times};
+use marlgap::topology_forecast::sketch::{DistinctCounter, TimeHistogram};
 
 use crate::fixtures::{assert_same_bytes, records};
 
-fn times(of: &[(u64, u64)]) -> Times {
-    let mut times = Times::default();
+fn times(of: &[(u64, u64)]) -> TimeHistogram {
+    let mut times = TimeHistogram::default();
     of.iter().for_each(|(us, count)| times.add(*us, *count));
     times
 }
 
-fn clients(hashes: std::ops::Range<u64>) -> Distinct {
-    let mut clients = Distinct::default();
+fn clients(hashes: std::ops::Range<u64>) -> DistinctCounter {
+    let mut clients = DistinctCounter::default();
     hashes.for_each(|hash| clients.add(hash));
     clients
 }
@@ -88,5 +88,5 @@
     assert_same_bytes("clients", &registers, &stored["clients"]);
     assert_same_bytes("times", &buckets, &stored["times"]);
     let pairs = stored["clients"].chunks_exact(2).map(|pair| (pair[0], pair[1]));
-    assert_eq!(Distinct::from_set(pairs), Some(clients(0..5)));
+    assert_eq!(DistinctCounter::from_set(pairs), Some(clients(0..5)));
 }
--- a/tests/foresight/draw.rs
+++ b/tests/topology_forecast/drawing.rs
@@ -1,9 +1,9 @@
 //! Loads of servers from which parts are drawn.
-use marlgap::topology_forecast::forecast::{Draws, Placement};
+use marlgap::topology_forecast::forecast::{Placement, ReplicaDraws};
 
 #[test]
 fn no_part_is_lost_and_the_busy_server_gets_the_lesser_share() {
-    let mut draws = Draws::default();
+    let mut draws = ReplicaDraws::default();
     draws.add(&[0, 1], 60.0);
     draws.add(&[1], 60.0);
     draws.add(&[0, 1, 2], 30.0);
--- a/tests/foresight/files.rs
+++ b/tests/topology_forecast/files.rs
@@ -8,7 +8,7 @@
 const NOW: u64 = 1_800_000_000_000;
 
 fn base() -> Topology {
-    let servers = (1..=3).map(|n| Server { id: ReplicaId(n), room: ZoneId(0), capacity: 1.0 });
+    let servers = (1..=3).map(|n| Server { id: ReplicaId(n), zone: ZoneId(0), capacity: 1.0 });
     let tiles = (1..=3).map(|tile| Tile {
         tile,
         district: 1,
--- a/tests/foresight/fleet.rs
+++ b/tests/topology_forecast/fleet.rs
@@ -1,14 +1,15 @@
 //! A simulated fleet on a virtual clock: queries are drawn, and played on a topology. Each part draws a random ordered
 //! pair of its tile's holders and goes to the
-//! shorter queue, or to its coordinator's own room.
+//! shorter queue, or to its coordinator's own zone.
 use std::collections::{BTreeMap, VecDeque};
 use std::rc::Rc;
 
 use marlgap::balancer::interface::{Class, Idempotency, ReplicaId, SlowStart, ZoneId};
 use marlgap::cluster::MemberId;
-use marlgap::topology_forecast::forecast::Given;
+use marlgap::topology_forecast::forecast::ForecastInputs;
 use marlgap::topology_forecast::{
-    Asked, Asks, Demand, Gathered, Keeper, Limits, Sent, Server, Tile, Topology,
+    AttemptKind, Demand, DemandCollection, DemandLimits, DemandRecorder, QueryArrival, RequestedTiles,
+    Server, Tile, Topology,
 };
 use num_rational::Ratio;
 use rand_core::{RngCore, SeedableRng};
@@ -63,7 +64,7 @@
     (0..shape.coordinators).map(|n| format!("c{n}").into()).collect()
 }
 
-pub fn given(shape: &Shape, queues_told: bool) -> Given {
+pub fn given(shape: &Shape, queues_told: bool) -> ForecastInputs {
     let class = Class {
         latency_objective: 0.08,
         deadline: 2.0,
@@ -76,7 +77,7 @@
         second_step_parts: 0,
         hedging: false,
     };
-    Given {
+    ForecastInputs {
         classes: vec![class],
         cold: Some(SlowStart {
             initial_capacity: 0.25,
@@ -93,7 +94,7 @@
 
 pub fn base(shape: &Shape, chance: &mut Chance) -> Topology {
     let servers =
-        (0..shape.servers).map(|n| Server { id: ReplicaId(n), room: ZoneId((n % 3) as u8), capacity: 1.0 });
+        (0..shape.servers).map(|n| Server { id: ReplicaId(n), zone: ZoneId((n % 3) as u8), capacity: 1.0 });
     let tiles = (0..shape.tiles).map(|tile| Tile {
         tile,
         district: tile % shape.districts,
@@ -191,25 +192,25 @@
     base: &Topology,
     on: &Topology,
     queues_told: bool,
-    limits: &Limits,
+    limits: &DemandLimits,
     seed: u64,
 ) -> Demand {
     let mut chance = Chance::new(seed);
     let successors = on.successors(base);
     let (districts, holders) = (on.districts(), on.holders());
     let names = names(shape);
-    let mut keepers: Vec<Keeper> =
-        names.iter().map(|n| Keeper::new(MemberId::new(n, 1), limits.clone())).collect();
+    let mut recorders: Vec<DemandRecorder> =
+        names.iter().map(|n| DemandRecorder::new(MemberId::new(n, 1), limits.clone())).collect();
     // When each part there is done, and whose it is.
     let mut queues: Vec<VecDeque<(f64, usize)>> = vec![VecDeque::new(); on.servers().len()];
     let ms = |at: f64| START_MS + (at * 1000.0) as u64;
     for q in queries {
-        let keeper = &mut keepers[q.by];
-        let asks = q.tiles.as_ref().map_or(Asks::Whole, |t| Asks::Tiles(t));
+        let recorder = &mut recorders[q.by];
+        let asks = q.tiles.as_ref().map_or(RequestedTiles::WholeDistrict, |t| RequestedTiles::Tiles(t));
         let client = Some(q.client);
-        keeper.asked(
+        recorder.record_query(
             ms(q.at),
-            &Asked { class: 0, district: q.district, asks, client, bytes: 200, again: false },
+            &QueryArrival { class: 0, district: q.district, asks, client, bytes: 200, again: false },
         );
         let mut tiles: Vec<usize> = match &q.tiles {
             None => districts[&q.district].clone(),
@@ -234,7 +235,7 @@
             };
             let (a, b) = (held[first], held[other]);
             let (of_a, of_b) = (length(a), length(b));
-            let away = |h: u32| u8::from(on.servers()[h as usize].room.0 as usize != q.by % 3);
+            let away = |h: u32| u8::from(on.servers()[h as usize].zone.0 as usize != q.by % 3);
             let server = if (of_a, away(a)) <= (of_b, away(b)) { a } else { b };
             // A third of a part's work is there whatever its tile weighs.
             let weight = *on.tiles()[n].weight.numer() as f64 / *on.tiles()[n].weight.denom() as f64;
@@ -242,17 +243,17 @@
             let begins = queues[server as usize].back().map_or(q.at, |(done, _)| *done);
             let done = begins + work;
             queues[server as usize].push_back((done, q.by));
-            keeper.sent(ms(q.at), 0, on.servers()[server as usize].id, Sent::First);
-            keeper.served(ms(q.at), 0, ((done - q.at) * 1e6) as u64, Some((work * 1e6) as u64));
+            recorder.record_attempt(ms(q.at), 0, on.servers()[server as usize].id, AttemptKind::First);
+            recorder.record_part(ms(q.at), 0, ((done - q.at) * 1e6) as u64, Some((work * 1e6) as u64));
             over = over.max(done);
         }
-        keeper.answered(ms(q.at), 0, ((over - q.at) * 1e6) as u64, 1000);
+        recorder.record_answer(ms(q.at), 0, ((over - q.at) * 1e6) as u64, 1000);
     }
     let end = START_MS + shape.windows * WINDOW_MS;
-    let mut gathered = Gathered::new(4096, WINDOW_MS);
+    let mut gathered = DemandCollection::new(4096, WINDOW_MS);
     let mut seen: BTreeMap<u64, u64> = BTreeMap::new();
-    for keeper in &mut keepers {
-        for report in keeper.reports(end) {
+    for recorder in &mut recorders {
+        for report in recorder.take_reports(end) {
             *seen.entry(report.window).or_default() += 1;
             gathered.insert(Rc::new(report), end).expect("of now");
         }
--- a/tests/foresight.rs
+++ b/tests/topology_forecast/main.rs
@@ -1,19 +1,13 @@
 //! Foresight as a whole: a demand, its forecast, and the same traffic played on the topology that was forecast.
-#[path = "foresight/draw.rs"]
 mod drawing;
-#[path = "foresight/files.rs"]
 mod files;
-#[path = "foresight/fleet.rs"]
 mod fleet;
-#[path = "foresight/merging.rs"]
 mod merging;
-#[path = "foresight/plans.rs"]
 mod plans;
-#[path = "foresight/sketch.rs"]
 mod sketch;
 
 use fleet::*;
-use marlgap::topology_forecast::{forecast, parse, Limits};
+use marlgap::topology_forecast::{forecast, parse, DemandLimits};
 
 /// What became of a forecast.
 #[derive(Debug, Default)]
@@ -27,7 +21,7 @@
 }
 
 /// Draw a demand, forecast a topology, adopt it, and play the same queries on it; which holders are drawn differs.
-fn compare(seed: u64, queues_told: bool, limits: &Limits) -> Off {
+fn compare(seed: u64, queues_told: bool, limits: &DemandLimits) -> Off {
     let mut chance = Chance::new(seed);
     let base = base(&SHAPE, &mut chance);
     let plan = parse(&changed(&base, &SHAPE, &mut chance)).expect("a plan");
@@ -44,7 +38,7 @@
         off.worst = off.worst.max(by);
         off.mean += by / said.servers.len() as f64;
         off.over += usize::from(by > 0.05);
-        off.outside += usize::from(!s.parts_s.holds(got));
+        off.outside += usize::from(!s.parts_s.contains(got));
     }
     println!("seed {seed}, queues told {queues_told}, {} sets: {off:?} {:?}", limits.sets, said.fit);
     let line = marlgap::topology_forecast::report::json::line("p", None, &said);
@@ -61,10 +55,10 @@
 #[test]
 fn load_by_server_is_as_it_was_said() {
     for seed in 1..4 {
-        let off = compare(seed, true, &Limits::default());
+        let off = compare(seed, true, &DemandLimits::default());
         assert!(off.mean < 0.02 && off.over <= 1 && off.worst < 0.07, "{off:?}");
         assert!(off.outside == 0 && off.late_over <= 0.0, "{off:?}");
-        let off = compare(seed, false, &Limits::default());
+        let off = compare(seed, false, &DemandLimits::default());
         assert!(off.mean < 0.025 && off.over <= 4 && off.worst < 0.11, "{off:?}");
         assert!(off.outside == 0 && off.late_over <= 0.0, "{off:?}");
     }
@@ -72,7 +66,7 @@
 
 #[test]
 fn where_sketches_are_too_small_the_range_says_so() {
-    let small = Limits { sets: 64, tiles: 100, ..Limits::default() };
+    let small = DemandLimits { sets: 64, tiles: 100, ..DemandLimits::default() };
     for told in [true, false] {
         let off = compare(1, told, &small);
         assert!(off.outside == 0 && off.late_over <= 0.0, "{off:?}");
--- a/tests/foresight/merging.rs
+++ b/tests/topology_forecast/merging.rs
@@ -3,38 +3,54 @@
 
 use marlgap::balancer::interface::ReplicaId;
 use marlgap::cluster::MemberId;
-use marlgap::topology_forecast::{Asked, Asks, GatherError, Gathered, Keeper, Limits, Report, Sent};
+use marlgap::topology_forecast::{
+    AttemptKind, CollectionError, DemandCollection, DemandLimits, DemandRecorder, QueryArrival, Report,
+    RequestedTiles,
+};
 use proptest::prelude::*;
 
 const WINDOW: u64 = 60_000;
 const NOW: u64 = 9 * WINDOW;
 
-fn keep(keeper: &mut Keeper, ms: u64, tiles: &[u32], again: bool) {
-    let asks = Asks::Tiles(tiles);
-    keeper.asked(ms, &Asked { class: 1, district: 3, asks, client: Some(ms), bytes: 10, again });
-    keeper.sent(ms, 1, ReplicaId(u64::from(tiles[0])), if again { Sent::Again } else { Sent::First });
-    keeper.served(ms, 1, 900, Some(500));
-    keeper.answered(ms, 1, 2000, 50);
+fn keep(recorder: &mut DemandRecorder, ms: u64, tiles: &[u32], again: bool) {
+    let asks = RequestedTiles::Tiles(tiles);
+    recorder
+        .record_query(ms, &QueryArrival { class: 1, district: 3, asks, client: Some(ms), bytes: 10, again });
+    recorder.record_attempt(
+        ms,
+        1,
+        ReplicaId(u64::from(tiles[0])),
+        if again { AttemptKind::Retry } else { AttemptKind::First },
+    );
+    recorder.record_part(ms, 1, 900, Some(500));
+    recorder.record_answer(ms, 1, 2000, 50);
 }
 
 fn report(member: u64, life: u64, window: u64, queries: u32) -> Rc<Report> {
-    let limits = Limits { tiles: 4, sets: 4, ..Limits::default() };
-    let mut keeper = Keeper::new(MemberId::new(&format!("c{member}"), life), limits);
+    let limits = DemandLimits { tiles: 4, sets: 4, ..DemandLimits::default() };
+    let mut recorder = DemandRecorder::new(MemberId::new(&format!("c{member}"), life), limits);
     for n in 0..queries {
-        keep(&mut keeper, window * WINDOW + u64::from(n), &[n % 7, 9], false);
+        keep(&mut recorder, window * WINDOW + u64::from(n), &[n % 7, 9], false);
     }
-    let all = keeper.reports((window + 1) * WINDOW);
+    let all = recorder.take_reports((window + 1) * WINDOW);
     Rc::new(all.into_iter().next().unwrap_or_else(|| {
-        keeper.asked(
+        recorder.record_query(
             window * WINDOW,
-            &Asked { class: 1, district: 3, asks: Asks::Whole, client: None, bytes: 1, again: false },
+            &QueryArrival {
+                class: 1,
+                district: 3,
+                asks: RequestedTiles::WholeDistrict,
+                client: None,
+                bytes: 1,
+                again: false,
+            },
         );
-        keeper.reports((window + 1) * WINDOW).remove(0)
+        recorder.take_reports((window + 1) * WINDOW).remove(0)
     }))
 }
 
-fn gathered(most: usize, all: &[Rc<Report>]) -> Gathered {
-    let mut out = Gathered::new(most, WINDOW);
+fn gathered(most: usize, all: &[Rc<Report>]) -> DemandCollection {
+    let mut out = DemandCollection::new(most, WINDOW);
     for report in all {
         out.insert(report.clone(), NOW).expect("of now");
     }
@@ -52,7 +68,7 @@
     #[test]
     fn merging_is_idempotent_commutative_and_associative(a in some(), b in some(), c in some(), most in 1usize..20) {
         let of = |list: &[Rc<Report>]| gathered(most, list);
-        let merge = |a: &Gathered, b: &Gathered| { let mut a = a.clone(); a.merge(b, NOW); a };
+        let merge = |a: &DemandCollection, b: &DemandCollection| { let mut a = a.clone(); a.merge(b, NOW); a };
         let (a, b, c) = (of(&a), of(&b), of(&c));
         prop_assert_eq!(merge(&a, &b), merge(&b, &a));
         prop_assert_eq!(merge(&merge(&a, &b), &c), merge(&a, &merge(&b, &c)));
@@ -81,9 +97,9 @@
     let demand = gathered(100, &all).demand(&["c1".into(), "c2".into()], 6 * WINDOW, 1).expect("a demand");
     assert_eq!(demand.rows[&(1, 3)].queries, 25 + 4 + 3);
     assert_eq!(demand.classes[&1].took.count(), 32);
-    let mut keeper = Keeper::new(MemberId::new("c9", 1), Limits::default());
-    keep(&mut keeper, 1, &[4], true);
-    let taken_over = keeper.reports(WINDOW).remove(0);
+    let mut recorder = DemandRecorder::new(MemberId::new("c9", 1), DemandLimits::default());
+    keep(&mut recorder, 1, &[4], true);
+    let taken_over = recorder.take_reports(WINDOW).remove(0);
     assert!(
         taken_over.rows.is_empty() && taken_over.servers[&4] == 1,
         "its attempts count, its query does not"
@@ -94,15 +110,15 @@
 fn a_report_from_the_future_is_refused_and_drives_none_out() {
     let mut all = gathered(2, &[report(1, 1, 8, 5), report(2, 1, 8, 5)]);
     let before = all.clone();
-    let refused = Err(GatherError::Ahead { window: 11, open: 9 });
+    let refused = Err(CollectionError::WindowAhead { window: 11, open: 9 });
     assert_eq!(all.insert(report(3, 1, 11, 5), NOW), refused);
     assert_eq!(all.insert(report(3, 1, 11, 5), NOW + WINDOW - 1), refused, "to the window's last moment");
-    let mut ahead = Gathered::new(2, WINDOW);
+    let mut ahead = DemandCollection::new(2, WINDOW);
     assert_eq!(ahead.insert(report(3, 1, 11, 5), NOW + WINDOW), Ok(true), "one window ahead");
     assert_eq!(all.merge(&ahead, NOW), 1, "nor out of another set");
-    let mut other = Gathered::new(2, 2 * WINDOW);
-    let told = GatherError::Length { told: WINDOW, held: 2 * WINDOW };
-    assert_eq!(other.insert(report(1, 1, 8, 5), NOW), Err(told));
+    let mut other = DemandCollection::new(2, 2 * WINDOW);
+    let length = CollectionError::WindowLength { reported_ms: WINDOW, collected_ms: 2 * WINDOW };
+    assert_eq!(other.insert(report(1, 1, 8, 5), NOW), Err(length));
     assert_eq!((all, other.len()), (before, 0));
 }
 
@@ -122,24 +138,24 @@
 
 #[test]
 fn tables_are_bounded_and_a_full_report_fits() {
-    let mut keeper = Keeper::new(MemberId::new("c", 1), Limits::default());
+    let mut recorder = DemandRecorder::new(MemberId::new("c", 1), DemandLimits::default());
     for n in 0..200_000u32 {
         let tiles: Vec<u32> = (0..8).map(|i| n.wrapping_mul(2_654_435_761) % 100_000 + i).collect();
         let (class, district) = ((n % 80) as u16, n % 5000);
-        let asked = Asked {
+        let asked = QueryArrival {
             class,
             district,
-            asks: Asks::Tiles(&tiles),
+            asks: RequestedTiles::Tiles(&tiles),
             client: Some(n.into()),
             bytes: 1,
             again: false,
         };
-        keeper.asked(0, &asked);
-        keeper.sent(0, class, ReplicaId(u64::from(n % 9000)), Sent::First);
-        keeper.served(0, class, u64::from(n) * 37, None);
-        keeper.answered(0, class, u64::from(n) * 41, 1);
+        recorder.record_query(0, &asked);
+        recorder.record_attempt(0, class, ReplicaId(u64::from(n % 9000)), AttemptKind::First);
+        recorder.record_part(0, class, u64::from(n) * 37, None);
+        recorder.record_answer(0, class, u64::from(n) * 41, 1);
     }
-    let report = keeper.reports(WINDOW).remove(0);
+    let report = recorder.take_reports(WINDOW).remove(0);
     let (rows, servers) = (report.rows.len(), report.servers.len());
     assert_eq!((report.classes.len(), rows, report.tiles.len(), report.sets.len()), (64, 1024, 4096, 512));
     assert_eq!((report.clients.len(), servers), (256, 4096));
--- a/tests/foresight/plans.rs
+++ b/tests/topology_forecast/plans.rs
@@ -4,27 +4,28 @@
 
 use marlgap::cluster::MemberId;
 use marlgap::topology_forecast::plan::{
-    Command, Dropped, Need, Nothing, Plans, Rules, Said, Stage, Todo, Under, Why,
+    AnswerLayout, Command, CommandError, ForecastSummary, MemberTask, NoAnswerReason, PlanStage,
+    PlanStateMachine, Readiness, RejectionReason, VerdictLimits,
 };
-use marlgap::topology_forecast::Seen;
+use marlgap::topology_forecast::Observation;
 use proptest::prelude::*;
 
 fn member(n: u64) -> MemberId {
     MemberId::new(&format!("c{n}"), 1)
 }
 
-fn said() -> Said {
-    Said { share: 0.95, newest_ms: 1000, busiest: 0.5, late: 0.01, grown: 1.1, falls: 0 }
+fn said() -> ForecastSummary {
+    ForecastSummary { share: 0.95, newest_ms: 1000, busiest: 0.5, late: 0.01, grown: 1.1, falls: 0 }
 }
 
-fn seen(load_off: f64) -> Seen {
-    Seen { load_off, late_over: 0.0, coverage: 1.0 }
+fn seen(load_off: f64) -> Observation {
+    Observation { load_off, late_over: 0.0, coverage: 1.0 }
 }
 
 const BASE: u64 = 70;
 
-fn plans() -> Plans {
-    let mut plans = Plans::new(Rules::default(), 7, BASE);
+fn plans() -> PlanStateMachine {
+    let mut plans = PlanStateMachine::new(VerdictLimits::default(), 7, BASE);
     plans.apply(&Command::Members((0..3).map(member).collect())).expect("taken");
     plans
 }
@@ -41,8 +42,8 @@
     Command::Claim { plan: plan.into(), ballot, by: member(by) }
 }
 
-fn result(plan: &str, ballot: u64, by: u64, said: Said) -> Command {
-    Command::Forecast { plan: plan.into(), ballot, by: member(by), said, now_ms: 2000 }
+fn result(plan: &str, ballot: u64, by: u64, summary: ForecastSummary) -> Command {
+    Command::Forecast { plan: plan.into(), ballot, by: member(by), summary, now_ms: 2000 }
 }
 
 fn ready(plan: &str, by: u64) -> Command {
@@ -54,11 +55,11 @@
 }
 
 fn observed(plan: &str, ballot: u64, by: u64, off: f64, back_at: u64) -> Command {
-    Command::Observed { plan: plan.into(), ballot, by: member(by), seen: seen(off), back_at }
+    Command::Observed { plan: plan.into(), ballot, by: member(by), observation: seen(off), back_at }
 }
 
 /// From its proposal to where it may be adopted.
-fn prepared(plans: &mut Plans, plan: &str, base: u64) {
+fn prepared(plans: &mut PlanStateMachine, plan: &str, base: u64) {
     let ballot = 1;
     for c in [propose(plan, base), claim(plan, ballot, 0), result(plan, ballot, 0, said())] {
         plans.apply(&c).expect("taken");
@@ -74,31 +75,31 @@
     plans.apply(&adopt("a", 7, 5000)).expect("taken");
     plans.apply(&claim("a", 2, 0)).expect("taken");
     plans.apply(&observed("a", 2, 0, 0.01, 6000)).expect("kept");
-    assert_eq!(plans.apply(&adopt("b", 7, 7000)), Err(Dropped::Base));
+    assert_eq!(plans.apply(&adopt("b", 7, 7000)), Err(CommandError::Base));
     assert_eq!(plans.version(), 8);
 }
 
 #[test]
 fn a_plan_is_refused_for_each_limit() {
     let cases = [
-        (Said { share: 0.8, ..said() }, Why::Coverage),
-        (Said { share: f64::NAN, ..said() }, Why::Coverage),
-        (Said { busiest: 0.9, ..said() }, Why::Busy),
-        (Said { late: 0.2, ..said() }, Why::Late),
-        (Said { grown: f64::INFINITY, ..said() }, Why::Grown),
-        (Said { falls: 1, ..said() }, Why::ColdFall),
+        (ForecastSummary { share: 0.8, ..said() }, RejectionReason::Coverage),
+        (ForecastSummary { share: f64::NAN, ..said() }, RejectionReason::Coverage),
+        (ForecastSummary { busiest: 0.9, ..said() }, RejectionReason::Busy),
+        (ForecastSummary { late: 0.2, ..said() }, RejectionReason::Late),
+        (ForecastSummary { grown: f64::INFINITY, ..said() }, RejectionReason::Grown),
+        (ForecastSummary { falls: 1, ..said() }, RejectionReason::ColdFall),
     ];
     for (said, why) in cases {
         let mut plans = plans();
         plans.apply(&propose("a", 7)).expect("taken");
         plans.apply(&claim("a", 1, 0)).expect("taken");
         plans.apply(&result("a", 1, 0, said)).expect("taken");
-        assert_eq!(plans.plan("a").map(|e| e.stage.clone()), Some(Stage::Refused(why)));
-        assert_eq!(plans.apply(&adopt("a", 7, 5000)), Err(Dropped::Stage));
+        assert_eq!(plans.plan("a").map(|e| e.stage.clone()), Some(PlanStage::Rejected(why)));
+        assert_eq!(plans.apply(&adopt("a", 7, 5000)), Err(CommandError::Stage));
     }
     let mut old = plans();
     prepared(&mut old, "a", 7);
-    assert_eq!(old.apply(&adopt("a", 7, 4_000_000)), Err(Dropped::DemandOld));
+    assert_eq!(old.apply(&adopt("a", 7, 4_000_000)), Err(CommandError::DemandOld));
 }
 
 #[test]
@@ -107,24 +108,27 @@
     for c in [propose("a", 7), claim("a", 1, 0), result("a", 1, 0, said()), ready("a", 0), ready("a", 1)] {
         plans.apply(&c).expect("taken");
     }
-    assert_eq!(plans.apply(&adopt("a", 7, 5000)), Err(Dropped::NotReady));
+    assert_eq!(plans.apply(&adopt("a", 7, 5000)), Err(CommandError::NotReady));
     plans.apply(&ready("a", 2)).expect("taken");
     let again = MemberId::new("c2", 2);
     plans.apply(&Command::Members(vec![member(0), member(1), again.clone()])).expect("taken");
-    assert_eq!(plans.apply(&adopt("a", 7, 5000)), Err(Dropped::NotReady), "its other life was ready");
+    assert_eq!(plans.apply(&adopt("a", 7, 5000)), Err(CommandError::NotReady), "its other life was ready");
     plans.apply(&Command::Ready { plan: "a".into(), digest: digest("a"), by: again }).expect("taken");
     plans.apply(&Command::Close { until: 5000 }).expect("taken");
-    assert_eq!(plans.apply(&adopt("a", 7, 5000)), Err(Dropped::Closed));
+    assert_eq!(plans.apply(&adopt("a", 7, 5000)), Err(CommandError::Closed));
     plans.apply(&adopt("a", 7, 5001)).expect("taken");
     let names = |list: &[&str]| list.iter().map(|n| Rc::from(*n)).collect::<BTreeSet<Rc<str>>>();
-    for (need, enough) in [(Need::Share(0.5), 2), (Need::Names(names(&["c0"])), 1), (Need::All, 3)] {
-        let mut plans = Plans::new(Rules { ready: need, ..Rules::default() }, 7, BASE);
+    for (need, enough) in
+        [(Readiness::Share(0.5), 2), (Readiness::Names(names(&["c0"])), 1), (Readiness::All, 3)]
+    {
+        let mut plans =
+            PlanStateMachine::new(VerdictLimits { ready: need, ..VerdictLimits::default() }, 7, BASE);
         plans.apply(&Command::Members((0..3).map(member).collect())).expect("taken");
         for c in [propose("a", 7), claim("a", 1, 0), result("a", 1, 0, said())] {
             plans.apply(&c).expect("taken");
         }
         for n in 0..enough {
-            assert_eq!(plans.apply(&adopt("a", 7, 5000)), Err(Dropped::NotReady));
+            assert_eq!(plans.apply(&adopt("a", 7, 5000)), Err(CommandError::NotReady));
             plans.apply(&ready("a", n)).expect("taken");
         }
         plans.apply(&adopt("a", 7, 5000)).expect("taken");
@@ -136,18 +140,31 @@
     let mut plans = plans();
     plans.apply(&propose("a", 7)).expect("taken");
     let alive = |m: &MemberId| *m != member(0);
-    assert_eq!(plans.todo(&member(0), &|_| true).last(), Some(&Todo::Claim { plan: "a".into(), ballot: 1 }));
+    assert_eq!(
+        plans.tasks(&member(0), &|_| true).last(),
+        Some(&MemberTask::Claim { plan: "a".into(), ballot: 1 })
+    );
     plans.apply(&claim("a", 1, 0)).expect("taken");
-    assert_eq!(plans.todo(&member(1), &|_| true).len(), 1, "ready, and no claim beside one that lives");
-    assert_eq!(plans.todo(&member(1), &alive).last(), Some(&Todo::Claim { plan: "a".into(), ballot: 2 }));
+    assert_eq!(plans.tasks(&member(1), &|_| true).len(), 1, "ready, and no claim beside one that lives");
+    assert_eq!(
+        plans.tasks(&member(1), &alive).last(),
+        Some(&MemberTask::Claim { plan: "a".into(), ballot: 2 })
+    );
     plans.apply(&claim("a", 2, 1)).expect("taken");
-    assert_eq!(plans.apply(&claim("a", 2, 2)), Err(Dropped::Claim));
-    let busy = Said { busiest: 0.99, ..said() };
-    assert_eq!(plans.apply(&result("a", 1, 0, busy.clone())), Err(Dropped::Claim), "the dead one's, late");
-    assert_eq!(plans.todo(&member(1), &alive).last(), Some(&Todo::Forecast { plan: "a".into(), ballot: 2 }));
+    assert_eq!(plans.apply(&claim("a", 2, 2)), Err(CommandError::Claim));
+    let busy = ForecastSummary { busiest: 0.99, ..said() };
+    assert_eq!(
+        plans.apply(&result("a", 1, 0, busy.clone())),
+        Err(CommandError::Claim),
+        "the dead one's, late"
+    );
+    assert_eq!(
+        plans.tasks(&member(1), &alive).last(),
+        Some(&MemberTask::Forecast { plan: "a".into(), ballot: 2 })
+    );
     plans.apply(&result("a", 2, 1, said())).expect("taken");
     assert!(plans.apply(&result("a", 2, 1, busy)).is_err(), "a second one");
-    assert_eq!(plans.plan("a").map(|e| e.stage.clone()), Some(Stage::Forecast));
+    assert_eq!(plans.plan("a").map(|e| e.stage.clone()), Some(PlanStage::Forecast));
 }
 
 #[test]
@@ -156,19 +173,19 @@
     prepared(&mut plans, "a", 7);
     plans.apply(&adopt("a", 7, 5000)).expect("taken");
     prepared(&mut plans, "b", 8);
-    assert_eq!(plans.apply(&adopt("b", 8, 5500)), Err(Dropped::Observing));
+    assert_eq!(plans.apply(&adopt("b", 8, 5500)), Err(CommandError::Observing));
     plans.apply(&claim("a", 2, 1)).expect("taken");
-    let little = Seen { coverage: 0.5, ..seen(0.4) };
+    let little = Observation { coverage: 0.5, ..seen(0.4) };
     let little =
-        Command::Observed { plan: "a".into(), ballot: 2, by: member(1), seen: little, back_at: 6000 };
-    assert_eq!(plans.apply(&little), Err(Dropped::Coverage), "too little to decide on");
+        Command::Observed { plan: "a".into(), ballot: 2, by: member(1), observation: little, back_at: 6000 };
+    assert_eq!(plans.apply(&little), Err(CommandError::Coverage), "too little to decide on");
     plans.apply(&observed("a", 2, 1, 0.4, 6000)).expect("taken");
-    assert_eq!(plans.plan("a").map(|e| e.stage.clone()), Some(Stage::Reverted { at: 6000 }));
+    assert_eq!(plans.plan("a").map(|e| e.stage.clone()), Some(PlanStage::Reverted { at: 6000 }));
     assert!(plans.apply(&observed("a", 2, 1, 0.4, 7000)).is_err());
     assert_eq!(plans.version(), 9);
     // Another name for the same is the same.
     let again = |base| Command::Propose { plan: "c".into(), digest: digest("a"), base, not_before: 0 };
-    assert_eq!(plans.apply(&again(9)), Err(Dropped::Flaps));
+    assert_eq!(plans.apply(&again(9)), Err(CommandError::Flaps));
     plans.apply(&Command::Changed { base: 9, digest: 71, at: 8000 }).expect("taken");
     plans.apply(&again(10)).expect("the base is another one");
 }
@@ -181,7 +198,7 @@
     plans.apply(&claim("a", 2, 1)).expect("taken");
     plans.apply(&Command::Changed { base: 8, digest: 72, at: 6000 }).expect("taken");
     assert!(plans.apply(&observed("a", 2, 1, 0.9, 7000)).is_err());
-    assert_eq!((plans.version(), plans.plan("a").map(|e| e.stage.clone())), (9, Some(Stage::Superseded)));
+    assert_eq!((plans.version(), plans.plan("a").map(|e| e.stage.clone())), (9, Some(PlanStage::Superseded)));
 }
 
 #[test]
@@ -191,15 +208,25 @@
     plans.apply(&adopt("a", 7, 5000)).expect("taken");
     let h = plans.history();
     let (old, both) = (|v| v == 7, |v| v <= 8);
-    assert_eq!(h.under(10, 20, both, |_, _| true), Under::Nothing(Nothing::NotClosed));
+    assert_eq!(h.answer_layout(10, 20, both, |_, _| true), AnswerLayout::None(NoAnswerReason::NotClosed));
     plans.apply(&Command::Close { until: 9000 }).expect("taken");
     let h = plans.history();
-    assert_eq!(h.under(4900, 4999, old, |_, _| true), Under::Version(7));
-    assert_eq!(h.under(4990, 5010, both, |_, _| true), Under::Nothing(Nothing::Between(7, 8)));
-    assert_eq!(h.under(5000, 5010, both, |_, _| true), Under::Version(8));
-    assert_eq!(h.under(5000, 5010, old, |_, _| true), Under::Nothing(Nothing::NotReady(8)));
-    assert_eq!(h.under(5000, 5010, old, |_, _| false), Under::Version(7), "the same under both");
-    assert_eq!(h.under(8990, 9010, both, |_, _| true), Under::Nothing(Nothing::NotClosed));
+    assert_eq!(h.answer_layout(4900, 4999, old, |_, _| true), AnswerLayout::Version(7));
+    assert_eq!(
+        h.answer_layout(4990, 5010, both, |_, _| true),
+        AnswerLayout::None(NoAnswerReason::Between(7, 8))
+    );
+    assert_eq!(h.answer_layout(5000, 5010, both, |_, _| true), AnswerLayout::Version(8));
+    assert_eq!(
+        h.answer_layout(5000, 5010, old, |_, _| true),
+        AnswerLayout::None(NoAnswerReason::NotReady(8))
+    );
+    assert_eq!(
+        h.answer_layout(5000, 5010, old, |_, _| false),
+        AnswerLayout::Version(7),
+        "the same under both"
+    );
+    assert_eq!(h.answer_layout(8990, 9010, both, |_, _| true), AnswerLayout::None(NoAnswerReason::NotClosed));
 }
 
 fn any_command() -> impl Strategy<Value = Command> {
@@ -250,13 +277,13 @@
                 Command::Adopt { plan, base, at } if taken.is_ok() => {
                     let entry = plans.plan(plan).expect("there");
                     prop_assert!(*base == before.version() && entry.base == *base && step == 1);
-                    prop_assert!(before.plan(plan).expect("there").said.is_some());
+                    prop_assert!(before.plan(plan).expect("there").summary.is_some());
                     adopted += 1;
                     Some(*at)
                 }
                 Command::Observed { plan, back_at, .. } if step == 1 => {
                     let was = &before.plan(plan).expect("there").stage;
-                    let was_adopted = matches!(was, Stage::Adopted { .. });
+                    let was_adopted = matches!(was, PlanStage::Adopted { .. });
                     prop_assert!(was_adopted, "out of {:?}", was);
                     prop_assert_eq!(before.plan(plan).expect("there").base + 1, before.version(), "its own base");
                     reverted += 1;
--- a/tests/foresight/sketch.rs
+++ b/tests/topology_forecast/sketch.rs
@@ -1,11 +1,11 @@
 //! Bounded counts against the truth.
-use marlgap::topology_forecast::sketch::{Distinct, Heavy, DISTINCT_ERROR};
+use marlgap::topology_forecast::sketch::{DistinctCounter, HeavyHitters, DISTINCT_ERROR};
 use proptest::prelude::*;
 
 proptest! {
     #[test]
     fn a_heavy_hitters_true_count_lies_within_its_error(keys in prop::collection::vec(0u32..40, 1..400)) {
-        let mut heavy = Heavy::new(8);
+        let mut heavy = HeavyHitters::new(8);
         keys.iter().for_each(|k| heavy.add(*k));
         let truth = |key: u32| keys.iter().filter(|k| **k == key).count() as u64;
         prop_assert_eq!(heavy.iter().map(|(_, n, _)| n).sum::<u64>(), keys.len() as u64);
@@ -22,12 +22,12 @@
 #[test]
 fn distinct_clients_are_counted_within_three_errors_and_once() {
     for n in [1u64, 10, 100, 1000, 100_000] {
-        let (mut a, mut b) = (Distinct::default(), Distinct::default());
+        let (mut a, mut b) = (DistinctCounter::default(), DistinctCounter::default());
         (0..n).for_each(|c| a.add(c));
         (0..n).filter(|c| c % 2 == 0).for_each(|c| b.add(c));
         b.merge(&a);
         assert_eq!(a, b, "those of b were known");
         assert!((a.estimate() / n as f64 - 1.0).abs() < 3.0 * DISTINCT_ERROR, "{n}: {}", a.estimate());
-        assert_eq!(Distinct::from_set(a.set()), Some(a));
+        assert_eq!(DistinctCounter::from_set(a.set()), Some(a));
     }
 }
