--- a/src/topology_forecast/sketch.rs
+++ b/src/topology_forecast/sketch.rs
@@ -1,4 +1,4 @@
-//! Bounded counts: heavy hitters, distinct clients and times. Each states its error.
+//! Sketches of bounded size: heavy hitters, distinct clients and times. Each documents its error.
 use std::collections::{BTreeMap, BTreeSet};
 
 use hdrhistogram::Histogram;
@@ -15,10 +15,12 @@
 }
 
 impl<K: Ord + Clone> HeavyHitters<K> {
+    /// No counts yet; `most` keys are kept at most, 1 at least.
     pub fn new(most: usize) -> HeavyHitters<K> {
         HeavyHitters { most: most.max(1), kept: BTreeMap::new(), order: BTreeSet::new() }
     }
 
+    /// Counts a key once.
     pub fn add(&mut self, key: K) {
         let (count, error) = match self.kept.get(&key) {
             Some((count, error)) => {
@@ -38,7 +40,7 @@
         self.kept.insert(key, (count.saturating_add(1), error));
     }
 
-    /// Most that a key which is not kept can have been added.
+    /// How often a key that is not kept can have been added at most.
     pub fn least(&self) -> u64 {
         let full = self.kept.len() >= self.most;
         self.order.first().filter(|_| full).map_or(0, |(count, _)| *count)
@@ -52,9 +54,10 @@
 
 /// Registers of a [`DistinctCounter`]: 1.04 / sqrt(256) is a standard error of 6.5 in 100.
 pub const REGISTERS: usize = 256;
+/// The standard error of [`DistinctCounter::estimate`], as a share of it.
 pub const DISTINCT_ERROR: f64 = 0.065;
 
-/// How many different ones there were, by HyperLogLog (Flajolet et al. 2007). Own, and not the crate `hyperloglogplus`:
+/// Counts distinct clients by HyperLogLog (Flajolet et al. 2007). Written here in place of the crate `hyperloglogplus`:
 /// its registers cannot be read, and what its serde form accepts may panic later, so that it can't be sent to others.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct DistinctCounter(Vec<u8>);
@@ -66,7 +69,7 @@
 }
 
 impl DistinctCounter {
-    /// `hash` is any number that identifies one client.
+    /// Counts a client. `hash` is any number that identifies it.
     pub fn add(&mut self, hash: u64) {
         // The finisher of SplitMix64: numbers that were never hashed would else fill one register.
         let mut z = hash.wrapping_add(0x9e37_79b9_7f4a_7c15);
@@ -79,10 +82,12 @@
         }
     }
 
+    /// The counter of the clients of both.
     pub fn merge(&mut self, other: &DistinctCounter) {
         self.0.iter_mut().zip(&other.0).for_each(|(a, b)| *a = (*a).max(*b));
     }
 
+    /// How many distinct clients were counted, within [`DISTINCT_ERROR`].
     pub fn estimate(&self) -> f64 {
         let n = REGISTERS as f64;
         let raw =
@@ -100,7 +105,7 @@
         (0..=255).zip(self.0.iter().copied()).filter(|(_, v)| *v > 0)
     }
 
-    /// `None` for a value that no hash gives.
+    /// A counter out of its registers that are set; `None` for a value that no hash gives.
     pub fn from_set(set: impl Iterator<Item = (u8, u8)>) -> Option<DistinctCounter> {
         let mut all = DistinctCounter::default();
         for (at, value) in set {
@@ -110,7 +115,7 @@
     }
 }
 
-/// Times over this count as this: no attempt lives as long.
+/// Longer times count as this one: no attempt lasts as long.
 pub const MAX_TIME_US: u64 = 600_000_000;
 
 /// Times in microseconds, within 1 in 100 of their value. At most 3,100 buckets, by [`LONGEST_US`].
@@ -118,6 +123,7 @@
 pub struct TimeHistogram(Option<Histogram<u64>>);
 
 impl TimeHistogram {
+    /// Counts a time in microseconds `n` times.
     pub fn add(&mut self, us: u64, n: u64) {
         if self.0.is_none() {
             // Two digits are a number that it takes: it fails for more than five alone.
@@ -129,20 +135,22 @@
         }
     }
 
+    /// How many times were counted.
     pub fn count(&self) -> u64 {
         self.0.as_ref().map_or(0, |h| h.len())
     }
 
+    /// Their mean in microseconds; 0 without any.
     pub fn mean(&self) -> f64 {
         self.0.as_ref().map_or(0.0, |h| h.mean())
     }
 
-    /// The time that a share `q` of them stays within.
+    /// The time in microseconds that a share `q` of them is within.
     pub fn quantile(&self, q: f64) -> u64 {
         self.0.as_ref().map_or(0, |h| h.value_at_quantile(q))
     }
 
-    /// Share of them over `us`.
+    /// The share of them over `us` microseconds.
     pub fn over(&self, us: f64) -> f64 {
         let at = (us.max(0.0) as u64).min(MAX_TIME_US);
         let within = self.0.as_ref().map_or(0, |h| h.count_between(0, at));
