--- a/tests/cluster_links.rs
+++ b/tests/cluster_links.rs
@@ -303,7 +303,7 @@
             let Frame::Founding(note) = next(&mut stream, &mut read) else { continue };
             if note.kind() == MessageKind::Propose {
                 let took = ConfigurationMessage {
-                    kind: MessageKind::Took.into(),
+                    kind: MessageKind::Accepted.into(),
                     superseded: Ballot::default(),
                     members: Vec::new(),
                     ..note
--- a/tests/golden_wire/links.rs
+++ b/tests/golden_wire/links.rs
@@ -38,11 +38,11 @@
     vec![
         ("hello", Frame::Hello(hello)),
         ("work", Frame::Takeover(work)),
-        ("founding_asked", note(MessageKind::Asked)),
+        ("founding_asked", note(MessageKind::Query)),
         ("founding_propose", note(MessageKind::Propose)),
-        ("founding_took", note(MessageKind::Took)),
-        ("founding_holds", note(MessageKind::Holds)),
-        ("founding_formed", note(MessageKind::Formed)),
+        ("founding_took", note(MessageKind::Accepted)),
+        ("founding_holds", note(MessageKind::Rejected)),
+        ("founding_formed", note(MessageKind::Decided)),
     ]
 }
 
