--- /dev/null
+++ b/tests/slow_start/world/outcomes.rs
@@ -0,0 +1,94 @@
+//! What becomes of the modules' actions: attempts, their outcomes and what each send does to a warming data node.
+use super::*;
+
+impl World {
+    pub(super) fn apply(&mut self, n: usize, action: Action) {
+        match action {
+            Action::Send { part, replica, timeout } => self.start_attempt(n, part, replica, timeout),
+            Action::Cancel { part, attempt } => {
+                self.schedule_outcome(n, part, attempt, (0.002, Outcome::Cancelled), ReplicaId(0))
+            }
+            Action::Timer { after } => {
+                self.schedule(self.now + after, n, ScheduledEvent::Event(Event::Timer))
+            }
+            Action::HealthCheck { replica } => self.count_send(n, replica),
+            _ => {}
+        }
+    }
+
+    /// All that reaches a data node in slow start counts, health checks too.
+    pub(super) fn count_send(&mut self, n: usize, replica: ReplicaId) {
+        let now = self.now;
+        let node = &mut self.nodes[replica.0 as usize];
+        if now >= node.started_at && now < node.started_at + self.case.rule.ramp {
+            let start_was_known = self.coordinators[n].known_starts.contains(&start_of(&node.endpoint));
+            node.sent.push(Sent { at: now, start_was_known });
+        }
+    }
+
+    pub(super) fn schedule_outcome(
+        &mut self,
+        n: usize,
+        part: PartId,
+        attempt: u8,
+        end: (f64, Outcome),
+        replica: ReplicaId,
+    ) {
+        let (after, outcome) = end;
+        let succeeded = outcome == Outcome::Succeeded;
+        let report = self.case.rate_noise.filter(|_| succeeded).map(|noise| {
+            let odds = self.unit();
+            self.nodes[replica.0 as usize].completions.report(self.now, noise, odds)
+        });
+        let event = Event::Outcome {
+            part,
+            attempt,
+            replica,
+            part_finished: succeeded,
+            outcome,
+            elapsed: after,
+            report,
+        };
+        self.schedule(self.now + after, n, ScheduledEvent::Event(event));
+    }
+
+    pub(super) fn start_attempt(&mut self, n: usize, part: PartId, replica: ReplicaId, timeout: Option<f64>) {
+        let c = &mut self.coordinators[n];
+        let attempts = c.attempts.entry(part).or_default();
+        let attempt = *attempts;
+        *attempts += 1;
+        c.in_flight.insert((part, attempt));
+        self.count_send(n, replica);
+        let now = self.now;
+        let work = 0.5 + self.unit();
+        let is_spared = self.unit() < 0.3;
+        let share = self.capacity_share(replica, now);
+        let node = &mut self.nodes[replica.0 as usize];
+        let end = match () {
+            _ if node.down.0 <= now && now < node.down.1 => (0.25, Outcome::ConnectFailed),
+            _ if node.hung => (f64::MAX, Outcome::TimedOut),
+            _ if node.failing && !is_spared => (0.005, Outcome::Error),
+            _ if node.busy_until > now + 1.5 => (0.002, Outcome::Rejected),
+            _ => {
+                node.busy_until = node.busy_until.max(now) + work / (self.case.capacity * share);
+                let done = node.busy_until;
+                node.completions.record(done);
+                if node.down.0 > now && node.down.0 < done {
+                    (node.down.0 - now, Outcome::Reset)
+                } else {
+                    (done - now + 0.002, Outcome::Succeeded)
+                }
+            }
+        };
+        let timeout = timeout.unwrap_or(6.0);
+        let end = if end.0 > timeout { (timeout, Outcome::TimedOut) } else { end };
+        self.schedule_outcome(n, part, attempt, end, replica);
+    }
+
+    /// What share of its capacity a data node has at least.
+    pub fn capacity_share(&self, replica: ReplicaId, at: f64) -> f64 {
+        let rule = self.case.rule;
+        let age = ((at - self.nodes[replica.0 as usize].started_at) / rule.ramp).max(0.0);
+        (rule.initial_capacity + (1.0 - rule.initial_capacity) * age).min(1.0)
+    }
+}
