--- a/src/config/platform.rs
+++ b/src/config/platform.rs
@@ -142,7 +142,7 @@
 
 /// Read the configuration that the environment names, and the operator's file if there is one.
 ///
-/// Blocks for up to [`socket::START`] while our own machine refuses to open the platform's file for a moment.
+/// Blocks for up to [`socket::STARTUP_RETRY_TIME`] while our own machine refuses to open the platform's file for a moment.
 ///
 /// # Errors
 ///
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -18,7 +18,10 @@
 //! - [`coordinator`] runs the balancer on one thread and gives each query its one final outcome;
 //! - [`net`] is everything that touches a socket;
 //! - [`server`] starts, reloads and stops the process, as [`config`] and [`cli`] say;
-//! - [`wire`] is the simulator's way in.
+//! - [`simulator_wire`] is the simulator's way in.
+#![warn(clippy::match_bool, clippy::too_many_lines, clippy::wildcard_imports)]
+#![warn(rustdoc::broken_intra_doc_links)]
+
 pub mod balancer;
 pub mod cli;
 pub mod cluster;
--- a/src/net/grpc/caller.rs
+++ b/src/net/grpc/caller.rs
@@ -68,6 +68,7 @@
 
     /// Carry the answer to the client, and what it goes on to send to the attempts, until the query is over and all
     /// of its answer has gone.
+    #[expect(clippy::too_many_lines, reason = "not split yet, see docs/ROADMAP.md")]
     pub(super) async fn relay(&mut self, exchange: &Exchange, framer: Framer) -> Result<(), Left> {
         let Caller { body, side } = self;
         let down = async {
--- a/src/net/grpc/servers.rs
+++ b/src/net/grpc/servers.rs
@@ -19,7 +19,7 @@
 use tokio_util::compat::FuturesAsyncReadCompatExt;
 
 use super::exchange::Exchange;
-use crate::balancer::interface::*;
+use crate::balancer::interface::{Endpoint, EndpointState, LoadReport, Outcome, ReplicaId};
 use crate::config::operator::FrontLimits;
 use crate::config::settings::ConnectionSettings;
 use crate::connection_pool::{Assignment, CloseReason, ConnectionId, ConnectionPool, PoolAction, PoolLimits};
--- a/src/net/invariants.rs
+++ b/src/net/invariants.rs
@@ -12,7 +12,7 @@
 
 use crate::send_policy::{SendDenied, Violation};
 
-/// The process's counts so far. Attempts that were not written are counted by [`Denied`]'s reasons.
+/// The process's counts so far. Attempts that were not written are counted by [`SendDenied`]'s reasons.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct InvariantCounts {
     /// Attempts that nobody waited for.
--- a/src/shard_layout/version.rs
+++ b/src/shard_layout/version.rs
@@ -1,7 +1,7 @@
 //! One version of the layout: its live tiles, and all retired ones whose history is still retained. Persistent maps: a
 //! version shares with its predecessor all that did not change, so that a hundred versions cost little more than one.
 //!
-//! Invariants, kept by [`Version::next`] and asserted by [`Version::check_invariants`]: the live tiles are those of the
+//! Invariants, kept by `Version::next` and asserted by [`Version::check_invariants`]: the live tiles are those of the
 //! districts, each in one; their weights add up to `total_weight`; a tile's children were made by a later version than
 //! the tile.
 use std::collections::BTreeSet;
--- a/src/topology_forecast/forecast/change.rs
+++ b/src/topology_forecast/forecast/change.rs
@@ -23,7 +23,8 @@
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct Cold {
     pub server: u64,
-    /// Its load over what it stands at its start ([`ColdRule::from`](crate::balancer::interface::ColdRule) of its capacity).
+    /// Its load over its capacity at its start
+    /// ([`SlowStart::initial_capacity`](crate::balancer::interface::SlowStart::initial_capacity)).
     pub times: Range,
     /// The told multiple over which it falls, and the seconds for which it stands that.
     pub multiple: f64,
--- a/src/topology_forecast/forecast/load.rs
+++ b/src/topology_forecast/forecast/load.rs
@@ -137,6 +137,7 @@
 }
 
 impl<'a> Loads<'a> {
+    #[expect(clippy::too_many_lines, reason = "not split yet, see docs/ROADMAP.md")]
     pub fn new(
         to: &'a Topology,
         base: &Topology,
@@ -182,18 +183,20 @@
         }
         let coordinators_in = |zone: u8| given.coordinators.values().filter(|z| z.0 == zone).count() as f64;
         let all = given.coordinators.len().max(1) as f64;
-        let capacity = |(s, (even, work)): (&crate::topology_forecast::Server, (&Range, &Range))| match told
-            && work.mid > 0.0
-        {
-            true => s.capacity * even.mid / work.mid,
-            false => f64::INFINITY,
+        let capacity = |(s, (even, work)): (&crate::topology_forecast::Server, (&Range, &Range))| {
+            if told && work.mid > 0.0 {
+                s.capacity * even.mid / work.mid
+            } else {
+                f64::INFINITY
+            }
         };
         let placement = Placement {
             capacity: to.servers().iter().zip(even.iter().zip(&even_work)).map(capacity).collect(),
             zones: to.servers().iter().map(|s| (s.zone.0, coordinators_in(s.zone.0) / all)).collect(),
-            deciders: match given.queues_told {
-                true => 1,
-                false => u32::try_from(given.coordinators.len()).unwrap_or(u32::MAX),
+            deciders: if given.queues_told {
+                1
+            } else {
+                u32::try_from(given.coordinators.len()).unwrap_or(u32::MAX)
             },
         };
         let loads = draws.settle(&placement, 1.0);
--- a/src/topology_forecast/forecast/mod.rs
+++ b/src/topology_forecast/forecast/mod.rs
@@ -135,6 +135,7 @@
 }
 
 /// What `to` would cost under this demand, which was seen on `base`.
+#[expect(clippy::too_many_lines, reason = "not split yet, see docs/ROADMAP.md")]
 pub fn forecast(
     demand: &Demand,
     base: &Topology,
--- a/src/topology_forecast/mod.rs
+++ b/src/topology_forecast/mod.rs
@@ -3,7 +3,7 @@
 //! reads no clock and no randomness.
 //!
 //! Each coordinator records its own [`demand`] in bounded tables and closes a [`Report`] a window. A [`DemandCollection`] set of
-//! reports counts each (member, incarnation, window) once. A [`forecast`] plays the demand on the proposed
+//! reports counts each (member, incarnation, window) once. A [`mod@forecast`] plays the demand on the proposed
 //! [`Topology`]; [`plan`] takes it through the log to adoption, and back once if it was wrong.
 pub mod demand;
 pub mod demand_collection;
--- a/src/topology_forecast/plan/mod.rs
+++ b/src/topology_forecast/plan/mod.rs
@@ -101,6 +101,7 @@
     ///
     /// # Errors
     /// Why it changed nothing.
+    #[expect(clippy::too_many_lines, reason = "not split yet, see docs/ROADMAP.md")]
     pub fn apply(&mut self, command: &Command) -> Result<(), CommandError> {
         match command {
             Command::Members(members) => {
--- a/src/topology_forecast/sketch.rs
+++ b/src/topology_forecast/sketch.rs
@@ -118,7 +118,7 @@
 /// Longer times count as this one: no attempt lasts as long.
 pub const MAX_TIME_US: u64 = 600_000_000;
 
-/// Times in microseconds, within 1 in 100 of their value. At most 3,100 buckets, by [`LONGEST_US`].
+/// Times in microseconds, within 1 in 100 of their value. At most 3,100 buckets, by [`MAX_TIME_US`].
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct TimeHistogram(Option<Histogram<u64>>);
 
